--- a/cli/src/main/java/mulleinlever/cli/Commands.java
+++ b/cli/src/main/java/mulleinlever/cli/Commands.java
@@ -9,7 +9,7 @@
 
 /** All lines but a bare "serve". */
 public final class Commands {
-    private Commands() { }
+    private Commands() {}
 
     /** Runs one line; the exit code. */
     public static int run(String[] args) {
@@ -18,22 +18,29 @@
 
     /** What a file refuses is told in one line; any other fault is ours, and told whole. */
     static CommandLine line() {
-        return new CommandLine(new Root()).setExecutionExceptionHandler((e, at, parsed) -> {
-            if (!(e instanceof IOException)) {
-                throw e;
-            }
-            at.getErr().println(told((IOException) e));
-            return 1;
-        });
+        return new CommandLine(new Root())
+                .setExecutionExceptionHandler(
+                        (e, at, parsed) -> {
+                            if (!(e instanceof IOException)) {
+                                throw e;
+                            }
+                            at.getErr().println(told((IOException) e));
+                            return 1;
+                        });
     }
 
     private static String told(IOException e) {
         if (!(e instanceof FileSystemException f)) {
             return String.valueOf(e.getMessage());
         }
-        String what = e instanceof NoSuchFileException ? "no such file or folder"
-                : e instanceof NotDirectoryException ? "not a folder"
-                : e instanceof AccessDeniedException ? "access denied" : String.valueOf(f.getReason());
+        String what =
+                e instanceof NoSuchFileException
+                        ? "no such file or folder"
+                        : e instanceof NotDirectoryException
+                                ? "not a folder"
+                                : e instanceof AccessDeniedException
+                                        ? "access denied"
+                                        : String.valueOf(f.getReason());
         return f.getFile() + ": " + what;
     }
 }
--- a/cli/src/main/java/mulleinlever/cli/DrillCommand.java
+++ b/cli/src/main/java/mulleinlever/cli/DrillCommand.java
@@ -7,8 +7,11 @@
 import picocli.CommandLine.Command;
 
 /** The decisions alone, on the bench's wire. */
-@Command(name = "drill", mixinStandardHelpOptions = true,
-        description = "Reads a session of the bench's wire from standard input and prints the answers.")
+@Command(
+        name = "drill",
+        mixinStandardHelpOptions = true,
+        description =
+                "Reads a session of the bench's wire from standard input and prints the answers.")
 final class DrillCommand implements Callable<Integer> {
     @Override
     public Integer call() throws IOException {
--- a/cli/src/main/java/mulleinlever/cli/Main.java
+++ b/cli/src/main/java/mulleinlever/cli/Main.java
@@ -16,17 +16,18 @@
 import mulleinlever.sidecar.Serve;
 
 /**
- * Where the program starts. A bare "serve" runs on the class path alone, which holds what the daemon needs; any
- * other line is read by a parser, and may ask for libraries that lie beside the jar but not on that path. There
- * each of them would keep a descriptor open, and the parser alone makes the first answer 0.13 s later and 8 MB
- * more resident, which is dear where a sidecar may have 32 MB.
+ * Where the program starts. A bare "serve" runs on the class path alone, which holds what the
+ * daemon needs; any other line is read by a parser, and may ask for libraries that lie beside the
+ * jar but not on that path. There each of them would keep a descriptor open, and the parser alone
+ * makes the first answer 0.13 s later and 8 MB more resident, which is dear where a sidecar may
+ * have 32 MB.
  *
  * <p>Exit codes: 0 done, 1 a fault of ours, 2 faulty arguments, configuration or input.
  */
 public final class Main {
     private static final String COMMANDS = "mulleinlever.cli.Commands";
 
-    private Main() { }
+    private Main() {}
 
     public static void main(String[] args) throws Exception {
         boolean bare = args.length == 1 && args[0].equals("serve");
@@ -36,22 +37,31 @@
     private static int commands(String[] args) throws Exception {
         ClassLoader loader = loader();
         Thread.currentThread().setContextClassLoader(loader);
-        return (int) loader.loadClass(COMMANDS).getMethod("run", String[].class).invoke(null, (Object) args);
+        return (int)
+                loader.loadClass(COMMANDS)
+                        .getMethod("run", String[].class)
+                        .invoke(null, (Object) args);
     }
 
-    /** The one that knows the parser already, as in tests; else a new one over the jar and all beside it. */
+    /**
+     * The one that knows the parser already, as in tests; else a new one over the jar and all
+     * beside it.
+     */
     private static ClassLoader loader() throws IOException, URISyntaxException {
         ClassLoader ours = Main.class.getClassLoader();
         if (ours.getResource("picocli/CommandLine.class") != null) {
             return ours;
         }
         Path jar = Path.of(Main.class.getProtectionDomain().getCodeSource().getLocation().toURI());
-        // In the order of their names: which jar a class comes from must not hang on the file system.
+        // In the order of their names: which jar a class comes from must not hang on the file
+        // system.
         Set<Path> jars = new TreeSet<>(Set.of(jar));
-        try (DirectoryStream<Path> all = Files.newDirectoryStream(jar.resolveSibling("lib"), "*.jar")) {
+        try (DirectoryStream<Path> all =
+                Files.newDirectoryStream(jar.resolveSibling("lib"), "*.jar")) {
             all.forEach(jars::add);
         }
-        URL[] urls = jars.stream().map(Path::toFile).map(File::toURI).map(Main::url).toArray(URL[]::new);
+        URL[] urls =
+                jars.stream().map(Path::toFile).map(File::toURI).map(Main::url).toArray(URL[]::new);
         return new URLClassLoader("all", urls, ClassLoader.getPlatformClassLoader());
     }
 
--- a/cli/src/main/java/mulleinlever/cli/Root.java
+++ b/cli/src/main/java/mulleinlever/cli/Root.java
@@ -1,7 +1,6 @@
 package mulleinlever.cli;
 
 import mulleinlever.settings.Version;
-import picocli.CommandLine;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.IVersionProvider;
 import picocli.CommandLine.Model.CommandSpec;
@@ -9,12 +8,14 @@
 import picocli.CommandLine.Spec;
 
 /** What is said without a command: how it is used, and that one is missing. */
-@Command(name = "mulleinlever", mixinStandardHelpOptions = true, versionProvider = Root.Given.class,
+@Command(
+        name = "mulleinlever",
+        mixinStandardHelpOptions = true,
+        versionProvider = Root.Given.class,
         description = "Routes reqs to pods and votes on staged releases.",
         subcommands = {ServeCommand.class, DrillCommand.class, StateCommand.class})
 final class Root implements Runnable {
-    @Spec
-    private CommandSpec spec;
+    @Spec private CommandSpec spec;
 
     @Override
     public void run() {
--- a/cli/src/main/java/mulleinlever/cli/ServeCommand.java
+++ b/cli/src/main/java/mulleinlever/cli/ServeCommand.java
@@ -8,11 +8,17 @@
 import picocli.CommandLine.Option;
 
 /** One sidecar, until it is told to stop. */
-@Command(name = "serve", mixinStandardHelpOptions = true,
-        description = "Runs one sidecar with the configuration that LB_CONFIG names, until SIGTERM.")
+@Command(
+        name = "serve",
+        mixinStandardHelpOptions = true,
+        description =
+                "Runs one sidecar with the configuration that LB_CONFIG names, until SIGTERM.")
 final class ServeCommand implements Callable<Integer> {
-    @Option(names = "--with", paramLabel = "FILE",
-            description = "A TOML file of ours that switches on what is off without it; may be given several times.")
+    @Option(
+            names = "--with",
+            paramLabel = "FILE",
+            description =
+                    "A TOML file of ours that switches on what is off without it; may be given several times.")
     private List<Path> with = List.of();
 
     @Override
--- a/cli/src/main/java/mulleinlever/cli/StateCommand.java
+++ b/cli/src/main/java/mulleinlever/cli/StateCommand.java
@@ -31,13 +31,15 @@
 import picocli.CommandLine.Spec;
 
 /** What sidecars keep over a restart: shown, checked, cleared away. */
-@Command(name = "state", mixinStandardHelpOptions = true, description = "What a sidecar keeps over a restart.",
+@Command(
+        name = "state",
+        mixinStandardHelpOptions = true,
+        description = "What a sidecar keeps over a restart.",
         subcommands = {StateCommand.Show.class, StateCommand.Check.class, StateCommand.Prune.class})
 final class StateCommand implements Runnable {
     private static final long MOST_BYTES = 1L << 30;
 
-    @Spec
-    private CommandSpec spec;
+    @Spec private CommandSpec spec;
 
     @Override
     public void run() {
@@ -46,7 +48,11 @@
 
     private static Kept read(Path file, List<String> leftOut) throws StateFault {
         Path whole = file.toAbsolutePath();
-        return Keeper.read(new FolderDisk(whole.getParent()), whole.getFileName().toString(), MOST_BYTES, leftOut::add);
+        return Keeper.read(
+                new FolderDisk(whole.getParent()),
+                whole.getFileName().toString(),
+                MOST_BYTES,
+                leftOut::add);
     }
 
     /** A fault's message begins with the file's name alone. */
@@ -55,13 +61,18 @@
     }
 
     /** The whole content of one file, for reading or for scripts. */
-    @Command(name = "show", mixinStandardHelpOptions = true,
+    @Command(
+            name = "show",
+            mixinStandardHelpOptions = true,
             description = "Shows one file, or the newest whole one of a folder.")
     static final class Show implements Callable<Integer> {
-        @Spec
-        private CommandSpec spec;
-        @Parameters(paramLabel = "FILE", description = "A file of state, or the folder of a sidecar.")
+        @Spec private CommandSpec spec;
+
+        @Parameters(
+                paramLabel = "FILE",
+                description = "A file of state, or the folder of a sidecar.")
         private Path file;
+
         @Option(names = "--json", description = "One JSON object instead of tables.")
         private boolean json;
 
@@ -105,7 +116,9 @@
             all.put("baselines", only(kept, Learned.OfBaseline.class));
             all.put("pods", kept.pods());
             all.put("keys", only(kept, Learned.OfKey.class));
-            return new ObjectMapper().enable(SerializationFeature.INDENT_OUTPUT).writeValueAsString(all);
+            return new ObjectMapper()
+                    .enable(SerializationFeature.INDENT_OUTPUT)
+                    .writeValueAsString(all);
         }
 
         private static <T> List<T> only(Kept kept, Class<T> type) {
@@ -116,30 +129,82 @@
             Kept.Head h = kept.head();
             long ageNs = Ageing.age(h.unixMs(), System.currentTimeMillis() * 1_000_000L);
             StringBuilder s = new StringBuilder();
-            line(s, "sidecar %s, zone %s, machine %s, program %s", h.instance(), or(h.zone()), or(h.machine()), h.writer());
-            line(s, "number %d, captured %s, %s", h.sequence(), Instant.ofEpochMilli(h.unixMs()),
+            line(
+                    s,
+                    "sidecar %s, zone %s, machine %s, program %s",
+                    h.instance(),
+                    or(h.zone()),
+                    or(h.machine()),
+                    h.writer());
+            line(
+                    s,
+                    "number %d, captured %s, %s",
+                    h.sequence(),
+                    Instant.ofEpochMilli(h.unixMs()),
                     ageNs == Ageing.UNKNOWN ? "later than now" : ageNs / 1_000_000_000L + " s ago");
-            line(s, "build %d stage %d %s, cap %.2f; list %d", kept.news().build(), kept.news().stage(),
-                    kept.news().phase(), kept.news().cap(), h.listVersion());
+            line(
+                    s,
+                    "build %d stage %d %s, cap %.2f; list %d",
+                    kept.news().build(),
+                    kept.news().stage(),
+                    kept.news().phase(),
+                    kept.news().cap(),
+                    h.listVersion());
             for (Learned.OfLinks l : only(kept, Learned.OfLinks.class)) {
-                line(s, "links refused %s, tries unanswered %s", share(l.refused()), share(l.unanswered()));
+                line(
+                        s,
+                        "links refused %s, tries unanswered %s",
+                        share(l.refused()),
+                        share(l.unanswered()));
             }
             line(s, "%n%-20s %6s %16s %16s", "route", "build", "takes ms", "usually ms");
             for (Learned.OfRoute r : only(kept, Learned.OfRoute.class)) {
                 line(s, "%-20s %6d %16s %16s", r.route(), r.build(), ms(r.times()), ms(r.usual()));
             }
-            line(s, "%n%-20s %6s %-16s %8s %10s %8s", "baseline", "build", "of", "mean", "deviation", "seconds");
+            line(
+                    s,
+                    "%n%-20s %6s %-16s %8s %10s %8s",
+                    "baseline",
+                    "build",
+                    "of",
+                    "mean",
+                    "deviation",
+                    "seconds");
             for (Learned.OfBaseline b : only(kept, Learned.OfBaseline.class)) {
-                line(s, "%-20s %6d %-16s %8.3f %10.3f %8.0f", b.route().isEmpty() ? "all" : b.route(), b.build(),
-                        b.ofLate() ? "late" : "failed, flagged", b.mean(), b.deviation(), b.samples());
+                line(
+                        s,
+                        "%-20s %6d %-16s %8.3f %10.3f %8.0f",
+                        b.route().isEmpty() ? "all" : b.route(),
+                        b.build(),
+                        b.ofLate() ? "late" : "failed, flagged",
+                        b.mean(),
+                        b.deviation(),
+                        b.samples());
             }
-            line(s, "%n%-20s %-22s %-8s %6s %-9s %14s %14s %7s", "pod", "address", "zone", "build", "state",
-                    "slowness", "late", "strikes");
+            line(
+                    s,
+                    "%n%-20s %-22s %-8s %6s %-9s %14s %14s %7s",
+                    "pod",
+                    "address",
+                    "zone",
+                    "build",
+                    "state",
+                    "slowness",
+                    "late",
+                    "strikes");
             for (Kept.OfPod p : kept.pods()) {
                 PodEntry is = p.learned().is();
-                line(s, "%-20s %-22s %-8s %6d %-9s %14s %14s %7d", is.id(), p.address(), is.zone(), is.build(),
-                        is.state().name().toLowerCase(Locale.ROOT), share(p.learned().slowness()),
-                        share(p.learned().late()), p.learned().strikes());
+                line(
+                        s,
+                        "%-20s %-22s %-8s %6d %-9s %14s %14s %7d",
+                        is.id(),
+                        p.address(),
+                        is.zone(),
+                        is.build(),
+                        is.state().name().toLowerCase(Locale.ROOT),
+                        share(p.learned().slowness()),
+                        share(p.learned().late()),
+                        p.learned().strikes());
             }
             line(s, "%n%d keys that can't go back", only(kept, Learned.OfKey.class).size());
             return s.toString().stripTrailing();
@@ -154,21 +219,31 @@
         }
 
         private static String share(Learned.Figure f) {
-            return f.weight() == 0 ? "-" : String.format(Locale.ROOT, "%.2f of %.1f", f.mean(), f.weight());
+            return f.weight() == 0
+                    ? "-"
+                    : String.format(Locale.ROOT, "%.2f of %.1f", f.mean(), f.weight());
         }
 
         private static String ms(Learned.Figure f) {
-            return f.weight() == 0 ? "-" : String.format(Locale.ROOT, "%.1f of %.1f", f.mean() / 1e6, f.weight());
+            return f.weight() == 0
+                    ? "-"
+                    : String.format(Locale.ROOT, "%.1f of %.1f", f.mean() / 1e6, f.weight());
         }
     }
 
     /** Whether files are whole. */
-    @Command(name = "check", mixinStandardHelpOptions = true, description = "Checks files and tells what is wrong.",
-            footer = {"", "Exit codes: 0 all are sound, 3 can't be read, 4 no file of state, 5 of a later format,",
-                "6 cut short, 7 corrupt, 8 too long; of several files the first fault's."})
+    @Command(
+            name = "check",
+            mixinStandardHelpOptions = true,
+            description = "Checks files and tells what is wrong.",
+            footer = {
+                "",
+                "Exit codes: 0 all are sound, 3 can't be read, 4 no file of state, 5 of a later format,",
+                "6 cut short, 7 corrupt, 8 too long; of several files the first fault's."
+            })
     static final class Check implements Callable<Integer> {
-        @Spec
-        private CommandSpec spec;
+        @Spec private CommandSpec spec;
+
         @Parameters(paramLabel = "FILE", arity = "1..*", description = "Files of state.")
         private List<Path> files;
 
@@ -179,8 +254,17 @@
                 List<String> notes = new ArrayList<>();
                 try {
                     Kept kept = read(file, notes);
-                    spec.commandLine().getOut().println(file + ": sound, number " + kept.head().sequence() + " of "
-                            + kept.head().instance() + ", " + kept.pods().size() + " pods");
+                    spec.commandLine()
+                            .getOut()
+                            .println(
+                                    file
+                                            + ": sound, number "
+                                            + kept.head().sequence()
+                                            + " of "
+                                            + kept.head().instance()
+                                            + ", "
+                                            + kept.pods().size()
+                                            + " pods");
                 } catch (StateFault e) {
                     notes.add(e.getMessage());
                     code = code == 0 ? e.kind.exitCode : code;
@@ -192,15 +276,25 @@
     }
 
     /** What a sidecar that is gone, or a fault, left behind. */
-    @Command(name = "prune", mixinStandardHelpOptions = true,
-            description = "Deletes what is unfinished or not whole, and all but the newest whole files.")
+    @Command(
+            name = "prune",
+            mixinStandardHelpOptions = true,
+            description =
+                    "Deletes what is unfinished or not whole, and all but the newest whole files.")
     static final class Prune implements Callable<Integer> {
-        @Spec
-        private CommandSpec spec;
-        @Parameters(paramLabel = "FOLDER", description = "The folder of a sidecar that does not run.")
+        @Spec private CommandSpec spec;
+
+        @Parameters(
+                paramLabel = "FOLDER",
+                description = "The folder of a sidecar that does not run.")
         private Path folder;
-        @Option(names = "--keep", paramLabel = "N", description = "So many whole files stay (${DEFAULT-VALUE}).")
+
+        @Option(
+                names = "--keep",
+                paramLabel = "N",
+                description = "So many whole files stay (${DEFAULT-VALUE}).")
         private int keep = 1;
+
         @Option(names = "--dry-run", description = "Only tells what would be deleted.")
         private boolean dryRun;
 
@@ -214,7 +308,9 @@
             Collections.reverse(names);
             try (Closeable lock = disk.lock(Keeper.LOCK)) {
                 if (lock == null) {
-                    spec.commandLine().getErr().println(folder + ": a sidecar that runs holds it; nothing is deleted");
+                    spec.commandLine()
+                            .getErr()
+                            .println(folder + ": a sidecar that runs holds it; nothing is deleted");
                     return 1;
                 }
                 int whole = 0;
@@ -222,15 +318,24 @@
                     String why = Keeper.unfinished(name) ? "unfinished" : null;
                     if (Keeper.sequence(name) >= 0) {
                         try {
-                            Keeper.read(disk, name, MOST_BYTES, l -> { });
+                            Keeper.read(disk, name, MOST_BYTES, l -> {});
                             why = whole++ < keep ? null : "older";
                         } catch (StateFault e) {
                             // What a later program wrote is sound to that one.
-                            why = e.kind == StateFault.Kind.NEWER ? null : "not whole: " + e.getMessage();
+                            why =
+                                    e.kind == StateFault.Kind.NEWER
+                                            ? null
+                                            : "not whole: " + e.getMessage();
                         }
                     }
                     if (why != null) {
-                        spec.commandLine().getOut().println((dryRun ? "would delete " : "deleted ") + name + ", " + why);
+                        spec.commandLine()
+                                .getOut()
+                                .println(
+                                        (dryRun ? "would delete " : "deleted ")
+                                                + name
+                                                + ", "
+                                                + why);
                         if (!dryRun) {
                             disk.delete(name);
                         }
--- a/cli/src/test/java/mulleinlever/cli/MainTest.java
+++ b/cli/src/test/java/mulleinlever/cli/MainTest.java
@@ -18,30 +18,46 @@
 
 /** The command line as a user meets it: a process of its own, its two outputs and its exit code. */
 class MainTest {
-    @TempDir
-    Path folder;
+    @TempDir Path folder;
 
-    private record Run(int code, String out, String err) { }
+    private record Run(int code, String out, String err) {}
 
     private Run run(String input, String... args) throws IOException, InterruptedException {
-        List<String> command = new ArrayList<>(List.of(Path.of(System.getProperty("java.home"), "bin", "java").toString(),
-                "-XX:TieredStopAtLevel=1", "-cp", System.getProperty("java.class.path"), "mulleinlever.cli.Main"));
+        List<String> command =
+                new ArrayList<>(
+                        List.of(
+                                Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                                "-XX:TieredStopAtLevel=1",
+                                "-cp",
+                                System.getProperty("java.class.path"),
+                                "mulleinlever.cli.Main"));
         command.addAll(Arrays.asList(args));
         Path in = Files.writeString(folder.resolve("in"), input);
-        var b = new ProcessBuilder(command).redirectInput(in.toFile())
-                .redirectOutput(folder.resolve("out").toFile()).redirectError(folder.resolve("err").toFile());
+        var b =
+                new ProcessBuilder(command)
+                        .redirectInput(in.toFile())
+                        .redirectOutput(folder.resolve("out").toFile())
+                        .redirectError(folder.resolve("err").toFile());
         b.environment().remove("LB_CONFIG");
         Process p = b.start();
         assertTrue(p.waitFor(30, TimeUnit.SECONDS));
-        return new Run(p.exitValue(), Files.readString(folder.resolve("out"), StandardCharsets.UTF_8),
+        return new Run(
+                p.exitValue(),
+                Files.readString(folder.resolve("out"), StandardCharsets.UTF_8),
                 Files.readString(folder.resolve("err"), StandardCharsets.UTF_8));
     }
 
     @ParameterizedTest
-    @CsvSource({"--help, 0, Usage: mulleinlever", "serve --help, 0, Usage: mulleinlever serve",
-        "drill --help, 0, Usage: mulleinlever drill", "'', 2, a command is missing", "sreve, 2, serve",
-        "drill x, 2, Usage: mulleinlever drill", "serve --wiht x, 2, --with",
-        "serve --with gone.toml, 2, config: LB_CONFIG needs"})
+    @CsvSource({
+        "--help, 0, Usage: mulleinlever",
+        "serve --help, 0, Usage: mulleinlever serve",
+        "drill --help, 0, Usage: mulleinlever drill",
+        "'', 2, a command is missing",
+        "sreve, 2, serve",
+        "drill x, 2, Usage: mulleinlever drill",
+        "serve --wiht x, 2, --with",
+        "serve --with gone.toml, 2, config: LB_CONFIG needs"
+    })
     void helpGoesOutAndFaultsGoToTheErrors(String line, int code, String says) throws Exception {
         Run r = run("", line.isEmpty() ? new String[0] : line.split(" "));
         assertEquals(code, r.code, r.err);
@@ -65,6 +81,8 @@
         assertEquals("line 1: expected TICK, found HELLO\n", bad.err);
         Run serve = run("", "serve");
         assertEquals(2, serve.code);
-        assertTrue(serve.err.endsWith("config: LB_CONFIG needs the path of the configuration\n"), serve.err);
+        assertTrue(
+                serve.err.endsWith("config: LB_CONFIG needs the path of the configuration\n"),
+                serve.err);
     }
 }
--- a/cli/src/test/java/mulleinlever/cli/StateCommandTest.java
+++ b/cli/src/test/java/mulleinlever/cli/StateCommandTest.java
@@ -25,8 +25,7 @@
 class StateCommandTest {
     private static final long SECOND = 1_000_000_000L;
 
-    @TempDir
-    Path folder;
+    @TempDir Path folder;
     private String out;
     private String err;
 
@@ -42,7 +41,7 @@
 
     @BeforeEach
     void threeFiles() throws Exception {
-        Keeper k = new Keeper(new FolderDisk(folder), 9, 1 << 20, "n3", l -> { });
+        Keeper k = new Keeper(new FolderDisk(folder), 9, 1 << 20, "n3", l -> {});
         k.open().get();
         for (int i = 0; i < 3; i++) {
             while (!k.idle()) {
@@ -56,18 +55,30 @@
     private static Kept kept(long unixMs) {
         Learned.Figure f = new Learned.Figure(2.5, 4);
         PodEntry is = new PodEntry("s-1", "a", "m", 0, 42, PodEntry.State.READY, 1, 0);
-        return new Kept(new Kept.Head("1.2.3", "n3", "m1", "a", 9, 0, unixMs, 41),
+        return new Kept(
+                new Kept.Head("1.2.3", "n3", "m1", "a", 9, 0, unixMs, 41),
                 new News(42, 1, News.Phase.ON_TRIAL, 0.25, 0),
                 List.of(new Kept.OfPod("10.0.0.1:6543", new Learned.OfPod(is, f, f, 3))),
-                List.of(new Learned.OfLinks(f, f), new Learned.OfRoute("get", 42, new Learned.Figure(5e6, 3), f),
-                        new Learned.OfBaseline(42, "", true, 0.2, 0.05, 50), new Learned.OfKey(77, 42)));
+                List.of(
+                        new Learned.OfLinks(f, f),
+                                new Learned.OfRoute("get", 42, new Learned.Figure(5e6, 3), f),
+                        new Learned.OfBaseline(42, "", true, 0.2, 0.05, 50),
+                                new Learned.OfKey(77, 42)));
     }
 
     @Test
     void showTellsAllThatIsKept() throws Exception {
         assertEquals(0, run("state", "show", folder));
-        for (String part : List.of("sidecar n3, zone a", "number 3, captured 20", " s ago", "build 42 stage 1 ON_TRIAL",
-                "2.50 of 4.0", "5.0 of 3.0", "10.0.0.1:6543", "1 keys that can't go back")) {
+        for (String part :
+                List.of(
+                        "sidecar n3, zone a",
+                        "number 3, captured 20",
+                        " s ago",
+                        "build 42 stage 1 ON_TRIAL",
+                        "2.50 of 4.0",
+                        "5.0 of 3.0",
+                        "10.0.0.1:6543",
+                        "1 keys that can't go back")) {
             assertTrue(out.contains(part), part + " in " + out);
         }
         assertEquals(0, run("state", "show", "--json", folder.resolve(Keeper.name(2))));
@@ -89,15 +100,28 @@
         assertEquals(0, run("state", "check", sound, folder.resolve(Keeper.name(3))));
         assertTrue(out.contains("state-000000000001.mls: sound, number 1 of n3, 1 pods"), out);
         assertEquals(3, run("state", "check", folder.resolve("none")));
-        assertEquals(4, run("state", "check", Files.writeString(folder.resolve("x"), "hello, world")));
+        assertEquals(
+                4, run("state", "check", Files.writeString(folder.resolve("x"), "hello, world")));
         byte[] newer = bytes.clone();
         newer[11]++;
         assertEquals(5, run("state", "check", sound, Files.write(folder.resolve("x"), newer)));
         assertEquals(folder + "/x: at byte 8: format 2, and we know up to 1\n", err);
-        assertEquals(6, run("state", "check", Files.write(folder.resolve("x"), Arrays.copyOf(bytes, 99)), sound));
+        assertEquals(
+                6,
+                run(
+                        "state",
+                        "check",
+                        Files.write(folder.resolve("x"), Arrays.copyOf(bytes, 99)),
+                        sound));
         byte[] corrupt = bytes.clone();
         corrupt[500] ^= 1;
-        assertEquals(7, run("state", "check", Files.write(folder.resolve("x"), corrupt), folder.resolve("none")));
+        assertEquals(
+                7,
+                run(
+                        "state",
+                        "check",
+                        Files.write(folder.resolve("x"), corrupt),
+                        folder.resolve("none")));
         assertEquals(7, run("state", "show", folder.resolve("x")));
     }
 
@@ -109,7 +133,9 @@
         assertEquals(0, run("state", "prune", "--dry-run", folder));
         assertEquals(4, out.lines().filter(l -> l.startsWith("would delete state-")).count());
         assertEquals(0, run("state", "prune", "--keep", 2, folder));
-        assertEquals(List.of("lock", "notes.tmp", Keeper.name(2), Keeper.name(3)), new FolderDisk(folder).list());
+        assertEquals(
+                List.of("lock", "notes.tmp", Keeper.name(2), Keeper.name(3)),
+                new FolderDisk(folder).list());
         try (var lock = new FolderDisk(folder).lock(Keeper.LOCK)) {
             assertEquals(1, run("state", "prune", folder));
             assertTrue(err.contains("a sidecar that runs holds it") && lock != null, err);
--- a/core/src/main/java/mulleinlever/Averages.java
+++ b/core/src/main/java/mulleinlever/Averages.java
@@ -28,7 +28,8 @@
     void learn(double sample, double weight) {
         double w = Math.max(weight, 1.0 / ++samples);
         mean = w * sample + (1 - w) * mean;
-        deviation = Math.sqrt(w * (sample - mean) * (sample - mean) + (1 - w) * deviation * deviation);
+        deviation =
+                Math.sqrt(w * (sample - mean) * (sample - mean) + (1 - w) * deviation * deviation);
     }
 
     void follow(double sample, double weight) {
--- a/core/src/main/java/mulleinlever/Decay.java
+++ b/core/src/main/java/mulleinlever/Decay.java
@@ -26,7 +26,10 @@
         return sum;
     }
 
-    /** The rate behind the sum; one that began lately has had no time to fill up, which is made good. */
+    /**
+     * The rate behind the sum; one that began lately has had no time to fill up, which is made
+     * good.
+     */
     double perSecond(long nowNs) {
         if (firstNs == Long.MIN_VALUE) {
             return 0;
--- a/core/src/main/java/mulleinlever/Doubt.java
+++ b/core/src/main/java/mulleinlever/Doubt.java
@@ -3,14 +3,18 @@
 import java.util.Collection;
 
 /**
- * Decides, for routing alone, whether a build on trial is in doubt before any verdict. A try that is not
- * answered tells a verdict nothing until it ends, which is seconds later where a build slows under load, and
- * the platform's count shows it later still; what is open tells at once. It may be mistaken, so it costs the
- * trial no more than some seconds of its share.
+ * Decides, for routing alone, whether a build on trial is in doubt before any verdict. A try that
+ * is not answered tells a verdict nothing until it ends, which is seconds later where a build slows
+ * under load, and the platform's count shows it later still; what is open tells at once. It may be
+ * mistaken, so it costs the trial no more than some seconds of its share.
  */
 final class Doubt {
-    /** So many of its open tries late already, being such a part of them: chance alone seldom makes that. */
+    /**
+     * So many of its open tries late already, being such a part of them: chance alone seldom makes
+     * that.
+     */
     private static final int TRIES = 4;
+
     private static final double PART = 2.0 / 3;
 
     private final long lastsNs;
--- a/core/src/main/java/mulleinlever/Ending.java
+++ b/core/src/main/java/mulleinlever/Ending.java
@@ -2,7 +2,14 @@
 
 /** How an upstream try or a call ended. */
 public enum Ending {
-    OK, ERROR, FULL, TIMEOUT, CONNECT_FAILED, RESET, CANCELLED, MOOT;
+    OK,
+    ERROR,
+    FULL,
+    TIMEOUT,
+    CONNECT_FAILED,
+    RESET,
+    CANCELLED,
+    MOOT;
 
     /** Whether the ending itself proves that the req never ran at the pod. */
     public boolean neverRan() {
--- a/core/src/main/java/mulleinlever/Exposure.java
+++ b/core/src/main/java/mulleinlever/Exposure.java
@@ -4,8 +4,8 @@
 import java.util.Map;
 
 /**
- * What may still be sent to builds on trial. Each req earns its share and only the free number is saved, so
- * that no window whatever its length exceeds the rule.
+ * What may still be sent to builds on trial. Each req earns its share and only the free number is
+ * saved, so that no window whatever its length exceeds the rule.
  */
 final class Exposure {
     private final Settings.Rollout rollout;
@@ -22,8 +22,12 @@
     }
 
     void earn(News news, int route) {
-        left.forEach((build, saved) -> saved[lane(route)] =
-                Math.min(rollout.uncounted(), saved[lane(route)] + news.capOf(build, rollout)));
+        left.forEach(
+                (build, saved) ->
+                        saved[lane(route)] =
+                                Math.min(
+                                        rollout.uncounted(),
+                                        saved[lane(route)] + news.capOf(build, rollout)));
     }
 
     boolean enough(int build, int route) {
--- a/core/src/main/java/mulleinlever/Fleet.java
+++ b/core/src/main/java/mulleinlever/Fleet.java
@@ -18,7 +18,10 @@
         return new Fleet(all.stream().filter(some).toList(), near.stream().filter(some).toList());
     }
 
-    /** One at random of those that fit, by a few looks; all are gone through only if none of these does. */
+    /**
+     * One at random of those that fit, by a few looks; all are gone through only if none of these
+     * does.
+     */
     static Pod draw(List<Pod> from, SplittableRandom random, int looks, Predicate<Pod> fits) {
         int at = 0;
         for (int i = 0; i < looks + from.size() && !from.isEmpty(); i++) {
--- a/core/src/main/java/mulleinlever/Host.java
+++ b/core/src/main/java/mulleinlever/Host.java
@@ -1,11 +1,14 @@
 package mulleinlever;
 
-/** What a {@link Policy} may ask of the program it lives in. Calls take effect in the order made. */
+/**
+ * What a {@link Policy} may ask of the program it lives in. Calls take effect in the order made.
+ */
 public interface Host {
     /**
      * Starts the next upstream try of a req.
      *
-     * @param writeWithinNs it is written within that time or not at all, and has then failed to connect
+     * @param writeWithinNs it is written within that time or not at all, and has then failed to
+     *     connect
      * @param limitNs it ends after that time at the latest
      */
     void relay(String rq, String pod, long writeWithinNs, long limitNs);
--- a/core/src/main/java/mulleinlever/Keys.java
+++ b/core/src/main/java/mulleinlever/Keys.java
@@ -9,7 +9,11 @@
 /** The newest build that has answered each key; 0 for keys that none has. */
 final class Keys {
     private final Map<Long, Integer> builds = new HashMap<>();
-    /** In the order in which they first came, so that what is given out in pieces stays in place meanwhile. */
+
+    /**
+     * In the order in which they first came, so that what is given out in pieces stays in place
+     * meanwhile.
+     */
     private long[] keys = new long[16];
 
     int of(long key) {
@@ -26,6 +30,7 @@
     }
 
     Stream<Learned> learned() {
-        return IntStream.range(0, builds.size()).mapToObj(i -> new Learned.OfKey(keys[i], of(keys[i])));
+        return IntStream.range(0, builds.size())
+                .mapToObj(i -> new Learned.OfKey(keys[i], of(keys[i])));
     }
 }
--- a/core/src/main/java/mulleinlever/ListLease.java
+++ b/core/src/main/java/mulleinlever/ListLease.java
@@ -1,16 +1,18 @@
 package mulleinlever;
 
 /**
- * Decides which servers of the list may be sent to. A change of the list counts as told some time after it
- * was made, whether or not it arrived. While nobody confirms the list, every server on it may therefore be
- * used for that long only; afterwards only those that have shown since, by serving a request, that they had
- * not left when it was sent. Times are nanoseconds of the monotonic clock.
+ * Decides which servers of the list may be sent to. A change of the list counts as told some time
+ * after it was made, whether or not it arrived. While nobody confirms the list, every server on it
+ * may therefore be used for that long only; afterwards only those that have shown since, by serving
+ * a request, that they had not left when it was sent. Times are nanoseconds of the monotonic clock.
  */
 final class ListLease {
     /** From a change to when it counts as told at the latest. */
     private static final long TOLD_AFTER_NS = 6_000_000_000L;
+
     /** The same, for all changes, from a move to another discovery. */
     private static final long TOLD_AFTER_MOVE_NS = 4_000_000_000L;
+
     /** The process may be held up for so long between reading its clock and writing. */
     private static final long HELD_UP_NS = 150_000_000L;
 
@@ -21,6 +23,7 @@
     private boolean confirmed;
     private boolean moved;
     private long confirmedNs = NEVER;
+
     /** When the last call did not reach discovery; never where the last one did. */
     private long unreachedNs = NEVER;
 
@@ -47,7 +50,10 @@
         return confirmedNs;
     }
 
-    /** The list that was confirmed no longer is: changes made after that moment may not have been told. */
+    /**
+     * The list that was confirmed no longer is: changes made after that moment may not have been
+     * told.
+     */
     void unconfirmedSince(long sinceNs) {
         if (confirmed) {
             confirmed = false;
@@ -62,9 +68,9 @@
     }
 
     /**
-     * A call has found discovery reachable, or not: a change counts as told only so long after discovery
-     * could be reached. From one call that did not reach it to the next the lease does not run; a list of any
-     * age is trusted from the first on.
+     * A call has found discovery reachable, or not: a change counts as told only so long after
+     * discovery could be reached. From one call that did not reach it to the next the lease does
+     * not run; a list of any age is trusted from the first on.
      */
     void called(boolean reached, long nowNs) {
         if (reached || confirmed) {
@@ -93,7 +99,8 @@
 
     /** A server that was sent a request at that time has served it. */
     void served(Pod server, long sentNs) {
-        // A connection that broke since may mean that another process listens there, which nobody has told
+        // A connection that broke since may mean that another process listens there, which nobody
+        // has told
         // of.
         if (confirmed || server.brokeNs <= confirmedNs) {
             server.servedSentNs = Math.max(server.servedSentNs, sentNs);
--- a/core/src/main/java/mulleinlever/Pod.java
+++ b/core/src/main/java/mulleinlever/Pod.java
@@ -6,15 +6,22 @@
 final class Pod {
     final String id;
     PodEntry is;
+
     /** When it started, by our own clock; 0 for long ago. */
     long startedNs;
+
     /** One for all pods that lie there. */
     Zone zone;
+
     int open;
     long owesSinceNs;
     long heardNs = Long.MIN_VALUE / 2;
-    /** When the last request that it has served was sent, and when a connection to it last failed. */
+
+    /**
+     * When the last request that it has served was sent, and when a connection to it last failed.
+     */
     long servedSentNs = Long.MIN_VALUE / 2;
+
     long brokeNs = Long.MIN_VALUE / 2;
     int strikes;
     long sickUntilNs;
@@ -67,22 +74,32 @@
         return is.state() == PodEntry.State.READY;
     }
 
-    /** How long it has been gone with nothing left open, as far as it was asked; 0 while it is not. */
+    /**
+     * How long it has been gone with nothing left open, as far as it was asked; 0 while it is not.
+     */
     long goneFor(long nowNs) {
         boolean gone = is.state() == PodEntry.State.GONE && open == 0;
         goneSinceNs = gone && goneSinceNs > 0 ? goneSinceNs : nowNs;
         return nowNs - goneSinceNs;
     }
 
-    /** What is saved up for a cold pod at a rate a second, up to a limit, from a random start below 1. */
+    /**
+     * What is saved up for a cold pod at a rate a second, up to a limit, from a random start below
+     * 1.
+     */
     double saveCold(long nowNs, double rate, double most, SplittableRandom random) {
-        coldLeft = coldAtNs == 0 ? random.nextDouble()
-                : Math.min(most, coldLeft + rate * (nowNs - coldAtNs) / 1e9);
+        coldLeft =
+                coldAtNs == 0
+                        ? random.nextDouble()
+                        : Math.min(most, coldLeft + rate * (nowNs - coldAtNs) / 1e9);
         coldAtNs = nowNs;
         return coldLeft;
     }
 
-    /** Takes a new line of the list. An id may come back as another machine: its past counts for nothing. */
+    /**
+     * Takes a new line of the list. An id may come back as another machine: its past counts for
+     * nothing.
+     */
     void take(PodEntry entry, Zone in, StartTimes starts, long listTrueNs, long nowNs) {
         if (zone == null || !isThatOf(entry)) {
             startedNs = starts.startedNs(entry.startedNs(), listTrueNs, nowNs);
--- a/core/src/main/java/mulleinlever/Policy.java
+++ b/core/src/main/java/mulleinlever/Policy.java
@@ -13,9 +13,10 @@
 import java.util.stream.Stream;
 
 /**
- * Every decision of one sidecar: where a req goes, when it is tried again or given up, how the sidecar votes.
- * Whoever hosts it calls one method for each thing that happens, with the time; it acts only by calling the
- * {@link Host} it was handed. docs/design.md explains the mechanism and when each exception to it acts.
+ * Every decision of one sidecar: where a req goes, when it is tried again or given up, how the
+ * sidecar votes. Whoever hosts it calls one method for each thing that happens, with the time; it
+ * acts only by calling the {@link Host} it was handed. docs/design.md explains the mechanism and
+ * when each exception to it acts.
  */
 public final class Policy {
     private static final long MS = 1_000_000L;
@@ -29,75 +30,155 @@
     private static final int OUTCOME_FLOOR = 20;
     private static final int VOTERS = 3;
 
-    /** Low enough that a trial's first seconds hardly move it, high enough to be learned early in a day. */
+    /**
+     * Low enough that a trial's first seconds hardly move it, high enough to be learned early in a
+     * day.
+     */
     private static final double LONG_WEIGHT = 0.02;
-    /** The sample is itself a sum over some seconds, so that one second of thin traffic raises no alarm. */
+
+    /**
+     * The sample is itself a sum over some seconds, so that one second of thin traffic raises no
+     * alarm.
+     */
     private static final double SHORT_WEIGHT = 0.5;
+
     private static final long SAMPLE_HALF_LIFE = 10 * SECOND;
-    /** A try is late above this quantile, which lies at so many mean times if these fall off evenly. */
+
+    /**
+     * A try is late above this quantile, which lies at so many mean times if these fall off evenly.
+     */
     private static final double LATE_QUANTILE = 0.8;
+
     private static final double LATE_MEANS = -Math.log(1 - LATE_QUANTILE);
     private static final double REFERENCE_FLOOR = 5;
+
     /** The part of the pods that may be in trouble of its own: more hides builds that slow all. */
     private static final double MINOR = 0.25;
-    /** The part of the longest warming time in which outcomes tell of a pod's cold, not of its build. */
+
+    /**
+     * The part of the longest warming time in which outcomes tell of a pod's cold, not of its
+     * build.
+     */
     private static final double FRESH_PART = 0.7;
-    /** Warm outcomes that the last 'on' waits for, and for how long: more finds milder faults, and delays. */
+
+    /**
+     * Warm outcomes that the last 'on' waits for, and for how long: more finds milder faults, and
+     * delays.
+     */
     private static final int PROOF = 80;
+
     /** Those who have to agree see so many together: each needs fewer the more they are. */
     private static final int PROOF_VOTERS = 2;
+
     private static final long PROOF_WAIT = 10 * SECOND;
-    /** Reports are rare and late, so they are kept for longer; so few may be mistaken, and alarm nobody. */
+
+    /**
+     * Reports are rare and late, so they are kept for longer; so few may be mistaken, and alarm
+     * nobody.
+     */
     private static final double FEW_FLAGS = 2.5;
+
     private static final long FLAG_HALF_LIFE = 30 * SECOND;
-    /** How long a later-ranked sidecar waits for each voter before it: harm is dearer than delay. */
+
+    /**
+     * How long a later-ranked sidecar waits for each voter before it: harm is dearer than delay.
+     */
     private static final long STAND_IN_ON = 2 * SECOND;
+
     private static final long STAND_IN_BACK = SECOND / 2;
     private static final double STAND_INS = 2;
-    /** Of the calls a second that the platform takes from all sidecars, the part for those who stand in. */
+
+    /**
+     * Of the calls a second that the platform takes from all sidecars, the part for those who stand
+     * in.
+     */
     private static final double CALLS_PART = 0.5;
 
     private static final long MEASURE_HALF_LIFE = 5 * SECOND;
+
     /** What a route's tries are taken to need before any is seen, in shares of its objective. */
     private static final double FIRST_MEAN = 0.25;
+
     private static final long SICK_FOR = 500 * MS;
     private static final int SICK_STRIKES = 3;
     private static final int MOST_STRIKES = 6;
     private static final int DRAWS = 16;
-    /** A req errored by so many pods will be by others: its tries would crowd out what they can do. */
+
+    /**
+     * A req errored by so many pods will be by others: its tries would crowd out what they can do.
+     */
     private static final int OWN_FAULT = 2;
+
     /** Share of new connections refused above which only pods that were heard lately are used. */
     private static final double SCARCE = 0.25;
+
     private static final double PANIC_PART = 0.5;
-    /** So many pods of a zone that gave nothing, with nothing heard from it in between, make it dark. */
+
+    /**
+     * So many pods of a zone that gave nothing, with nothing heard from it in between, make it
+     * dark.
+     */
     private static final int DARK_PODS = 3;
+
     /** How often the pause between tries into a dark zone doubles. */
     private static final int DARK_GROWTH = 3;
+
     /** Long past any report on it: pods that came and went would else pile up with each release. */
     private static final long FORGET_AFTER = 60 * SECOND;
-    /** A pod that owes answers and gave none for so many mean times of the slowest route is silent. */
+
+    /**
+     * A pod that owes answers and gave none for so many mean times of the slowest route is silent.
+     */
     private static final double SILENCE_MEANS = 4;
-    /** What waits in line longer, in shares of its latency objective, would come late from a strained pod. */
+
+    /**
+     * What waits in line longer, in shares of its latency objective, would come late from a
+     * strained pod.
+     */
     private static final double LINE_WAIT = 0.35;
-    /** How many times sooner than a usual req a cheap one is shed, by its earnings for the time taken. */
+
+    /**
+     * How many times sooner than a usual req a cheap one is shed, by its earnings for the time
+     * taken.
+     */
     private static final double CHEAPEST = 4;
+
     private static final double FAR_LOAD = 1.5;
-    /** The part of the cap that keys which can't go back may take: their later reqs need room too. */
+
+    /**
+     * The part of the cap that keys which can't go back may take: their later reqs need room too.
+     */
     private static final double ONE_WAY_PART = 0.7;
-    /** What the earlier build keeps to compare with, and what a trial in doubt gets: less delays verdicts. */
+
+    /**
+     * What the earlier build keeps to compare with, and what a trial in doubt gets: less delays
+     * verdicts.
+     */
     private static final double KEPT = 0.08;
+
     private static final double IN_DOUBT = 0.15;
-    /** Second copies: while this part of tries goes unanswered, after so many mean times, leaving so many. */
+
+    /**
+     * Second copies: while this part of tries goes unanswered, after so many mean times, leaving so
+     * many.
+     */
     private static final double LOST = 0.02;
+
     private static final double COPY_AFTER = 1.5;
     private static final double COPY_LEAVES = 2;
     private static final long TICK = 50 * MS;
+
     /** The process may be held up for so long between reading its clock and writing. */
     private static final long HELD_UP = 150 * MS;
+
     /** What was remembered counts for so many outcomes at most: a few fresh ones prove it wrong. */
     private static final double PRIOR = 4;
 
-    enum State { NORMAL, SUSPECT, ALARM }
+    enum State {
+        NORMAL,
+        SUSPECT,
+        ALARM
+    }
 
     /** The design's detector, for one route and one symptom. */
     static final class Detector extends Averages {
@@ -121,16 +202,20 @@
     private final Host host;
     private final SplittableRandom random;
     private final Map<String, Row> rows = new LinkedHashMap<>();
+
     /** By their place in the table; the last stands for all together. */
     private final List<String> routes = new ArrayList<>();
+
     private final Map<String, Pod> pods = new LinkedHashMap<>();
     private final Map<String, Zone> zones = new HashMap<>();
     private final ListLease lease;
     private final StartTimes starts = new StartTimes();
     // Surveyed at each change and tick, so that no req costs more on a larger fleet.
     private Fleet listed = new Fleet(List.of(), "");
+
     /** Those of the listed that may be sent to: all while discovery confirms the list. */
     private Fleet whole = listed;
+
     private Fleet onTrial = whole;
     private Fleet notOnTrial = whole;
     private int places;
@@ -151,11 +236,13 @@
     private final Decay completed = new Decay(MEASURE_HALF_LIFE);
 
     private boolean watching;
+
     /**
-     * Whether discovery was asked and has neither answered nor failed: asking again would give up the place
-     * in line.
+     * Whether discovery was asked and has neither answered nor failed: asking again would give up
+     * the place in line.
      */
     private boolean asking;
+
     private long askAgainNs;
     private int asksFailed;
 
@@ -179,8 +266,11 @@
         this.host = host;
         this.random = new SplittableRandom(seed);
         this.room = new Room(set.sidecars());
-        this.lease = new ListLease(set.rules().askWithinNs(), set.rules().stopSendingWithinNs(),
-                set.limits().connectTimeoutNs());
+        this.lease =
+                new ListLease(
+                        set.rules().askWithinNs(),
+                        set.rules().stopSendingWithinNs(),
+                        set.limits().connectTimeoutNs());
         this.exposure = new Exposure(rollout, set.routes().size());
         for (Settings.Route r : set.routes()) {
             rows.put(r.name(), new Row(r, rows.size(), 2 * MEASURE_HALF_LIFE, FIRST_MEAN));
@@ -191,8 +281,12 @@
         trial = new Side(rows.size(), SAMPLE_HALF_LIFE, FLAG_HALF_LIFE);
         detectors = new Detector[2 * rows.size() + 2];
         // What is late is so defined that the earlier build's share is known before any is seen.
-        Arrays.setAll(detectors, i -> i % 2 == 0 ? new Detector(0, 0)
-                : new Detector(1 - LATE_QUANTILE, 1 / LONG_WEIGHT));
+        Arrays.setAll(
+                detectors,
+                i ->
+                        i % 2 == 0
+                                ? new Detector(0, 0)
+                                : new Detector(1 - LATE_QUANTILE, 1 / LONG_WEIGHT));
         host.timer(now + SECOND, "sample");
         host.timer(now + TICK, "tick");
         if (set.listMustBeAsked()) {
@@ -235,8 +329,8 @@
     }
 
     /**
-     * Since then nobody has confirmed the list; until that is mended its servers may be used for a while
-     * only.
+     * Since then nobody has confirmed the list; until that is mended its servers may be used for a
+     * while only.
      */
     public void listUnconfirmed(long sinceNs) {
         lease.unconfirmedSince(sinceNs);
@@ -275,17 +369,27 @@
         double slowest = rows.values().stream().mapToDouble(r -> r.meanNs(now)).max().orElse(0);
         silentAfterNs = SILENCE_MEANS * slowest;
         room.pods(now, listed.all().size());
-        // Pods that take no more connections look like dead ones; either way what answered lately serves.
-        linksScarce = refused.read(now, 0, 4) > SCARCE && whole.count(p -> linked(now, p)) > room.open();
+        // Pods that take no more connections look like dead ones; either way what answered lately
+        // serves.
+        linksScarce =
+                refused.read(now, 0, 4) > SCARCE && whole.count(p -> linked(now, p)) > room.open();
         // Pods that can't be reached would not help those that can.
         long lit = whole.count(p -> !dark(p));
         panic = whole.count(p -> fit(now, p)) < PANIC_PART * lit;
-        trialPods = Math.min(1, onTrial.count(p -> !cold(now, p) && fit(now, p)) / Math.max(1.0, places));
-        // What the loss of a major part did to the rest must have faded before it can tell of a build.
-        shakenUntilNs = lit < (1 - MINOR) * whole.all().size() ? now + 2 * SAMPLE_HALF_LIFE : shakenUntilNs;
+        trialPods =
+                Math.min(
+                        1,
+                        onTrial.count(p -> !cold(now, p) && fit(now, p)) / Math.max(1.0, places));
+        // What the loss of a major part did to the rest must have faded before it can tell of a
+        // build.
+        shakenUntilNs =
+                lit < (1 - MINOR) * whole.all().size() ? now + 2 * SAMPLE_HALF_LIFE : shakenUntilNs;
     }
 
-    /** Whether a watch still stands can't be told from this, so it is asked for again, ever more rarely. */
+    /**
+     * Whether a watch still stands can't be told from this, so it is asked for again, ever more
+     * rarely.
+     */
     public void listFailed(long now) {
         watching = false;
         asking = false;
@@ -314,12 +418,18 @@
         }
     }
 
-    /** By chance, the cheaper the more often: a full line would turn away the dear ones just as well. */
+    /**
+     * By chance, the cheaper the more often: a full line would turn away the dear ones just as
+     * well.
+     */
     private double shedChance(long now, Rq rq) {
-        double waitNs = room.waitNs(firstTries.size(), completed.perSecond(now), rq.row.meanNs(now));
+        double waitNs =
+                room.waitNs(firstTries.size(), completed.perSecond(now), rq.row.meanNs(now));
         double pressure = waitNs / rq.row.is.objectiveNs() / LINE_WAIT - 0.25;
-        double mean = rows.values().stream().mapToDouble(r -> r.earningsPerNs(now)).average().orElse(0);
-        return Math.min(0.95, pressure * Math.min(CHEAPEST, Math.pow(mean / rq.row.earningsPerNs(now), 2)));
+        double mean =
+                rows.values().stream().mapToDouble(r -> r.earningsPerNs(now)).average().orElse(0);
+        return Math.min(
+                0.95, pressure * Math.min(CHEAPEST, Math.pow(mean / rq.row.earningsPerNs(now), 2)));
     }
 
     private void join(long now, Rq rq) {
@@ -330,7 +440,9 @@
         }
     }
 
-    /** When waiting stops making sense: the answer would come after the latency objective, or never. */
+    /**
+     * When waiting stops making sense: the answer would come after the latency objective, or never.
+     */
     private long lastChance(long now, Rq rq) {
         double objective = rq.row.is.objectiveNs();
         double wait = rq.tries.isEmpty() ? LINE_WAIT * objective : objective - rq.row.meanNs(now);
@@ -343,7 +455,8 @@
     }
 
     private void serve(long now, ArrayDeque<Rq> line) {
-        // What finds no pod for one first try finds none for the next of its route: a long line costs little.
+        // What finds no pod for one first try finds none for the next of its route: a long line
+        // costs little.
         boolean[] stuck = new boolean[rows.size()];
         for (Rq rq : List.copyOf(line)) {
             if (now >= lastChance(now, rq) && !rq.answered) {
@@ -364,7 +477,8 @@
         }
         boolean fresh = now < pod.startedNs + FRESH_PART * set.rules().warmAfterNs();
         Try t = new Try(pod, now, !fresh, pod.is.build(), linked(now, pod));
-        // No time-out of our own: one that a busy pod misses is work done twice; silent pods show sooner.
+        // No time-out of our own: one that a busy pod misses is work done twice; silent pods show
+        // sooner.
         long limitNs = rq.dueNs - now - set.stepNs();
         long writeWithinNs = rq.repeatIsBound() ? rq.lastRelayNs() - now - HELD_UP : limitNs;
         rq.start(t);
@@ -391,7 +505,8 @@
         }
     }
 
-    public void tryEnded(long now, String id, int tryNo, Ending ending, long tookNs, boolean complete) {
+    public void tryEnded(
+            long now, String id, int tryNo, Ending ending, long tookNs, boolean complete) {
         Rq rq = held.get(id);
         if (rq == null || tryNo < 0 || tryNo >= rq.tries.size()) {
             return;
@@ -408,7 +523,8 @@
         } else if (ending == Ending.CONNECT_FAILED || ending == Ending.RESET) {
             lease.broke(t.pod(), now);
         }
-        // A try called back late was late: else a slow build would hide behind the rescue of its reqs.
+        // A try called back late was late: else a slow build would hide behind the rescue of its
+        // reqs.
         if (ending != Ending.MOOT && (ending != Ending.CANCELLED || tookNs > rq.row.lateNs)) {
             weigh(now, rq.row, t, ending, tookNs);
         }
@@ -426,11 +542,16 @@
     }
 
     private boolean mayGoAgain(long now, Rq rq) {
-        return now < lastChance(now, rq) && rq.tries.size() < set.limits().maxTries()
-                && rq.errors < OWN_FAULT && rq.mayRepeat();
+        return now < lastChance(now, rq)
+                && rq.tries.size() < set.limits().maxTries()
+                && rq.errors < OWN_FAULT
+                && rq.mayRepeat();
     }
 
-    /** The answer goes out at once: a shed reply where a repeat is harmless, so the client may return. */
+    /**
+     * The answer goes out at once: a shed reply where a repeat is harmless, so the client may
+     * return.
+     */
     private void giveUp(long now, Rq rq) {
         rq.answered = true;
         if (rq.harmlessToShed()) {
@@ -459,22 +580,32 @@
         }
     }
 
-    /** Two random choices by load among the pods the req may go to, the first a near one if there is any. */
+    /**
+     * Two random choices by load among the pods the req may go to, the first a near one if there is
+     * any.
+     */
     private Pod pick(long now, Rq rq) {
         double part = trialPart(now);
-        Pod pod = part == 0 ? null : twoChoices(now, rq, random.nextDouble() < part ? onTrial : notOnTrial);
+        Pod pod =
+                part == 0
+                        ? null
+                        : twoChoices(now, rq, random.nextDouble() < part ? onTrial : notOnTrial);
         pod = pod == null ? twoChoices(now, rq, whole) : pod;
         return pod == null ? Fleet.draw(whole.all(), random, DRAWS, p -> allowed(now, rq, p)) : pod;
     }
 
     /**
-     * The trial's pods carry what they will when released, as far as the rules leave room: that proves the
-     * build under its load, and fewer wait for a good one. In doubt they get what verdicts need. Cold pods
-     * and those out of reach don't count: the rest of the trial would carry their load and look slow for it.
+     * The trial's pods carry what they will when released, as far as the rules leave room: that
+     * proves the build under its load, and fewer wait for a good one. In doubt they get what
+     * verdicts need. Cold pods and those out of reach don't count: the rest of the trial would
+     * carry their load and look slow for it.
      */
     private double trialPart(long now) {
-        return rollout.oneWay() && !onTrial.all().isEmpty() ? 1
-                : Math.min(trialPods, state == State.NORMAL && !doubt.holds(now) ? 1 - KEPT : IN_DOUBT);
+        return rollout.oneWay() && !onTrial.all().isEmpty()
+                ? 1
+                : Math.min(
+                        trialPods,
+                        state == State.NORMAL && !doubt.holds(now) ? 1 - KEPT : IN_DOUBT);
     }
 
     private Pod twoChoices(long now, Rq rq, Fleet of) {
@@ -484,9 +615,12 @@
         return a == null || b != null && load(now, b) < load(now, a) ? b : a;
     }
 
-    /** Where most pods fail, resting them would jam the few: then they are no worse than the rest. */
+    /**
+     * Where most pods fail, resting them would jam the few: then they are no worse than the rest.
+     */
     private boolean suits(long now, Rq rq, Pod p) {
-        return (panic || fit(now, p)) && (!linksScarce || linked(now, p))
+        return (panic || fit(now, p))
+                && (!linksScarce || linked(now, p))
                 && rq.tries.stream().noneMatch(t -> t.pod() == p);
     }
 
@@ -500,8 +634,11 @@
     }
 
     private boolean allowed(long now, Rq rq, Pod p) {
-        return p.ready() && lease.covers(now, p) && rq.mayGoTo(p.is)
-                && exposureRoom(now, rq, p) && coldRoom(now, p);
+        return p.ready()
+                && lease.covers(now, p)
+                && rq.mayGoTo(p.is)
+                && exposureRoom(now, rq, p)
+                && coldRoom(now, p);
     }
 
     private void measure(long now, Row row, Try t, Ending ending, long tookNs) {
@@ -542,15 +679,19 @@
     }
 
     /**
-     * Against a zone that is lost or cut off: with the load spread over many sidecars and pods, finding each
-     * pod out by its own tries takes far longer than the loss may last. Some pods of a zone that gave nothing
-     * in a row stand for all; then a try now and then shows whether it is back. What starts anew is left out.
+     * Against a zone that is lost or cut off: with the load spread over many sidecars and pods,
+     * finding each pod out by its own tries takes far longer than the loss may last. Some pods of a
+     * zone that gave nothing in a row stand for all; then a try now and then shows whether it is
+     * back. What starts anew is left out.
      */
     private static boolean dark(Pod p) {
         return p.zone.dark(p.startedNs);
     }
 
-    /** What lies at silent pods is called back, to go elsewhere; what may be lost on the way goes twice. */
+    /**
+     * What lies at silent pods is called back, to go elsewhere; what may be lost on the way goes
+     * twice.
+     */
     private void rescue(long now) {
         for (Rq rq : held.values()) {
             if (!rq.waitsForOne() || !mayGoAgain(now, rq)) {
@@ -571,7 +712,10 @@
         }
     }
 
-    /** When one more try would just come in time: against answers lost on the way and pods that stall. */
+    /**
+     * When one more try would just come in time: against answers lost on the way and pods that
+     * stall.
+     */
     private long secondCopyAt(long now, Rq rq) {
         double mean = rq.row.meanNs(now);
         double end = Math.min(rq.arrivedNs + rq.row.is.objectiveNs(), rq.dueNs);
@@ -585,8 +729,9 @@
     }
 
     /**
-     * Against a cold pod pushed over by all sidecars together: each keeps to its even share of the load, cut
-     * to what the pod can do. It starts at random within its first turn: hundreds are told of a pod at once.
+     * Against a cold pod pushed over by all sidecars together: each keeps to its even share of the
+     * load, cut to what the pod can do. It starts at random within its first turn: hundreds are
+     * told of a pod at once.
      */
     private boolean coldRoom(long now, Pod p) {
         if (!cold(now, p)) {
@@ -594,7 +739,8 @@
         }
         double age = Math.max(0, now - p.startedNs) / (double) set.rules().warmAfterNs();
         double can = set.rules().coldShare() + (1 - set.rules().coldShare()) * age;
-        // What each pod would complete a second from here if all did alike; before any did, what comes in.
+        // What each pod would complete a second from here if all did alike; before any did, what
+        // comes in.
         double all = completed.perSecond(now) > 0 ? completed.perSecond(now) : taken.perSecond(now);
         double rate = can * all * p.is.weight() / listed.weight();
         double most = Math.max(1, rate * set.rules().fallNs() / SECOND);
@@ -606,13 +752,20 @@
         if (news.stands() && build < answeredBy.of(rq.is.key())) {
             return false;
         }
-        boolean shielded = news.stageOf(build) < rollout.shieldedStages()
-                && rq.row.is.repeat() != Settings.Repeat.RETRIABLE;
-        return !news.onTrial(build) || news.capOf(build, rollout) > 0 && !shielded
-                && (!rollout.oneWay() || oneWayKey(now, rq, build)) && exposure.enough(build, rq.row.at);
+        boolean shielded =
+                news.stageOf(build) < rollout.shieldedStages()
+                        && rq.row.is.repeat() != Settings.Repeat.RETRIABLE;
+        return !news.onTrial(build)
+                || news.capOf(build, rollout) > 0
+                        && !shielded
+                        && (!rollout.oneWay() || oneWayKey(now, rq, build))
+                        && exposure.enough(build, rq.row.at);
     }
 
-    /** Where a key can't go back, the trial keeps to a part of the keys: their later reqs need room too. */
+    /**
+     * Where a key can't go back, the trial keeps to a part of the keys: their later reqs need room
+     * too.
+     */
     private boolean oneWayKey(long now, Rq rq, int build) {
         double part = Math.min(ONE_WAY_PART * news.capOf(build, rollout), trialPods);
         return answeredBy.of(rq.is.key()) == build
@@ -621,9 +774,14 @@
 
     // ---- Judging the build.
 
-    /** An outcome as evidence; pods not yet warm when it was sent, or out of reach, are left out. */
+    /**
+     * An outcome as evidence; pods not yet warm when it was sent, or out of reach, are left out.
+     */
     private void weigh(long now, Row row, Try t, Ending ending, long tookNs) {
-        if (!t.warm() || t.build() > news.build() || ending == Ending.CONNECT_FAILED || dark(t.pod())) {
+        if (!t.warm()
+                || t.build() > news.build()
+                || ending == Ending.CONNECT_FAILED
+                || dark(t.pod())) {
             return;
         }
         boolean late = tookNs > row.lateNs;
@@ -635,7 +793,10 @@
         }
     }
 
-    /** Not learned while a trial is on: a build that slows down its neighbours too would be forgiven. */
+    /**
+     * Not learned while a trial is on: a build that slows down its neighbours too would be
+     * forgiven.
+     */
     private void learnLate(long now, Row row, int build, long tookNs, double n) {
         if (!news.onTrial() && (build == news.build()) == news.released()) {
             row.usual.add(now, tookNs, n);
@@ -644,18 +805,28 @@
     }
 
     /**
-     * The platform's count of all sidecars' tries, where one sees too few for a verdict. Times tell nothing
-     * while pods of the build may have been fresh; else the share late is what times of such a mean have.
+     * The platform's count of all sidecars' tries, where one sees too few for a verdict. Times tell
+     * nothing while pods of the build may have been fresh; else the share late is what times of
+     * such a mean have.
      */
-    public void tally(long now, String route, int build, double n, double failed, long meanNs, long ageNs) {
+    public void tally(
+            long now, String route, int build, double n, double failed, long meanNs, long ageNs) {
         Row row = rows.get(route);
         if (row == null || build > news.build() || !(n > 0) || meanNs <= 0) {
             return;
         }
         double done = Math.max(0, n - failed);
         long began = now - ageNs - rollout.tallyEveryNs();
-        boolean fresh = whole.count(p -> p.is.build() == build && p.startedNs > 0
-                && began < p.startedNs + FRESH_PART * set.rules().warmAfterNs()) > 0;
+        boolean fresh =
+                whole.count(
+                                p ->
+                                        p.is.build() == build
+                                                && p.startedNs > 0
+                                                && began
+                                                        < p.startedNs
+                                                                + FRESH_PART
+                                                                        * set.rules().warmAfterNs())
+                        > 0;
         if (!fresh) {
             learnLate(now, row, build, meanNs, done);
         }
@@ -668,9 +839,9 @@
     }
 
     /**
-     * The trial's share, less what the earlier build's shifted by: a burst or lost zone is not its doing. But
-     * where that is late beyond what a minor part of its pods, hung, slow or pausing, can do, it slows all;
-     * unless so many pods are out that the rest must be late.
+     * The trial's share, less what the earlier build's shifted by: a burst or lost zone is not its
+     * doing. But where that is late beyond what a minor part of its pods, hung, slow or pausing,
+     * can do, it slows all; unless so many pods are out that the rest must be late.
      */
     private double sample(long now, int place, boolean ofLate, Detector d) {
         double share = share(now, trial, place, ofLate);
@@ -680,13 +851,18 @@
         if (!ofLate || place < rows.size() || !reference || now < shakenUntilNs) {
             return apart;
         }
-        return Math.max(apart, Math.max(middleLate(now), (earlier.late(now, place) - MINOR) / (1 - MINOR)));
+        return Math.max(
+                apart, Math.max(middleLate(now), (earlier.late(now, place) - MINOR) / (1 - MINOR)));
     }
 
     /** Of the middle pod, which the lesser part can't tilt at all: where each is seen often. */
     private double middleLate(long now) {
-        double[] late = whole.all().stream().filter(p -> !cold(now, p))
-                .mapToDouble(p -> p.late.read(now, 1 - LATE_QUANTILE, 2)).sorted().toArray();
+        double[] late =
+                whole.all().stream()
+                        .filter(p -> !cold(now, p))
+                        .mapToDouble(p -> p.late.read(now, 1 - LATE_QUANTILE, 2))
+                        .sorted()
+                        .toArray();
         return late.length == 0 ? 0 : late[(late.length - 1) / 2];
     }
 
@@ -702,7 +878,8 @@
         if (ofLate) {
             return side.late(now, place);
         }
-        // After a release nothing is left to compare with: what fails then may be the fleet's doing.
+        // After a release nothing is left to compare with: what fails then may be the fleet's
+        // doing.
         double failed = side == earlier || news.onTrial() ? side.failed(now, place) : 0;
         return Math.min(1, failed + wrong(now, side, place));
     }
@@ -710,16 +887,20 @@
     /** One report stands for all the wrong answers that nobody reported. */
     private double wrong(long now, Side side, int place) {
         double flags = side.flags(now, place);
-        return flags == 0 ? 0 : flags / rollout.complaintShare() / Math.max(1, side.relayed(now, place));
+        return flags == 0
+                ? 0
+                : flags / rollout.complaintShare() / Math.max(1, side.relayed(now, place));
     }
 
     private void judge(long now) {
         State worst = State.NORMAL;
         String why = "";
-        // Below the outcome floor all looks normal, so no trial is learned from: a build that slows its
+        // Below the outcome floor all looks normal, so no trial is learned from: a build that slows
+        // its
         // neighbours would be forgiven. Nor a release's: its faults would be their own measure.
         Side steady = news.released() && earlier.ever(rows.size(), true) == 0 ? trial : earlier;
-        boolean learns = state == State.NORMAL && (steady == trial || !news.onTrial() && !news.released());
+        boolean learns =
+                state == State.NORMAL && (steady == trial || !news.onTrial() && !news.released());
         for (int i = 0; i < detectors.length; i++) {
             Detector d = detectors[i];
             int place = i / 2;
@@ -731,15 +912,20 @@
             double m = earlier.seen(now, place, ofLate);
             boolean enough = trial.ever(place, ofLate) >= OUTCOME_FLOOR && n >= 1 && m >= 1;
             if (enough && (!ofLate || news.onTrial())) {
-                boolean sure = ofLate ? now >= shakenUntilNs : trial.flags(now, place) > FEW_FLAGS
-                        || trial.failed(now, place) >= wrong(now, trial, place);
-                // What it is compared with was seen in so many cases only: that widens the deviation too.
+                boolean sure =
+                        ofLate
+                                ? now >= shakenUntilNs
+                                : trial.flags(now, place) > FEW_FLAGS
+                                        || trial.failed(now, place) >= wrong(now, trial, place);
+                // What it is compared with was seen in so many cases only: that widens the
+                // deviation too.
                 d.judge(sample(now, place, ofLate, d), n * m / (n + m), sure);
             }
             if (d.state.ordinal() > worst.ordinal()) {
                 worst = d.state;
-                why = (ofLate ? ", late" : ", failed or flagged")
-                        + String.format(" %.2f against %.2f", d.recent, d.mean);
+                why =
+                        (ofLate ? ", late" : ", failed or flagged")
+                                + String.format(" %.2f against %.2f", d.recent, d.mean);
             }
         }
         if (worst != state) {
@@ -774,7 +960,10 @@
         serveLines(now);
     }
 
-    /** A vote with no good answer may count: it is cast again, after a pause that differs by sidecar. */
+    /**
+     * A vote with no good answer may count: it is cast again, after a pause that differs by
+     * sidecar.
+     */
     public void voteAnswered(long now, boolean counts) {
         ballot.answered(counts, rollout.voteStandsNs(), now + SECOND / 2 + random.nextLong(SECOND));
     }
@@ -787,41 +976,55 @@
             return news.onTrial() && state == State.SUSPECT ? Verdict.HOLD : Verdict.NONE;
         }
         long age = now - stageSinceNs;
-        // The last 'on' takes the earlier pods away: it waits for what the build shows under all the load.
-        boolean proven = news.stage() < rollout.shares().size() - 1 || age > rollout.bakeNs() + PROOF_WAIT
-                || trial.ever(rows.size(), true) >= everBefore + proof();
-        return state == State.NORMAL && age >= rollout.bakeNs() && proven ? Verdict.ON : Verdict.NONE;
+        // The last 'on' takes the earlier pods away: it waits for what the build shows under all
+        // the load.
+        boolean proven =
+                news.stage() < rollout.shares().size() - 1
+                        || age > rollout.bakeNs() + PROOF_WAIT
+                        || trial.ever(rows.size(), true) >= everBefore + proof();
+        return state == State.NORMAL && age >= rollout.bakeNs() && proven
+                ? Verdict.ON
+                : Verdict.NONE;
     }
 
     private double proof() {
-        return Math.max(OUTCOME_FLOOR, PROOF * Math.min(1.0, (double) PROOF_VOTERS / rollout.onVotes()));
+        return Math.max(
+                OUTCOME_FLOOR, PROOF * Math.min(1.0, (double) PROOF_VOTERS / rollout.onVotes()));
     }
 
     private void vote(long now) {
         Verdict v = verdict(now);
         ballot.want(now, v);
-        boolean waits = ballot.asked != null && now < ballot.askedNs + rollout.voteWaitNs() + SECOND
-                || now < ballot.againNs;
-        boolean stands = ballot.standsAt(now) == v && ballot.standsAt(now + rollout.voteStandsNs() / 4) == v;
-        if (!waits && !stands && (v == Verdict.NONE || now >= ballot.wantedSinceNs + standInAfter(now, v))) {
+        boolean waits =
+                ballot.asked != null && now < ballot.askedNs + rollout.voteWaitNs() + SECOND
+                        || now < ballot.againNs;
+        boolean stands =
+                ballot.standsAt(now) == v && ballot.standsAt(now + rollout.voteStandsNs() / 4) == v;
+        if (!waits
+                && !stands
+                && (v == Verdict.NONE || now >= ballot.wantedSinceNs + standInAfter(now, v))) {
             ballot.ask(now);
             host.vote(news.build(), news.stage(), v);
         }
     }
 
     /**
-     * The voters are lowest under a hash of build and stage; each later one stands in after longer. Where
-     * several must agree to send a build back, on a large fleet all the others together take as long as a few
-     * would, but leave room in what the platform takes from all; where one is enough, any one's mistake would
-     * count. For 'on' the many would outvote those who doubt: only who saw the trial well comes sooner.
+     * The voters are lowest under a hash of build and stage; each later one stands in after longer.
+     * Where several must agree to send a build back, on a large fleet all the others together take
+     * as long as a few would, but leave room in what the platform takes from all; where one is
+     * enough, any one's mistake would count. For 'on' the many would outvote those who doubt: only
+     * who saw the trial well comes sooner.
      */
     private long standInAfter(long now, Verdict v) {
-        int needed = v == Verdict.ON ? rollout.onVotes() : v == Verdict.HOLD ? rollout.holdVotes()
-                : rollout.backVotes();
+        int needed =
+                v == Verdict.ON
+                        ? rollout.onVotes()
+                        : v == Verdict.HOLD ? rollout.holdVotes() : rollout.backVotes();
         int voters = rollout.control() == Settings.Control.SINGLE ? VOTERS : needed;
         int before = news.ranked(set.rank(), set.sidecars());
         double seen = trial.relayed(now, rows.size());
-        double step = v == Verdict.BACK ? STAND_IN_BACK : STAND_IN_ON * PROOF / Math.max(PROOF, seen);
+        double step =
+                v == Verdict.BACK ? STAND_IN_BACK : STAND_IN_ON * PROOF / Math.max(PROOF, seen);
         if (v == Verdict.BACK && rollout.control() != Settings.Control.SINGLE) {
             double least = SECOND / (CALLS_PART * Math.max(1, rollout.votesPerSecond()));
             step = Math.min(step, Math.max(least, step * STAND_INS / (set.sidecars() - voters)));
@@ -830,20 +1033,38 @@
     }
 
     /** What it goes by just now, for a log. */
-    public record Sight(double room, int open, int firstTries, int furtherTries, double ease, int ready,
-            int usable, long fit, long cold, long dark) { }
+    public record Sight(
+            double room,
+            int open,
+            int firstTries,
+            int furtherTries,
+            double ease,
+            int ready,
+            int usable,
+            long fit,
+            long cold,
+            long dark) {}
 
     public Sight sight(long now) {
-        return new Sight(room.most(), room.open(), firstTries.size(), furtherTries.size(), room.ease(now),
-                listed.all().size(), whole.all().size(), whole.count(p -> fit(now, p)),
-                whole.count(p -> cold(now, p)), whole.count(Policy::dark));
+        return new Sight(
+                room.most(),
+                room.open(),
+                firstTries.size(),
+                furtherTries.size(),
+                room.ease(now),
+                listed.all().size(),
+                whole.all().size(),
+                whole.count(p -> fit(now, p)),
+                whole.count(p -> cold(now, p)),
+                whole.count(Policy::dark));
     }
 
     // ---- What is remembered over a restart.
 
     /**
-     * What it learned, piece by piece, so that the caller may pause in between. What a fresh start must earn
-     * anew is not among it: saved exposure, what cold pods were sent, rates, votes, evidence on the trial.
+     * What it learned, piece by piece, so that the caller may pause in between. What a fresh start
+     * must earn anew is not among it: saved exposure, what cold pods were sent, rates, votes,
+     * evidence on the trial.
      */
     public Iterator<Learned> learned(long now) {
         List<Learned> few = new ArrayList<>();
@@ -864,13 +1085,15 @@
         } else if (one instanceof Learned.OfPod l) {
             Pod p = pods.get(l.is().id());
             if (p != null && p.recall(now, l, PRIOR, SICK_STRIKES)) {
-                // The first tries of all the sidecars that started together must not meet at a sick pod.
+                // The first tries of all the sidecars that started together must not meet at a sick
+                // pod.
                 p.sickUntilNs = now + random.nextLong(SICK_FOR << p.strikes);
             }
         } else if (one instanceof Learned.OfRoute l && rows.containsKey(l.route())) {
             Row row = rows.get(l.route());
             row.recall(now, l, PRIOR, standsFor(l.build()) ? LATE_MEANS : 0);
-        } else if (one instanceof Learned.OfBaseline l && routes.contains(l.route())
+        } else if (one instanceof Learned.OfBaseline l
+                && routes.contains(l.route())
                 && standsFor(l.build())) {
             detectors[2 * routes.indexOf(l.route()) + (l.ofLate() ? 1 : 0)].recall(l, PRIOR);
         } else if (one instanceof Learned.OfKey l && rollout.oneWay()) {
@@ -878,9 +1101,12 @@
         }
     }
 
-    /** Whether what was learned under that newest build is about what the trial is held against now. */
+    /**
+     * Whether what was learned under that newest build is about what the trial is held against now.
+     */
     private boolean standsFor(int build) {
-        return news.build() == build || notOnTrial.all().stream().anyMatch(p -> p.is.build() == build);
+        return news.build() == build
+                || notOnTrial.all().stream().anyMatch(p -> p.is.build() == build);
     }
 
     public void timer(long now, String token) {
--- a/core/src/main/java/mulleinlever/Req.java
+++ b/core/src/main/java/mulleinlever/Req.java
@@ -1,5 +1,15 @@
 package mulleinlever;
 
-/** A req as it reached the sidecar. {@code key} is -1 and {@code tenant} null where the req has none. */
-public record Req(String id, String route, boolean repeat, boolean write, long expiresInNs, long workNs,
-        long key, String tenant) { }
+/**
+ * A req as it reached the sidecar. {@code key} is -1 and {@code tenant} null where the req has
+ * none.
+ */
+public record Req(
+        String id,
+        String route,
+        boolean repeat,
+        boolean write,
+        long expiresInNs,
+        long workNs,
+        long key,
+        String tenant) {}
--- a/core/src/main/java/mulleinlever/Row.java
+++ b/core/src/main/java/mulleinlever/Row.java
@@ -24,11 +24,12 @@
     }
 
     /**
-     * What was remembered stands in for the settings' guess, so that the first answer counts as much. The mark
-     * of lateness, so many times the usual mean, is taken where that is above 0.
+     * What was remembered stands in for the settings' guess, so that the first answer counts as
+     * much. The mark of lateness, so many times the usual mean, is taken where that is above 0.
      */
     void recall(long nowNs, Learned.OfRoute was, double most, double lateMeans) {
-        firstNs = (firstNs + was.times().mean() * was.times().weight()) / (1 + was.times().weight());
+        firstNs =
+                (firstNs + was.times().mean() * was.times().weight()) / (1 + was.times().weight());
         if (lateMeans > 0 && was.usual().weight() > 0) {
             usual.recall(nowNs, was.usual(), most);
             lateNs = lateMeans * was.usual().mean();
--- a/core/src/main/java/mulleinlever/Rq.java
+++ b/core/src/main/java/mulleinlever/Rq.java
@@ -11,8 +11,10 @@
     final long arrivedNs;
     final long dueNs;
     final List<Try> tries = new ArrayList<>(2);
+
     /** Numbers of the tries that are out, and of those proven not to have run. */
     final BitSet out = new BitSet();
+
     private final BitSet neverRan = new BitSet();
     int errors;
     boolean answered;
@@ -62,8 +64,10 @@
 
     /** Whether a client told to try again can do no harm. */
     boolean harmlessToShed() {
-        return mayHaveRun() == null || row.is.repeat() == Settings.Repeat.RETRIABLE
-                || row.is.repeat() == Settings.Repeat.DEDUPED && row.is.scope() == Settings.Scope.ALL;
+        return mayHaveRun() == null
+                || row.is.repeat() == Settings.Repeat.RETRIABLE
+                || row.is.repeat() == Settings.Repeat.DEDUPED
+                        && row.is.scope() == Settings.Scope.ALL;
     }
 
     /** Once it may have run, a deduped req stays with the pods that drop its repeats. */
--- a/core/src/main/java/mulleinlever/StartTimes.java
+++ b/core/src/main/java/mulleinlever/StartTimes.java
@@ -1,13 +1,14 @@
 package mulleinlever;
 
 /**
- * Decides when a server started. The list tells it by a wall clock that may have been stepped, on our machine
- * or on the server's, and slow start must neither be left out for that nor last for as long as the step.
- * Times are nanoseconds.
+ * Decides when a server started. The list tells it by a wall clock that may have been stepped, on
+ * our machine or on the server's, and slow start must neither be left out for that nor last for as
+ * long as the step. Times are nanoseconds.
  */
 final class StartTimes {
     /** A server that is new on the list can't have run for longer without being listed. */
     private static final long UNLISTED_NS = 30_000_000_000L;
+
     /** Clocks of one network differ by less. */
     private static final long SKEW_NS = 500_000_000L;
 
--- a/core/src/main/java/mulleinlever/Verdict.java
+++ b/core/src/main/java/mulleinlever/Verdict.java
@@ -1,4 +1,9 @@
 package mulleinlever;
 
 /** A sidecar's vote on a build. */
-public enum Verdict { NONE, ON, HOLD, BACK }
+public enum Verdict {
+    NONE,
+    ON,
+    HOLD,
+    BACK
+}
--- a/core/src/main/java/mulleinlever/Zone.java
+++ b/core/src/main/java/mulleinlever/Zone.java
@@ -4,7 +4,10 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 
-/** A zone as this sidecar's tries know it: which of its pods gave nothing since any of them last did. */
+/**
+ * A zone as this sidecar's tries know it: which of its pods gave nothing since any of them last
+ * did.
+ */
 final class Zone {
     private final Set<String> missed = new HashSet<>();
     private long darkSinceNs = Long.MIN_VALUE;
--- a/core/src/test/java/mulleinlever/Bench.java
+++ b/core/src/test/java/mulleinlever/Bench.java
@@ -6,14 +6,17 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** The tests' one helper: settings by route, and a host that keeps what is asked for and runs timers. */
+/**
+ * The tests' one helper: settings by route, and a host that keeps what is asked for and runs
+ * timers.
+ */
 final class Bench implements Host {
     static final long MS = 1_000_000L;
     static final long S = 1_000 * MS;
 
-    record Sent(String rq, String pod, long atNs, long limitNs) { }
+    record Sent(String rq, String pod, long atNs, long limitNs) {}
 
-    record Vote(long atNs, int build, int stage, Verdict verdict) { }
+    record Vote(long atNs, int build, int stage, Verdict verdict) {}
 
     final List<Sent> sent = new ArrayList<>();
     final Map<String, String> answers = new LinkedHashMap<>();
@@ -27,29 +30,123 @@
         return new Settings.Route(name, 500 * MS, 0, 2 * S, repeat, scope, 250 * MS, false, 0.2, 1);
     }
 
-    static Settings settings(Settings.Control control, boolean byRoute, int shielded, boolean oneWay,
-            boolean ask, List<Settings.Route> routes, int sidecars, boolean copies) {
+    static Settings settings(
+            Settings.Control control,
+            boolean byRoute,
+            int shielded,
+            boolean oneWay,
+            boolean ask,
+            List<Settings.Route> routes,
+            int sidecars,
+            boolean copies) {
         int holds = control == Settings.Control.CLOCKED ? 1 : 0;
-        var rollout = new Settings.Rollout(control, false, 1, 1, holds, S, 3 * S, 4 * S, S, 100, 2 * S, 2 * S,
-                0.1, 0.2, List.of(0.1, 0.5, 1.0), List.of(0.2, 0.7, 1.0), 3 * S, 2, byRoute, shielded, oneWay,
-                false, 0.3, 4);
+        var rollout =
+                new Settings.Rollout(
+                        control,
+                        false,
+                        1,
+                        1,
+                        holds,
+                        S,
+                        3 * S,
+                        4 * S,
+                        S,
+                        100,
+                        2 * S,
+                        2 * S,
+                        0.1,
+                        0.2,
+                        List.of(0.1, 0.5, 1.0),
+                        List.of(0.2, 0.7, 1.0),
+                        3 * S,
+                        2,
+                        byRoute,
+                        shielded,
+                        oneWay,
+                        false,
+                        0.3,
+                        4);
         var rules = new Settings.Rules(20 * MS, 500 * MS, 0.3, 4 * S, 2, S, 10 * S);
-        var limits = new Settings.Limits(4, 20_000, true, true, copies, true, S, 100, 250 * MS, 15 * S);
-        return new Settings(0, sidecars, "a", List.of("a", "b"), ask, 5 * MS, 0.2, routes, List.of(), rollout,
-                rules, limits, new Settings.Prices(0.02, 0.05, 0.01, 0.05), Settings.ReportSource.OFF, true);
+        var limits =
+                new Settings.Limits(4, 20_000, true, true, copies, true, S, 100, 250 * MS, 15 * S);
+        return new Settings(
+                0,
+                sidecars,
+                "a",
+                List.of("a", "b"),
+                ask,
+                5 * MS,
+                0.2,
+                routes,
+                List.of(),
+                rollout,
+                rules,
+                limits,
+                new Settings.Prices(0.02, 0.05, 0.01, 0.05),
+                Settings.ReportSource.OFF,
+                true);
     }
 
-    /** One of a fleet whose platform wants so many votes; the pods lie in two zones, neither of them its own. */
+    /**
+     * One of a fleet whose platform wants so many votes; the pods lie in two zones, neither of them
+     * its own.
+     */
     static Bench ofMany(int rank, int sidecars, int onVotes, int backVotes) {
-        Settings s = settings(Settings.Control.MAJORITY, false, 0, false, false,
-                List.of(route("get", Settings.Repeat.RETRIABLE, Settings.Scope.ALL)), sidecars, false);
+        Settings s =
+                settings(
+                        Settings.Control.MAJORITY,
+                        false,
+                        0,
+                        false,
+                        false,
+                        List.of(route("get", Settings.Repeat.RETRIABLE, Settings.Scope.ALL)),
+                        sidecars,
+                        false);
         Settings.Rollout r = s.rollout();
-        var rollout = new Settings.Rollout(r.control(), false, onVotes, backVotes, 0, r.bakeNs(), r.movesAfterNs(),
-                r.voteStandsNs(), r.voteWaitNs(), 16, r.newsEveryNs(), r.tallyEveryNs(), r.tallySample(),
-                r.complaintShare(), r.shares(), r.caps(), r.windowNs(), r.uncounted(), false, 0, false, false,
-                r.staleBuildPrice(), r.damagePrice());
-        return start(new Settings(rank, sidecars, "c", s.zones(), false, s.stepNs(), s.overShareEarnings(),
-                s.routes(), s.tenants(), rollout, s.rules(), s.limits(), s.prices(), s.reports(), true), rank);
+        var rollout =
+                new Settings.Rollout(
+                        r.control(),
+                        false,
+                        onVotes,
+                        backVotes,
+                        0,
+                        r.bakeNs(),
+                        r.movesAfterNs(),
+                        r.voteStandsNs(),
+                        r.voteWaitNs(),
+                        16,
+                        r.newsEveryNs(),
+                        r.tallyEveryNs(),
+                        r.tallySample(),
+                        r.complaintShare(),
+                        r.shares(),
+                        r.caps(),
+                        r.windowNs(),
+                        r.uncounted(),
+                        false,
+                        0,
+                        false,
+                        false,
+                        r.staleBuildPrice(),
+                        r.damagePrice());
+        return start(
+                new Settings(
+                        rank,
+                        sidecars,
+                        "c",
+                        s.zones(),
+                        false,
+                        s.stepNs(),
+                        s.overShareEarnings(),
+                        s.routes(),
+                        s.tenants(),
+                        rollout,
+                        s.rules(),
+                        s.limits(),
+                        s.prices(),
+                        s.reports(),
+                        true),
+                rank);
     }
 
     static Bench start(Settings s, long seed) {
@@ -65,11 +162,19 @@
     static Bench plain(int sidecars, boolean copies, boolean oneWay, long seed) {
         var get = route("get", Settings.Repeat.RETRIABLE, Settings.Scope.ALL);
         var control = Settings.Control.SINGLE;
-        return start(settings(control, false, 0, oneWay, false, List.of(get), sidecars, copies), seed);
+        return start(
+                settings(control, false, 0, oneWay, false, List.of(get), sidecars, copies), seed);
     }
 
     static PodEntry pod(int i, int build, long startedNs) {
-        return new PodEntry("pod" + i, i % 2 == 0 ? "a" : "b", "k", i % 2, build, PodEntry.State.READY, 1,
+        return new PodEntry(
+                "pod" + i,
+                i % 2 == 0 ? "a" : "b",
+                "k",
+                i % 2,
+                build,
+                PodEntry.State.READY,
+                1,
                 startedNs);
     }
 
@@ -143,7 +248,7 @@
     }
 
     @Override
-    public void watchList() { }
+    public void watchList() {}
 
     @Override
     public void timer(long atNs, String token) {
@@ -151,5 +256,5 @@
     }
 
     @Override
-    public void log(String line) { }
+    public void log(String line) {}
 }
--- a/core/src/test/java/mulleinlever/ClockStepTest.java
+++ b/core/src/test/java/mulleinlever/ClockStepTest.java
@@ -13,7 +13,9 @@
     private static final int WARM = 4;
     private static final PodEntry STARTED = Bench.pod(WARM, 1, 0);
 
-    /** The part of 200 requests a second that goes to the server that has started, for some seconds. */
+    /**
+     * The part of 200 requests a second that goes to the server that has started, for some seconds.
+     */
     private static double part(Bench b, int seconds) {
         int before = b.sent.size();
         for (int i = 0; i < 200 * seconds; i++) {
@@ -24,15 +26,24 @@
             b.end(id, 0, Ending.OK, 5 * MS);
         }
         List<Bench.Sent> sent = b.sent.subList(before, b.sent.size());
-        return sent.stream().filter(s -> s.pod().equals(STARTED.id())).count() / (double) sent.size();
+        return sent.stream().filter(s -> s.pod().equals(STARTED.id())).count()
+                / (double) sent.size();
     }
 
     /** The part that the server gets in its first second, and long after it is warm. */
     private static double[] parts(long stepMs) {
         Bench b = Bench.plain(1, false, false, 1).pods(WARM, 1).news(1, 2, News.Phase.RELEASED, 1);
         part(b, 3);
-        PodEntry started = new PodEntry(STARTED.id(), STARTED.zone(), STARTED.kind(), STARTED.cell(), 1,
-                PodEntry.State.READY, 1, b.now + (stepMs - 200) * MS);
+        PodEntry started =
+                new PodEntry(
+                        STARTED.id(),
+                        STARTED.zone(),
+                        STARTED.kind(),
+                        STARTED.cell(),
+                        1,
+                        PodEntry.State.READY,
+                        1,
+                        b.now + (stepMs - 200) * MS);
         if (stepMs != 0) {
             b.policy.wallClockStepped();
         }
@@ -49,7 +60,8 @@
         var starts = new StartTimes();
         long nowNs = 10_000_000 * MS;
         long startedNs = starts.startedNs(nowNs + (stepMs - 200) * MS, nowNs - 100 * MS, nowNs);
-        assertTrue(nowNs - startedNs <= 100 * MS, "started " + (nowNs - startedNs) / MS + " ms ago");
+        assertTrue(
+                nowNs - startedNs <= 100 * MS, "started " + (nowNs - startedNs) / MS + " ms ago");
     }
 
     // A step of the wall clock made slow start end at once, or last as long as the step.
--- a/core/src/test/java/mulleinlever/DoubtTest.java
+++ b/core/src/test/java/mulleinlever/DoubtTest.java
@@ -15,7 +15,12 @@
     @Test
     void keepsToThePlainModel() {
         SplittableRandom random = new SplittableRandom(1);
-        var row = new Row(Bench.route("get", Settings.Repeat.RETRIABLE, Settings.Scope.ALL), 0, S, 0.25);
+        var row =
+                new Row(
+                        Bench.route("get", Settings.Repeat.RETRIABLE, Settings.Scope.ALL),
+                        0,
+                        S,
+                        0.25);
         Doubt doubt = new Doubt(S);
         long until = 0;
         for (long now = 10 * S; now < 260 * S; now += random.nextLong(400 * MS)) {
@@ -28,12 +33,19 @@
                 Rq rq = new Rq(new Req("r" + i, "get", false, false, 2 * S, 0, -1, null), row, now);
                 rq.start(new Try(null, now - S, true, build, true));
                 rq.end(0, Ending.ERROR);
-                rq.start(new Try(null, now - random.nextLong(1, 500 * MS) - late * 500 * MS, true, build, true));
+                rq.start(
+                        new Try(
+                                null,
+                                now - random.nextLong(1, 500 * MS) - late * 500 * MS,
+                                true,
+                                build,
+                                true));
                 held.add(rq);
                 out[build][late]++;
             }
             doubt.look(now, held, new News(2, 1, News.Phase.ON_TRIAL, 1, 0));
-            boolean doubtful = out[2][1] >= 4 && out[2][1] > 2 * out[2][0] && out[1][1] <= 2 * out[1][0];
+            boolean doubtful =
+                    out[2][1] >= 4 && out[2][1] > 2 * out[2][0] && out[1][1] <= 2 * out[1][0];
             until = doubtful ? now + S : until;
             assertEquals(now < until, doubt.holds(now), "at " + now);
         }
--- a/core/src/test/java/mulleinlever/FailuresTest.java
+++ b/core/src/test/java/mulleinlever/FailuresTest.java
@@ -14,7 +14,10 @@
 
 /** One small test for each failure that was found. */
 class FailuresTest {
-    /** Answers reqs at a steady pace; {@code tookMs} says how long each takes, or nothing for a failure. */
+    /**
+     * Answers reqs at a steady pace; {@code tookMs} says how long each takes, or nothing for a
+     * failure.
+     */
     private interface Answers {
         long tookMs(PodEntry pod, int i);
     }
@@ -25,7 +28,9 @@
             b.req(id, "get", 2 * S);
             if (b.sent.size() > 0 && b.last().rq().equals(id)) {
                 String at = b.last().pod();
-                long took = answers.tookMs(pods.stream().filter(p -> p.id().equals(at)).findFirst().get(), i);
+                long took =
+                        answers.tookMs(
+                                pods.stream().filter(p -> p.id().equals(at)).findFirst().get(), i);
                 b.end(id, 0, took > 0 ? Ending.OK : Ending.ERROR, Math.max(20, took) * MS);
             }
             b.pass(20 * MS);
@@ -33,8 +38,10 @@
     }
 
     private static List<PodEntry> fleet(Bench b, int old, int young) {
-        List<PodEntry> all = IntStream.range(0, old + young)
-                .mapToObj(i -> Bench.pod(i, i < old ? 1 : 2, 0)).toList();
+        List<PodEntry> all =
+                IntStream.range(0, old + young)
+                        .mapToObj(i -> Bench.pod(i, i < old ? 1 : 2, 0))
+                        .toList();
         b.policy.listWhole(b.now, all);
         return all;
     }
@@ -56,9 +63,11 @@
     @Test
     void alarmVotesBackOnErrorsAndOnLateness() {
         assertEquals(Verdict.ON, verdict((p, i) -> usual(i), (p, i) -> usual(i)));
-        assertEquals(Verdict.BACK,
+        assertEquals(
+                Verdict.BACK,
                 verdict((p, i) -> usual(i), (p, i) -> p.build() == 2 && i % 3 == 0 ? 0 : usual(i)));
-        assertEquals(Verdict.BACK,
+        assertEquals(
+                Verdict.BACK,
                 verdict((p, i) -> usual(i), (p, i) -> usual(i) * (p.build() == 2 ? 3 : 1)));
     }
 
@@ -199,7 +208,9 @@
                 b.policy.tally(b.now, "get", 2, 100, failed, 100 * MS, S);
                 b.pass(2 * S);
             }
-            assertEquals(failed > 0 ? Verdict.BACK : Verdict.ON, b.votes.get(b.votes.size() - 1).verdict());
+            assertEquals(
+                    failed > 0 ? Verdict.BACK : Verdict.ON,
+                    b.votes.get(b.votes.size() - 1).verdict());
         }
     }
 
@@ -222,7 +233,11 @@
         b.req("lost", "get", 2 * S);
         for (int i = 0; i < 20; i++) {
             b.req("quick" + i, "get", 2 * S);
-            b.end("quick" + i, 0, i % 4 == 0 ? Ending.TIMEOUT : Ending.OK, i % 4 == 0 ? 900 * MS : 50 * MS);
+            b.end(
+                    "quick" + i,
+                    0,
+                    i % 4 == 0 ? Ending.TIMEOUT : Ending.OK,
+                    i % 4 == 0 ? 900 * MS : 50 * MS);
         }
         b.pass(450 * MS);
         assertEquals(2, b.sent.stream().filter(s -> s.rq().equals("lost")).count());
@@ -237,12 +252,15 @@
         int from = b.sent.size();
         serve(b, 2, (p, i) -> usual(i), pods);
         List<Bench.Sent> calm = b.sent.subList(from, b.sent.size());
-        assertTrue(calm.stream().filter(s -> Bench.number(s.pod()) >= 8).count() > 0.8 * calm.size());
+        assertTrue(
+                calm.stream().filter(s -> Bench.number(s.pod()) >= 8).count() > 0.8 * calm.size());
         serve(b, 3, (p, i) -> p.build() == 2 ? 4 * usual(i) : usual(i), pods);
         int then = b.sent.size();
         serve(b, 2, (p, i) -> usual(i), pods);
         var doubted = b.sent.subList(then, b.sent.size());
-        assertTrue(doubted.stream().filter(s -> Bench.number(s.pod()) >= 8).count() < 0.4 * doubted.size());
+        assertTrue(
+                doubted.stream().filter(s -> Bench.number(s.pod()) >= 8).count()
+                        < 0.4 * doubted.size());
     }
 
     private static int podsKnown(Policy policy) throws ReflectiveOperationException {
@@ -271,15 +289,23 @@
         assertEquals(2, podsKnown(b.policy));
     }
 
-    /** Sends reqs for so long, of which those at pods of the zone that is out find no connection. */
+    /**
+     * Sends reqs for so long, of which those at pods of the zone that is out find no connection.
+     */
     private static void serveWithout(Bench b, String zone, int millis) {
         for (int i = 0; i < millis / 20; i++) {
             String id = "z" + b.now;
             b.req(id, "get", 2 * S);
-            for (int no = 0; b.last().rq().equals(id) && !b.answers.containsKey(id) && no < 4; no++) {
+            for (int no = 0;
+                    b.last().rq().equals(id) && !b.answers.containsKey(id) && no < 4;
+                    no++) {
                 boolean out = Bench.pod(Bench.number(b.last().pod()), 1, 0).zone().equals(zone);
                 int tries = b.sent.size();
-                b.end(id, no, out ? Ending.CONNECT_FAILED : Ending.OK, out ? 250 * MS : usual(i) * MS);
+                b.end(
+                        id,
+                        no,
+                        out ? Ending.CONNECT_FAILED : Ending.OK,
+                        out ? 250 * MS : usual(i) * MS);
                 if (!out || b.sent.size() == tries) {
                     break;
                 }
@@ -290,7 +316,8 @@
 
     private static long triesIn(Bench b, int from, String zone) {
         return b.sent.subList(from, b.sent.size()).stream()
-                .filter(s -> Bench.pod(Bench.number(s.pod()), 1, 0).zone().equals(zone)).count();
+                .filter(s -> Bench.pod(Bench.number(s.pod()), 1, 0).zone().equals(zone))
+                .count();
     }
 
     @Test
@@ -300,7 +327,8 @@
         serveWithout(b, "none", 4000);
         int lost = b.sent.size();
         serveWithout(b, "b", 4000);
-        assertTrue(triesIn(b, lost, "b") < 15, "tries into the lost zone: " + triesIn(b, lost, "b"));
+        assertTrue(
+                triesIn(b, lost, "b") < 15, "tries into the lost zone: " + triesIn(b, lost, "b"));
         // One answer from there, by a try now and then, and it takes its part again.
         serveWithout(b, "none", 5000);
         int back = b.sent.size();
@@ -325,12 +353,18 @@
         }
         int from = b.sent.size();
         serveWithout(b, "b", 300);
-        assertTrue(lying.size() > 3 && b.cancelled.containsAll(lying), b.cancelled + " of " + lying);
+        assertTrue(
+                lying.size() > 3 && b.cancelled.containsAll(lying), b.cancelled + " of " + lying);
         lying.forEach(id -> b.end(id, 0, Ending.CANCELLED, S));
         lying.forEach(id -> b.end(id, 1, Ending.OK, 60 * MS));
         serveWithout(b, "b", 3000);
-        // The half of the trial that is left gets the half of what the earlier pods had, not all of it.
-        var lit = b.sent.subList(from, b.sent.size()).stream().map(t -> Bench.number(t.pod())).filter(n -> n % 2 == 0).toList();
+        // The half of the trial that is left gets the half of what the earlier pods had, not all of
+        // it.
+        var lit =
+                b.sent.subList(from, b.sent.size()).stream()
+                        .map(t -> Bench.number(t.pod()))
+                        .filter(n -> n % 2 == 0)
+                        .toList();
         long onTrial = lit.stream().filter(n -> n >= 30).count();
         assertTrue(onTrial < 0.65 * lit.size(), onTrial + " of " + lit.size());
     }
@@ -345,12 +379,17 @@
         b.policy.listChanged(b.now, List.of(Bench.pod(1, 1, b.now), Bench.pod(3, 1, b.now)));
         // They answer nothing yet, so that nothing lights the zone again.
         serveWithout(b, "b", 2000);
-        long anew = b.sent.subList(from, b.sent.size()).stream()
-                .filter(s -> List.of(1, 3).contains(Bench.number(s.pod()))).count();
+        long anew =
+                b.sent.subList(from, b.sent.size()).stream()
+                        .filter(s -> List.of(1, 3).contains(Bench.number(s.pod())))
+                        .count();
         assertTrue(anew >= 2, "tries at pods that started anew: " + anew);
     }
 
-    /** A zone is lost for two seconds, so long into a trial, and all is slow after it; nothing is sent back. */
+    /**
+     * A zone is lost for two seconds, so long into a trial, and all is slow after it; nothing is
+     * sent back.
+     */
     private static Bench afterLoss(int rank, int calmSeconds, int slowReqs) {
         Bench b = Bench.ofMany(rank, 14, 6, 4).news(1, 2, News.Phase.RELEASED, 1);
         serve(b, 8, (p, i) -> usual(i), fleet(b, 30, 0));
@@ -366,33 +405,49 @@
     void whatALostZoneSlowsIsNotTheBuildsDoing() {
         Bench b = afterLoss(voter(1, 0), 20, 700);
         assertTrue(b.votes.get(b.votes.size() - 1).atNs() > b.now - 4 * S, "'on' was held");
-        // A trial that is young still has the loss weigh more on its side: lateness alone may hold it only.
+        // A trial that is young still has the loss weigh more on its side: lateness alone may hold
+        // it only.
         afterLoss(voter(1, 0), 0, 300);
     }
 
-    /** How long after the first alarm enough live sidecars have voted back, the first voters being dead. */
+    /**
+     * How long after the first alarm enough live sidecars have voted back, the first voters being
+     * dead.
+     */
     private static long backAfter(int sidecars, int needed, int dead) {
         News trial = new News(2, 1, News.Phase.ON_TRIAL, 0, 0);
-        long[] at = IntStream.range(0, sidecars).filter(i -> trial.ranked(i, sidecars) >= dead).mapToLong(i -> {
-            Bench b = Bench.ofMany(i, sidecars, 2, needed);
-            fleet(b, 8, 4);
-            b.news(1, 2, News.Phase.RELEASED, 1).news(2, 1, News.Phase.ON_TRIAL, 0);
-            long from = b.now;
-            while (b.votes.stream().noneMatch(v -> v.verdict() == Verdict.BACK) && b.now < from + 60 * S) {
-                b.policy.tally(b.now, "get", 1, 100, 0, 100 * MS, S);
-                b.policy.tally(b.now, "get", 2, 100, 30, 100 * MS, S);
-                b.pass(500 * MS);
-            }
-            return b.votes.get(b.votes.size() - 1).atNs() - from;
-        }).sorted().toArray();
+        long[] at =
+                IntStream.range(0, sidecars)
+                        .filter(i -> trial.ranked(i, sidecars) >= dead)
+                        .mapToLong(
+                                i -> {
+                                    Bench b = Bench.ofMany(i, sidecars, 2, needed);
+                                    fleet(b, 8, 4);
+                                    b.news(1, 2, News.Phase.RELEASED, 1)
+                                            .news(2, 1, News.Phase.ON_TRIAL, 0);
+                                    long from = b.now;
+                                    while (b.votes.stream()
+                                                    .noneMatch(v -> v.verdict() == Verdict.BACK)
+                                            && b.now < from + 60 * S) {
+                                        b.policy.tally(b.now, "get", 1, 100, 0, 100 * MS, S);
+                                        b.policy.tally(b.now, "get", 2, 100, 30, 100 * MS, S);
+                                        b.pass(500 * MS);
+                                    }
+                                    return b.votes.get(b.votes.size() - 1).atNs() - from;
+                                })
+                        .sorted()
+                        .toArray();
         return at[needed - 1];
     }
 
     @Test
     void neededVotesBackComeSoonThoughTheFirstVotersAreDead() {
         long together = backAfter(14, 4, 0);
-        assertTrue(backAfter(14, 4, 4) <= together + S, (backAfter(14, 4, 4) - together) / MS + " ms");
-        assertTrue(backAfter(14, 4, 8) <= together + 2 * S, (backAfter(14, 4, 8) - together) / MS + " ms");
+        assertTrue(
+                backAfter(14, 4, 4) <= together + S, (backAfter(14, 4, 4) - together) / MS + " ms");
+        assertTrue(
+                backAfter(14, 4, 8) <= together + 2 * S,
+                (backAfter(14, 4, 8) - together) / MS + " ms");
         // On a small fleet the steps are as they were, to the next sample.
         assertEquals(S, backAfter(3, 1, 2) - backAfter(3, 1, 0));
     }
@@ -400,7 +455,10 @@
     /** The number of that one of 14 sidecars whose place among the voters this is. */
     private static int voter(int stage, int place) {
         News trial = new News(2, stage, News.Phase.ON_TRIAL, 1, 0);
-        return IntStream.range(0, 14).filter(i -> trial.ranked(i, 14) == place).findFirst().getAsInt();
+        return IntStream.range(0, 14)
+                .filter(i -> trial.ranked(i, 14) == place)
+                .findFirst()
+                .getAsInt();
     }
 
     private static long firstOn(int seen) {
@@ -433,7 +491,10 @@
                 b.end("r" + i, 0, Ending.OK, 50 * MS);
             }
             b.pass(8 * S);
-            assertEquals(needed == 6, b.votes.stream().anyMatch(v -> v.verdict() == Verdict.ON), "needed " + needed);
+            assertEquals(
+                    needed == 6,
+                    b.votes.stream().anyMatch(v -> v.verdict() == Verdict.ON),
+                    "needed " + needed);
         }
     }
 
--- a/core/src/test/java/mulleinlever/ListLeaseTest.java
+++ b/core/src/test/java/mulleinlever/ListLeaseTest.java
@@ -50,12 +50,22 @@
                     }
                     case 8, 9, 10, 11, 12 -> {
                         lease.served(server, (ms - 300) * MS);
-                        servedMs = confirmed || brokeMs <= trueMs ? Math.max(servedMs, ms - 300) : servedMs;
+                        servedMs =
+                                confirmed || brokeMs <= trueMs
+                                        ? Math.max(servedMs, ms - 300)
+                                        : servedMs;
                     }
-                    default -> { }
+                    default -> {}
                 }
-                boolean expected = confirmed || ms < Math.max(trueMs, servedMs) + (moved ? MOVED_LENGTH_MS : LENGTH_MS);
-                assertEquals(expected, lease.covers(ms * MS, server), "seed " + seed + " at " + ms + " ms");
+                boolean expected =
+                        confirmed
+                                || ms
+                                        < Math.max(trueMs, servedMs)
+                                                + (moved ? MOVED_LENGTH_MS : LENGTH_MS);
+                assertEquals(
+                        expected,
+                        lease.covers(ms * MS, server),
+                        "seed " + seed + " at " + ms + " ms");
             }
         }
     }
--- a/core/src/test/java/mulleinlever/RecallTest.java
+++ b/core/src/test/java/mulleinlever/RecallTest.java
@@ -27,7 +27,10 @@
         return IntStream.range(0, n).mapToObj(i -> Bench.pod(i, 1, 0)).toArray(PodEntry[]::new);
     }
 
-    /** One req after the other; how long each pod takes is told by its number, 0 for one that errors. */
+    /**
+     * One req after the other; how long each pod takes is told by its number, 0 for one that
+     * errors.
+     */
     private static int[] serve(Bench b, int reqs, long... tookMs) {
         int[] at = new int[tookMs.length];
         for (int i = 0; i < reqs; i++) {
@@ -37,7 +40,11 @@
                 int pod = Bench.number(b.last().pod());
                 at[pod]++;
                 b.pass(Math.max(5, tookMs[pod]) * MS);
-                b.end(id, no, tookMs[pod] > 0 ? Ending.OK : Ending.ERROR, Math.max(5, tookMs[pod]) * MS);
+                b.end(
+                        id,
+                        no,
+                        tookMs[pod] > 0 ? Ending.OK : Ending.ERROR,
+                        Math.max(5, tookMs[pod]) * MS);
             }
             b.pass(2 * MS);
         }
@@ -78,15 +85,24 @@
     @Test
     void oneGoodAnswerForgivesAndAFewOutweigh() {
         Bench b = fresh(1, pods(2));
-        recall(b, List.of(new Learned.OfPod(Bench.pod(0, 1, 0), new Learned.Figure(50, 1e6),
-                new Learned.Figure(1, 1e6), 6)));
+        recall(
+                b,
+                List.of(
+                        new Learned.OfPod(
+                                Bench.pod(0, 1, 0),
+                                new Learned.Figure(50, 1e6),
+                                new Learned.Figure(1, 1e6),
+                                6)));
         b.pass(5 * S);
         // Rested, it gets one try at a time while the other is busy.
         for (int i = 0; i < 40; i++) {
             b.req("a" + i, "get", 2 * S);
         }
-        int first = IntStream.range(0, b.sent.size()).filter(i -> b.sent.get(i).pod().equals("pod0")).findFirst()
-                .orElseThrow();
+        int first =
+                IntStream.range(0, b.sent.size())
+                        .filter(i -> b.sent.get(i).pod().equals("pod0"))
+                        .findFirst()
+                        .orElseThrow();
         assertEquals(1, b.sent.stream().filter(s -> s.pod().equals("pod0")).count());
         b.end(b.sent.get(first).rq(), 0, Ending.OK, 20 * MS);
         for (int i = 0; i < 40; i++) {
@@ -95,8 +111,14 @@
         assertTrue(b.sent.stream().filter(s -> s.pod().equals("pod0")).count() > 1);
         int[] at = serve(fresh(2, pods(2)), 100, 20, 20);
         Bench wrong = fresh(2, pods(2));
-        recall(wrong, List.of(new Learned.OfPod(Bench.pod(0, 1, 0), new Learned.Figure(5, 1e6),
-                new Learned.Figure(1, 1e6), 0)));
+        recall(
+                wrong,
+                List.of(
+                        new Learned.OfPod(
+                                Bench.pod(0, 1, 0),
+                                new Learned.Figure(5, 1e6),
+                                new Learned.Figure(1, 1e6),
+                                0)));
         serve(wrong, 60, 20, 20);
         int[] then = serve(wrong, 100, 20, 20);
         assertTrue(then[0] > 0.6 * at[0], then[0] + " against " + at[0]);
@@ -104,14 +126,31 @@
 
     @Test
     void whatCameBackAsAnotherMachineIsAnotherPod() {
-        Learned.OfPod sick = new Learned.OfPod(Bench.pod(0, 1, 50 * S), new Learned.Figure(9, 100),
-                new Learned.Figure(1, 100), 6);
-        for (PodEntry now : List.of(Bench.pod(0, 1, 51 * S), Bench.pod(0, 2, 50 * S), Bench.pod(0, 1, 50 * S))) {
+        Learned.OfPod sick =
+                new Learned.OfPod(
+                        Bench.pod(0, 1, 50 * S),
+                        new Learned.Figure(9, 100),
+                        new Learned.Figure(1, 100),
+                        6);
+        for (PodEntry now :
+                List.of(
+                        Bench.pod(0, 1, 51 * S),
+                        Bench.pod(0, 2, 50 * S),
+                        Bench.pod(0, 1, 50 * S))) {
             Bench b = fresh(1, now);
             b.policy.news(b.now, new News(2, 2, News.Phase.RELEASED, 1, 0));
-            recall(b, List.of(sick, new Learned.OfPod(Bench.pod(7, 1, 0), sick.slowness(), sick.late(), 6)));
-            Learned.OfPod got = learnedBy(b).stream().filter(Learned.OfPod.class::isInstance)
-                    .map(Learned.OfPod.class::cast).findAny().orElseThrow();
+            recall(
+                    b,
+                    List.of(
+                            sick,
+                            new Learned.OfPod(
+                                    Bench.pod(7, 1, 0), sick.slowness(), sick.late(), 6)));
+            Learned.OfPod got =
+                    learnedBy(b).stream()
+                            .filter(Learned.OfPod.class::isInstance)
+                            .map(Learned.OfPod.class::cast)
+                            .findAny()
+                            .orElseThrow();
             boolean same = now.equals(sick.is());
             assertEquals(same ? 3 : 0, got.strikes());
             assertEquals(same ? 4 : 0, got.slowness().weight(), 1e-9);
@@ -136,19 +175,42 @@
     @Test
     void baselineAndMarkOfAnotherBuildAreLeftOut() {
         Learned.OfBaseline base = new Learned.OfBaseline(1, "", false, 0.3, 0.1, 50);
-        Learned.OfRoute route = new Learned.OfRoute("get", 1, new Learned.Figure(30 * MS, 50),
-                new Learned.Figure(30 * MS, 50));
+        Learned.OfRoute route =
+                new Learned.OfRoute(
+                        "get", 1, new Learned.Figure(30 * MS, 50), new Learned.Figure(30 * MS, 50));
         for (int build : new int[] {1, 2, 3}) {
             // Build 1 is the newest, or the one that the trial is held against, or gone.
             Bench b = fresh(1, Bench.pod(0, build < 3 ? 1 : 2, 0));
-            b.policy.news(b.now, new News(build, 1, build == 1 ? News.Phase.RELEASED : News.Phase.ON_TRIAL, 0.5, 0));
-            recall(b, List.of(base, route, new Learned.OfRoute("other", 1, route.times(), route.usual()),
-                    new Learned.OfBaseline(1, "other", true, 1, 1, 1)));
-            double mean = learnedBy(b).stream().filter(l -> l instanceof Learned.OfBaseline o && o.route().isEmpty()
-                    && !o.ofLate()).mapToDouble(l -> ((Learned.OfBaseline) l).mean()).sum();
+            b.policy.news(
+                    b.now,
+                    new News(
+                            build,
+                            1,
+                            build == 1 ? News.Phase.RELEASED : News.Phase.ON_TRIAL,
+                            0.5,
+                            0));
+            recall(
+                    b,
+                    List.of(
+                            base,
+                            route,
+                            new Learned.OfRoute("other", 1, route.times(), route.usual()),
+                            new Learned.OfBaseline(1, "other", true, 1, 1, 1)));
+            double mean =
+                    learnedBy(b).stream()
+                            .filter(
+                                    l ->
+                                            l instanceof Learned.OfBaseline o
+                                                    && o.route().isEmpty()
+                                                    && !o.ofLate())
+                            .mapToDouble(l -> ((Learned.OfBaseline) l).mean())
+                            .sum();
             assertEquals(build < 3 ? 0.3 : 0, mean, 1e-9);
-            double usual = learnedBy(b).stream().filter(Learned.OfRoute.class::isInstance)
-                    .mapToDouble(l -> ((Learned.OfRoute) l).usual().weight()).sum();
+            double usual =
+                    learnedBy(b).stream()
+                            .filter(Learned.OfRoute.class::isInstance)
+                            .mapToDouble(l -> ((Learned.OfRoute) l).usual().weight())
+                            .sum();
             assertEquals(build < 3 ? 4 : 0, usual, 1e-9);
         }
     }
@@ -171,8 +233,14 @@
         int atOnce = 0;
         for (int seed = 0; seed < 200; seed++) {
             Bench b = fresh(seed, pods(4));
-            recall(b, List.of(new Learned.OfPod(Bench.pod(0, 1, 0), new Learned.Figure(1, 4),
-                    new Learned.Figure(0, 4), 6)));
+            recall(
+                    b,
+                    List.of(
+                            new Learned.OfPod(
+                                    Bench.pod(0, 1, 0),
+                                    new Learned.Figure(1, 4),
+                                    new Learned.Figure(0, 4),
+                                    6)));
             b.pass(400 * MS);
             serve(b, 1, 20, 20, 20, 20);
             atOnce += b.sent.get(0).pod().equals("pod0") ? 1 : 0;
--- a/core/src/test/java/mulleinlever/RoomTest.java
+++ b/core/src/test/java/mulleinlever/RoomTest.java
@@ -11,7 +11,10 @@
 class RoomTest {
     private static final double OBJECTIVE = 600 * MS;
 
-    /** The share of reqs without room at one sidecar of a hundred before 60 pods, tries taking so many times 240 ms, by chance. */
+    /**
+     * The share of reqs without room at one sidecar of a hundred before 60 pods, tries taking so
+     * many times 240 ms, by chance.
+     */
     private static double turnedAway(double perSecond, double times, long seed) {
         Room room = new Room(100);
         SplittableRandom random = new SplittableRandom(seed);
@@ -21,7 +24,8 @@
             for (int i = room.open(); i > 0; i--) {
                 if (random.nextDouble() < MS / mean) {
                     room.ended();
-                    room.took(now, times * (100 + 280 * random.nextDouble()) * MS / OBJECTIVE, false);
+                    room.took(
+                            now, times * (100 + 280 * random.nextDouble()) * MS / OBJECTIVE, false);
                 }
             }
             if (now % (50 * MS) == 0) {
@@ -39,7 +43,10 @@
         return (double) reqs[1] / (reqs[0] + reqs[1]);
     }
 
-    /** The first two hang on how few answers may tell of strain, the third on the own need: an even share is two tries. */
+    /**
+     * The first two hang on how few answers may tell of strain, the third on the own need: an even
+     * share is two tries.
+     */
     @Test
     void thinTrafficAndSeveralTimesItsShareFindRoomAndJamsBoundIt() {
         for (long seed = 0; seed < 5; seed++) {
@@ -47,10 +54,15 @@
             assertEquals(0, turnedAway(20, 1, seed), 0.08, "busy");
             assertTrue(turnedAway(20, 2, seed) < 0.7, "busy and strained");
         }
-        assertTrue(turnedAway(20, 5, 1) > 0.5, "what is open keeps to what reqs want at ease, not to what they take");
+        assertTrue(
+                turnedAway(20, 5, 1) > 0.5,
+                "what is open keeps to what reqs want at ease, not to what they take");
     }
 
-    /** The rule said plainly, on drawn inputs, beside the class; the fading sums are those that PatienceTest says plainly. */
+    /**
+     * The rule said plainly, on drawn inputs, beside the class; the fading sums are those that
+     * PatienceTest says plainly.
+     */
     @Test
     void keepsToThePlainModel() {
         SplittableRandom random = new SplittableRandom(1);
@@ -76,12 +88,25 @@
                     room.took(now, part, step % 5 == 0);
                     took.add(now, step % 5 == 0 ? Math.min(1, part) : part);
                 } else if (what == 3) {
-                    double least = Math.max(Math.max(2, 3.0 * pods / sidecars), wanted.perSecond(now));
+                    double least =
+                            Math.max(Math.max(2, 3.0 * pods / sidecars), wanted.perSecond(now));
                     double ease = took.read(now, 0, 1);
-                    double over = ease / 0.33 / (1 + 1 / Math.sqrt(Math.max(1, took.figure(now).weight()))) - 1;
+                    double over =
+                            ease
+                                            / 0.33
+                                            / (1
+                                                    + 1
+                                                            / Math.sqrt(
+                                                                    Math.max(
+                                                                            1,
+                                                                            took.figure(now)
+                                                                                    .weight())))
+                                    - 1;
                     most = Math.max(most == 0 ? 4 * least : most, least);
-                    most = over > 0 ? Math.max(least, most * (1 - 0.1 * Math.min(1, over)))
-                            : room.open() > 0.8 * most ? 1.02 * most : most;
+                    most =
+                            over > 0
+                                    ? Math.max(least, most * (1 - 0.1 * Math.min(1, over)))
+                                    : room.open() > 0.8 * most ? 1.02 * most : most;
                     room.pods(now, pods);
                     room.adjust(now, pods);
                     assertEquals(most, room.most(), 1e-6 * most);
--- a/core/src/test/java/mulleinlever/RulesTest.java
+++ b/core/src/test/java/mulleinlever/RulesTest.java
@@ -17,13 +17,15 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** A slow, plain model of the five rules beside the module on generated days, by whole histories. */
+/**
+ * A slow, plain model of the five rules beside the module on generated days, by whole histories.
+ */
 class RulesTest {
-    private record Out(String rq, int no, int build, long dueNs) { }
+    private record Out(String rq, int no, int build, long dueNs) {}
 
-    private record Exposed(long atNs, int build, String route) { }
+    private record Exposed(long atNs, int build, String route) {}
 
-    private record Told(long atNs, double cap) { }
+    private record Told(long atNs, double cap) {}
 
     private final Map<String, PodEntry> list = new HashMap<>();
     private final Map<String, Long> goneSince = new HashMap<>();
@@ -45,15 +47,26 @@
     private int seen;
 
     @ParameterizedTest
-    @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16, 17, 18, 19, 20, 21, 22, 23})
+    @ValueSource(
+            longs = {
+                1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16, 17, 18, 19, 20, 21, 22, 23
+            })
     void moduleKeepsTheRules(long seed) {
         SplittableRandom random = new SplittableRandom(seed);
         Scope scope = Scope.values()[random.nextInt(3)];
-        set = Bench.settings(Control.values()[random.nextInt(3)], random.nextBoolean(), random.nextInt(2),
-                random.nextBoolean(), random.nextBoolean(),
-                List.of(Bench.route("r", Repeat.RETRIABLE, Scope.ALL), Bench.route("d", Repeat.DEDUPED,
-                        scope), Bench.route("n", Repeat.NON_RETRIABLE, Scope.ALL)),
-                seed % 2 == 0 ? 3 : 200, seed % 3 == 0);
+        set =
+                Bench.settings(
+                        Control.values()[random.nextInt(3)],
+                        random.nextBoolean(),
+                        random.nextInt(2),
+                        random.nextBoolean(),
+                        random.nextBoolean(),
+                        List.of(
+                                Bench.route("r", Repeat.RETRIABLE, Scope.ALL),
+                                Bench.route("d", Repeat.DEDUPED, scope),
+                                Bench.route("n", Repeat.NON_RETRIABLE, Scope.ALL)),
+                        seed % 2 == 0 ? 3 : 200,
+                        seed % 3 == 0);
         bench = Bench.start(set, seed);
         List<PodEntry> first = IntStream.range(0, 8).mapToObj(i -> Bench.pod(i, 1, 0)).toList();
         bench.policy.listWhole(bench.now, first);
@@ -70,7 +83,8 @@
         for (int step = 0; step < 400; step++) {
             time();
         }
-        assertTrue(taken.size() > 300 && !exposed.isEmpty(), "the day was too quiet to show anything");
+        assertTrue(
+                taken.size() > 300 && !exposed.isEmpty(), "the day was too quiet to show anything");
         taken.keySet().forEach(id -> assertTrue(done.containsKey(id), "no answer to " + id));
     }
 
@@ -79,16 +93,30 @@
         List<Learned> all = new ArrayList<>();
         for (int i = 0; i < 40; i++) {
             Learned.Figure f = new Learned.Figure(random.nextDouble() * 5, random.nextInt(1_000));
-            Learned.Figure ns = new Learned.Figure(random.nextInt(3_000) * MS, random.nextInt(1_000));
+            Learned.Figure ns =
+                    new Learned.Figure(random.nextInt(3_000) * MS, random.nextInt(1_000));
             int build = random.nextInt(4);
             String route = List.of("r", "d", "n", "", "other").get(random.nextInt(5));
-            all.add(switch (random.nextInt(5)) {
-                case 0 -> new Learned.OfLinks(f, f);
-                case 1 -> new Learned.OfPod(Bench.pod(random.nextInt(10), build, 0), f, f, random.nextInt(9));
-                case 2 -> new Learned.OfRoute(route, build, ns, ns);
-                case 3 -> new Learned.OfBaseline(build, route, random.nextBoolean(), f.mean() / 5, f.mean() / 9, 50);
-                default -> new Learned.OfKey(random.nextInt(60), build);
-            });
+            all.add(
+                    switch (random.nextInt(5)) {
+                        case 0 -> new Learned.OfLinks(f, f);
+                        case 1 ->
+                                new Learned.OfPod(
+                                        Bench.pod(random.nextInt(10), build, 0),
+                                        f,
+                                        f,
+                                        random.nextInt(9));
+                        case 2 -> new Learned.OfRoute(route, build, ns, ns);
+                        case 3 ->
+                                new Learned.OfBaseline(
+                                        build,
+                                        route,
+                                        random.nextBoolean(),
+                                        f.mean() / 5,
+                                        f.mean() / 9,
+                                        50);
+                        default -> new Learned.OfKey(random.nextInt(60), build);
+                    });
         }
         return all;
     }
@@ -99,7 +127,8 @@
         for (Out o : List.copyOf(outs)) {
             if (bench.now >= o.dueNs) {
                 outs.remove(o);
-                bench.policy.tryEnded(bench.now, o.rq, o.no, Ending.TIMEOUT, 2 * S, done.containsKey(o.rq));
+                bench.policy.tryEnded(
+                        bench.now, o.rq, o.no, Ending.TIMEOUT, 2 * S, done.containsKey(o.rq));
                 check();
             }
         }
@@ -109,8 +138,16 @@
         int reqs = random.nextInt(step / 400 % 2 == 0 ? 2 : 5);
         for (int i = 0; i < reqs; i++) {
             String route = List.of("r", "d", "n").get(random.nextInt(3));
-            Req rq = new Req(step + "." + i, route, false, false, (100 + random.nextInt(1_500)) * MS, 0,
-                    random.nextInt(60), null);
+            Req rq =
+                    new Req(
+                            step + "." + i,
+                            route,
+                            false,
+                            false,
+                            (100 + random.nextInt(1_500)) * MS,
+                            0,
+                            random.nextInt(60),
+                            null);
             taken.put(rq.id(), rq);
             takenAt.put(rq.id(), bench.now);
             bench.policy.req(bench.now, rq);
@@ -125,7 +162,8 @@
                 done.put(o.rq, "ok");
                 keyAt.merge(taken.get(o.rq).key(), o.build, Math::max);
             }
-            bench.policy.tryEnded(bench.now, o.rq, o.no, ending, (50 + random.nextInt(200)) * MS, complete);
+            bench.policy.tryEnded(
+                    bench.now, o.rq, o.no, ending, (50 + random.nextInt(200)) * MS, complete);
             check();
         }
         if (random.nextInt(300) == 0 && !outs.isEmpty()) {
@@ -143,9 +181,16 @@
             bench.policy.listFailed(bench.now);
         }
         if (random.nextInt(20) == 0) {
-            bench.policy.tally(bench.now, random.nextInt(5) == 0 ? "no such" : "r", random.nextInt(9),
-                    random.nextInt(50) - 5, random.nextInt(60), random.nextInt(300) * MS - 50 * MS, S);
-            bench.policy.flagged(bench.now, "pod" + random.nextInt(20), random.nextBoolean() ? "d" : "none");
+            bench.policy.tally(
+                    bench.now,
+                    random.nextInt(5) == 0 ? "no such" : "r",
+                    random.nextInt(9),
+                    random.nextInt(50) - 5,
+                    random.nextInt(60),
+                    random.nextInt(300) * MS - 50 * MS,
+                    S);
+            bench.policy.flagged(
+                    bench.now, "pod" + random.nextInt(20), random.nextBoolean() ? "d" : "none");
         }
         if (random.nextInt(30) == 0) {
             bench.policy.voteAnswered(bench.now, random.nextBoolean());
@@ -154,13 +199,24 @@
 
     private void pods(SplittableRandom random) {
         int i = random.nextInt(14);
-        PodEntry e = Bench.pod(i, i < 8 ? 1 : news.build() + random.nextInt(2),
-                bench.now - random.nextInt(6_000) * MS);
+        PodEntry e =
+                Bench.pod(
+                        i,
+                        i < 8 ? 1 : news.build() + random.nextInt(2),
+                        bench.now - random.nextInt(6_000) * MS);
         int what = random.nextInt(5);
         if (what < 2 && list.containsKey(e.id())) {
             PodEntry was = list.get(e.id());
-            e = new PodEntry(e.id(), e.zone(), e.kind(), e.cell(), was.build(),
-                    what == 0 ? PodEntry.State.DRAINING : PodEntry.State.GONE, 1, was.startedNs());
+            e =
+                    new PodEntry(
+                            e.id(),
+                            e.zone(),
+                            e.kind(),
+                            e.cell(),
+                            was.build(),
+                            what == 0 ? PodEntry.State.DRAINING : PodEntry.State.GONE,
+                            1,
+                            was.startedNs());
         }
         entry(e);
         bench.policy.listChanged(bench.now, List.of(e));
@@ -168,8 +224,10 @@
 
     private void rollout(SplittableRandom random) {
         News.Phase phase = News.Phase.values()[random.nextInt(3)];
-        int build = news.phase() == News.Phase.ON_TRIAL || random.nextBoolean() ? news.build()
-                : news.build() + 1;
+        int build =
+                news.phase() == News.Phase.ON_TRIAL || random.nextBoolean()
+                        ? news.build()
+                        : news.build() + 1;
         int stage = random.nextInt(3);
         double cap = phase == News.Phase.REVERTING ? 0 : set.rollout().caps().get(stage);
         tell(new News(Math.max(2, build), stage, phase, cap, 0));
@@ -197,34 +255,43 @@
     }
 
     private void check() {
-        bench.answers.forEach((id, what) -> {
-            if (!done.containsKey(id)) {
-                done.put(id, what);
-                Repeat repeat = repeatOf(id);
-                List<Ending> ended = endings.getOrDefault(id, List.of());
-                boolean mayHaveRun = ended.stream().anyMatch(e -> !e.neverRan());
-                long due = takenAt.get(id) + taken.get(id).expiresInNs();
-                assertTrue(bench.now <= due + 20 * MS, "answered late");
-                boolean harmless = repeat == Repeat.RETRIABLE
-                        || repeat == Repeat.DEDUPED && set.routes().get(1).scope() == Scope.ALL;
-                assertTrue(!what.equals("shed") || !mayHaveRun || harmless, "shed may have run");
-            }
-        });
+        bench.answers.forEach(
+                (id, what) -> {
+                    if (!done.containsKey(id)) {
+                        done.put(id, what);
+                        Repeat repeat = repeatOf(id);
+                        List<Ending> ended = endings.getOrDefault(id, List.of());
+                        boolean mayHaveRun = ended.stream().anyMatch(e -> !e.neverRan());
+                        long due = takenAt.get(id) + taken.get(id).expiresInNs();
+                        assertTrue(bench.now <= due + 20 * MS, "answered late");
+                        boolean harmless =
+                                repeat == Repeat.RETRIABLE
+                                        || repeat == Repeat.DEDUPED
+                                                && set.routes().get(1).scope() == Scope.ALL;
+                        assertTrue(
+                                !what.equals("shed") || !mayHaveRun || harmless,
+                                "shed may have run");
+                    }
+                });
         for (; seen < bench.sent.size(); seen++) {
             sent(bench.sent.get(seen));
         }
     }
 
     private Repeat repeatOf(String id) {
-        return set.routes().stream().filter(r -> r.name().equals(taken.get(id).route()))
-                .findFirst().get().repeat();
+        return set.routes().stream()
+                .filter(r -> r.name().equals(taken.get(id).route()))
+                .findFirst()
+                .get()
+                .repeat();
     }
 
     private void sent(Bench.Sent s) {
         PodEntry pod = list.get(s.pod());
         Req rq = taken.get(s.rq());
         assertFalse(done.containsKey(s.rq()), "sent after the answer");
-        assertFalse(s.atNs() > goneSince.getOrDefault(s.pod(), Long.MAX_VALUE - S) + 500 * MS,
+        assertFalse(
+                s.atNs() > goneSince.getOrDefault(s.pod(), Long.MAX_VALUE - S) + 500 * MS,
                 "sent to a drained pod");
         repeats(s, pod);
         exposure(s, pod, rq);
@@ -258,9 +325,13 @@
             if (repeatOf(s.rq()) == Repeat.DEDUPED) {
                 PodEntry ran = list.get(before.get(i).pod());
                 Scope scope = set.routes().get(1).scope();
-                assertTrue(scope == Scope.ALL || scope == Scope.ZONE && ran.zone().equals(pod.zone())
-                        || scope == Scope.CELL && ran.cell() == pod.cell(), "sent outside its group");
-                assertTrue(s.atNs() < before.get(i).atNs() + set.routes().get(1).dedupNs(),
+                assertTrue(
+                        scope == Scope.ALL
+                                || scope == Scope.ZONE && ran.zone().equals(pod.zone())
+                                || scope == Scope.CELL && ran.cell() == pod.cell(),
+                        "sent outside its group");
+                assertTrue(
+                        s.atNs() < before.get(i).atNs() + set.routes().get(1).dedupNs(),
                         "sent too late to drop");
                 break;
             }
@@ -279,20 +350,28 @@
         double cap = announced ? news.cap() : set.rollout().caps().get(0);
         int stage = announced ? news.stage() : 0;
         assertTrue(cap > 0, "sent at cap 0");
-        assertTrue(stage >= set.rollout().shieldedStages() || rq.route().equals("r"),
+        assertTrue(
+                stage >= set.rollout().shieldedStages() || rq.route().equals("r"),
                 "sent through the shield");
         exposed.add(new Exposed(s.atNs(), pod.build(), rq.route()));
-        // Each window that ends here, since the last change of the cap and no longer than the rule's.
+        // Each window that ends here, since the last change of the cap and no longer than the
+        // rule's.
         long since = announced ? caps.get(caps.size() - 1).atNs() : 0;
         for (Exposed from : exposed) {
             long start = from.atNs();
             if (start < Math.max(since, s.atNs() - 3 * S) || from.build() != pod.build()) {
                 continue;
             }
-            long n = exposed.stream().filter(e -> e.atNs() >= start && e.build() == pod.build())
-                    .filter(e -> counts(e.route(), rq.route())).count();
-            long of = taken.values().stream().filter(q -> takenAt.get(q.id()) >= start)
-                    .filter(q -> counts(q.route(), rq.route())).count();
+            long n =
+                    exposed.stream()
+                            .filter(e -> e.atNs() >= start && e.build() == pod.build())
+                            .filter(e -> counts(e.route(), rq.route()))
+                            .count();
+            long of =
+                    taken.values().stream()
+                            .filter(q -> takenAt.get(q.id()) >= start)
+                            .filter(q -> counts(q.route(), rq.route()))
+                            .count();
             assertTrue(n <= set.rollout().uncounted() + cap * of + 1e-9, "exposed beyond the cap");
         }
     }
--- a/disk/src/main/java/mulleinlever/disk/Disk.java
+++ b/disk/src/main/java/mulleinlever/disk/Disk.java
@@ -6,9 +6,9 @@
 import java.util.List;
 
 /**
- * One folder, as far as those need it that keep something there. What was written is sure to outlast a crash only
- * after {@link Out#force}, and a file's name only after {@link #force}. Any call may fail or take for ever: none is
- * made on an event loop. Names are plain, without a path.
+ * One folder, as far as those need it that keep something there. What was written is sure to
+ * outlast a crash only after {@link Out#force}, and a file's name only after {@link #force}. Any
+ * call may fail or take for ever: none is made on an event loop. Names are plain, without a path.
  */
 public interface Disk {
     /** A file being written. */
@@ -43,7 +43,10 @@
     /** After this, the names as they are now outlast a crash. */
     void force() throws IOException;
 
-    /** Holds a file of that name locked against other processes until closed; null where another holds it. */
+    /**
+     * Holds a file of that name locked against other processes until closed; null where another
+     * holds it.
+     */
     Closeable lock(String name) throws IOException;
 
     /** A file that is longer than its reader takes. */
--- a/disk/src/main/java/mulleinlever/disk/FaultyDisk.java
+++ b/disk/src/main/java/mulleinlever/disk/FaultyDisk.java
@@ -13,13 +13,19 @@
 import java.util.concurrent.CountDownLatch;
 
 /**
- * A folder in memory whose calls can be made to fail, to tear or to be the last before a crash, for tests and
- * measurements. What was forced outlasts a crash, always. Of what was not, each write and each change of a name
- * does so or not by chance, in any combination, and a write perhaps in part only.
+ * A folder in memory whose calls can be made to fail, to tear or to be the last before a crash, for
+ * tests and measurements. What was forced outlasts a crash, always. Of what was not, each write and
+ * each change of a name does so or not by chance, in any combination, and a write perhaps in part
+ * only.
  */
 public final class FaultyDisk implements Disk {
     /** What befalls a call. */
-    public enum Trouble { FAILS, IS_FULL, TEARS, CRASHES }
+    public enum Trouble {
+        FAILS,
+        IS_FULL,
+        TEARS,
+        CRASHES
+    }
 
     /** The process ended within a call; nothing of it goes on. */
     public static final class Crash extends Error {
@@ -33,12 +39,16 @@
     private static final class Content {
         private byte[] forced = new byte[0];
         private final ByteArrayOutputStream now = new ByteArrayOutputStream();
+
         /** Where each write since the last force began. */
         private final List<Integer> writes = new ArrayList<>();
     }
 
-    /** A change of names that a force has not made sure yet: a file given a name, or a name taken away, or both. */
-    private record Naming(String gone, String name, Content content) { }
+    /**
+     * A change of names that a force has not made sure yet: a file given a name, or a name taken
+     * away, or both.
+     */
+    private record Naming(String gone, String name, Content content) {}
 
     private final SplittableRandom random;
     private final TreeMap<String, Content> names = new TreeMap<>();
@@ -55,7 +65,10 @@
         this.random = new SplittableRandom(seed);
     }
 
-    /** Lets trouble befall the call of that number, counted from 0 over all calls that touch the disk. */
+    /**
+     * Lets trouble befall the call of that number, counted from 0 over all calls that touch the
+     * disk.
+     */
     public synchronized void trouble(Trouble what, int atCall) {
         trouble = what;
         troubleAt = atCall;
@@ -90,13 +103,14 @@
                 rename(left, n);
             }
         }
-        left.forEach((name, content) -> {
-            Content c = new Content();
-            c.forced = survives(content, next.random);
-            c.now.writeBytes(c.forced);
-            next.names.put(name, c);
-            next.forcedNames.put(name, c);
-        });
+        left.forEach(
+                (name, content) -> {
+                    Content c = new Content();
+                    c.forced = survives(content, next.random);
+                    c.now.writeBytes(c.forced);
+                    next.names.put(name, c);
+                    next.forcedNames.put(name, c);
+                });
         return next;
     }
 
@@ -107,11 +121,12 @@
         for (int i = 0; i < c.writes.size(); i++) {
             int from = c.writes.get(i);
             int to = i + 1 < c.writes.size() ? c.writes.get(i + 1) : all.length;
-            int some = switch (random.nextInt(3)) {
-                case 0 -> from;
-                case 1 -> to;
-                default -> from + random.nextInt(to - from + 1);
-            };
+            int some =
+                    switch (random.nextInt(3)) {
+                        case 0 -> from;
+                        case 1 -> to;
+                        default -> from + random.nextInt(to - from + 1);
+                    };
             System.arraycopy(all, from, left, from, some - from);
             // The length may be on the disk before the bytes are: what lies between reads as zeros.
             length = some > from ? Math.max(length, random.nextBoolean() ? some : to) : length;
--- a/disk/src/main/java/mulleinlever/disk/FolderDisk.java
+++ b/disk/src/main/java/mulleinlever/disk/FolderDisk.java
@@ -58,8 +58,12 @@
 
     @Override
     public Out create(String name) throws IOException {
-        FileChannel to = FileChannel.open(folder.resolve(name), StandardOpenOption.CREATE, StandardOpenOption.WRITE,
-                StandardOpenOption.TRUNCATE_EXISTING);
+        FileChannel to =
+                FileChannel.open(
+                        folder.resolve(name),
+                        StandardOpenOption.CREATE,
+                        StandardOpenOption.WRITE,
+                        StandardOpenOption.TRUNCATE_EXISTING);
         return new Out() {
             @Override
             public void write(ByteBuffer bytes) throws IOException {
@@ -99,7 +103,9 @@
 
     @Override
     public Closeable lock(String name) throws IOException {
-        FileChannel at = FileChannel.open(folder.resolve(name), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
+        FileChannel at =
+                FileChannel.open(
+                        folder.resolve(name), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
         FileLock lock = null;
         try {
             lock = at.tryLock();
--- a/disk/src/test/java/mulleinlever/disk/DiskTest.java
+++ b/disk/src/test/java/mulleinlever/disk/DiskTest.java
@@ -20,8 +20,7 @@
 import org.junit.jupiter.api.io.TempDir;
 
 class DiskTest {
-    @TempDir
-    Path folder;
+    @TempDir Path folder;
 
     private static ByteBuffer bytes(String text) {
         return ByteBuffer.wrap(text.getBytes(StandardCharsets.US_ASCII));
@@ -86,14 +85,24 @@
             FaultyDisk after = d.afterCrash(seed);
             String left = text(after, "kept");
             assertTrue(left.startsWith("sure"), left);
-            seen.add(left.replace('\0', '0') + after.list().contains("new") + after.list().contains("tmp"));
+            seen.add(
+                    left.replace('\0', '0')
+                            + after.list().contains("new")
+                            + after.list().contains("tmp"));
             if (after.list().contains("new")) {
                 assertEquals("new", text(after, "new"));
             }
         }
         // Torn, out of order, and each naming with or without the one before it.
-        for (String possible : List.of("suretruefalse", "sureABCDtruefalse", "sure00CDfalsefalse", "sureA", "surefalsetrue")) {
-            assertTrue(seen.stream().anyMatch(s -> s.startsWith(possible)), possible + " of " + seen);
+        for (String possible :
+                List.of(
+                        "suretruefalse",
+                        "sureABCDtruefalse",
+                        "sure00CDfalsefalse",
+                        "sureA",
+                        "surefalsetrue")) {
+            assertTrue(
+                    seen.stream().anyMatch(s -> s.startsWith(possible)), possible + " of " + seen);
         }
     }
 
@@ -102,10 +111,12 @@
         for (int call = 0; call < 5; call++) {
             FaultyDisk d = new FaultyDisk(1);
             d.trouble(FaultyDisk.Trouble.FAILS, call);
-            assertThrows(IOException.class, () -> {
-                write(d, "a", "x");
-                d.list();
-            });
+            assertThrows(
+                    IOException.class,
+                    () -> {
+                        write(d, "a", "x");
+                        d.list();
+                    });
         }
         FaultyDisk torn = new FaultyDisk(1);
         torn.trouble(FaultyDisk.Trouble.TEARS, 1);
--- a/drill/src/main/java/mulleinlever/drill/Drill.java
+++ b/drill/src/main/java/mulleinlever/drill/Drill.java
@@ -17,7 +17,10 @@
 import mulleinlever.Req;
 import mulleinlever.settings.SettingsFields;
 
-/** The bench's wire: what is read becomes calls on the sidecars' policies, their answers become messages. */
+/**
+ * The bench's wire: what is read becomes calls on the sidecars' policies, their answers become
+ * messages.
+ */
 public final class Drill {
     private static final News.Phase[] PHASES = News.Phase.values();
 
@@ -86,8 +89,18 @@
         switch (l.message) {
             case "ABOUT" -> about = l.text("sidecarId");
             case "DEFINE_LIST" -> define(l);
-            case "POWER_ON", "BACKENDS_CHANGED", "NEW_REQUEST", "ECHO", "HEAD_RECEIVED", "PEER_DATA",
-                    "PROMOTION", "CLIENT_GONE", "PLATFORM_SAW", "ELAPSED", "DETACH", "DISPUTED",
+            case "POWER_ON",
+                    "BACKENDS_CHANGED",
+                    "NEW_REQUEST",
+                    "ECHO",
+                    "HEAD_RECEIVED",
+                    "PEER_DATA",
+                    "PROMOTION",
+                    "CLIENT_GONE",
+                    "PLATFORM_SAW",
+                    "ELAPSED",
+                    "DETACH",
+                    "DISPUTED",
                     "REPORT_BACK" -> {
                 if (about == null) {
                     throw l.bad("needs an ABOUT line before it");
@@ -122,21 +135,43 @@
     private void call(Policy policy, Line l) {
         switch (l.message) {
             case "BACKENDS_CHANGED" -> list(policy, l);
-            case "NEW_REQUEST" -> policy.req(now, new Req(l.text("ticket"), l.text("cls"),
-                    l.flag("repeat", false), l.flag("isWrite", false), l.whole("expiresInNs"),
-                    l.whole("workNs", 0), l.whole("item", -1), tenant(l)));
+            case "NEW_REQUEST" ->
+                    policy.req(
+                            now,
+                            new Req(
+                                    l.text("ticket"),
+                                    l.text("cls"),
+                                    l.flag("repeat", false),
+                                    l.flag("isWrite", false),
+                                    l.whole("expiresInNs"),
+                                    l.whole("workNs", 0),
+                                    l.whole("item", -1),
+                                    tenant(l)));
             case "HEAD_RECEIVED" -> policy.streamBegan(now, l.text("ticket"));
             case "PROMOTION" -> news(policy, l);
             case "CLIENT_GONE" -> policy.clientGone(now, l.text("ticket"));
             // The module asks for no probes and no peers' messages.
-            case "ECHO", "PEER_DATA" -> { }
-            case "PLATFORM_SAW" -> policy.tally(now, l.text("cls"), l.count("buildNo"), l.number("n", 0),
-                    l.number("failed", 0), l.whole("rttNs", 0), l.whole("ageNs", 0));
+            case "ECHO", "PEER_DATA" -> {}
+            case "PLATFORM_SAW" ->
+                    policy.tally(
+                            now,
+                            l.text("cls"),
+                            l.count("buildNo"),
+                            l.number("n", 0),
+                            l.number("failed", 0),
+                            l.whole("rttNs", 0),
+                            l.whole("ageNs", 0));
             case "ELAPSED" -> policy.timer(now, l.text("nonce"));
             case "DETACH" -> running.remove(about);
             case "DISPUTED" -> policy.flagged(now, l.text("pod"), l.text("cls"));
-            default -> policy.tryEnded(now, l.text("ticket"), l.count("sendNo"),
-                    l.word("ending", Ending.class), l.whole("rttNs", 0), l.flag("complete", false));
+            default ->
+                    policy.tryEnded(
+                            now,
+                            l.text("ticket"),
+                            l.count("sendNo"),
+                            l.word("ending", Ending.class),
+                            l.whole("rttNs", 0),
+                            l.flag("complete", false));
         }
     }
 
@@ -146,12 +181,19 @@
         for (int i = 0; i < n; i++) {
             Line l = inBatch();
             if (!l.message.equals("M")) {
-                throw new BadInput(l.no, "expected entry " + (i + 1) + " of " + n + ", found " + l.message);
+                throw new BadInput(
+                        l.no, "expected entry " + (i + 1) + " of " + n + ", found " + l.message);
             }
-            entries.add(new PodEntry(l.text("pod"), l.text("locality", ""), l.text("model", ""),
-                    (int) l.whole("stripe", 0), (int) l.number("edition", 0),
-                    l.word("state", PodEntry.State.class), l.number("capacityHint", 1),
-                    l.whole("readyAtNs", 0)));
+            entries.add(
+                    new PodEntry(
+                            l.text("pod"),
+                            l.text("locality", ""),
+                            l.text("model", ""),
+                            (int) l.whole("stripe", 0),
+                            (int) l.number("edition", 0),
+                            l.word("state", PodEntry.State.class),
+                            l.number("capacityHint", 1),
+                            l.whole("readyAtNs", 0)));
         }
         lists.put(head.whole("ref"), entries);
     }
@@ -183,8 +225,14 @@
             if (phase < 0 || phase >= PHASES.length) {
                 throw l.bad("needs 0 to 3 in whereAt");
             }
-            policy.news(now, new News(l.count("buildNo"), l.count("step"), PHASES[phase],
-                    l.number("exposure", 0), l.whole("ageNs", 0)));
+            policy.news(
+                    now,
+                    new News(
+                            l.count("buildNo"),
+                            l.count("step"),
+                            PHASES[phase],
+                            l.number("exposure", 0),
+                            l.whole("ageNs", 0)));
         }
     }
 
--- a/drill/src/main/java/mulleinlever/drill/Line.java
+++ b/drill/src/main/java/mulleinlever/drill/Line.java
@@ -27,7 +27,9 @@
     protected String find(String name) {
         for (int i = 1; i < parts.length; i++) {
             String p = parts[i];
-            if (p.length() > name.length() && p.charAt(name.length()) == '=' && p.startsWith(name)) {
+            if (p.length() > name.length()
+                    && p.charAt(name.length()) == '='
+                    && p.startsWith(name)) {
                 return p.substring(name.length() + 1);
             }
         }
--- a/drill/src/main/java/mulleinlever/drill/WireHost.java
+++ b/drill/src/main/java/mulleinlever/drill/WireHost.java
@@ -15,13 +15,22 @@
 
     @Override
     public void relay(String rq, String pod, long writeWithinNs, long limitNs) {
-        say().append("RELAY\tticket=").append(rq).append("\tpod=").append(pod).append("\tlimitNs=")
-                .append(limitNs).append('\n');
+        say().append("RELAY\tticket=")
+                .append(rq)
+                .append("\tpod=")
+                .append(pod)
+                .append("\tlimitNs=")
+                .append(limitNs)
+                .append('\n');
     }
 
     @Override
     public void shed(String rq, long backoffNs) {
-        say().append("SHED\tticket=").append(rq).append("\tbackoffNs=").append(backoffNs).append('\n');
+        say().append("SHED\tticket=")
+                .append(rq)
+                .append("\tbackoffNs=")
+                .append(backoffNs)
+                .append('\n');
     }
 
     @Override
@@ -36,8 +45,13 @@
 
     @Override
     public void vote(int build, int stage, Verdict verdict) {
-        say().append("SAY_SO\tbuildNo=").append(build).append("\tstep=").append(stage).append("\thow=")
-                .append(verdict.ordinal()).append('\n');
+        say().append("SAY_SO\tbuildNo=")
+                .append(build)
+                .append("\tstep=")
+                .append(stage)
+                .append("\thow=")
+                .append(verdict.ordinal())
+                .append('\n');
     }
 
     @Override
--- a/drill/src/test/java/mulleinlever/drill/DrillTest.java
+++ b/drill/src/test/java/mulleinlever/drill/DrillTest.java
@@ -16,19 +16,22 @@
 class DrillTest {
     private static String drill(String input) throws IOException {
         var out = new ByteArrayOutputStream();
-        var in = new ByteArrayInputStream(input.replace(' ', '\t').getBytes(StandardCharsets.UTF_8));
+        var in =
+                new ByteArrayInputStream(input.replace(' ', '\t').getBytes(StandardCharsets.UTF_8));
         new Drill(in, new PrintStream(out, true, StandardCharsets.UTF_8)).run();
         return out.toString(StandardCharsets.UTF_8);
     }
 
     @Test
     void eachBatchGetsItsReply() throws IOException {
-        assertEquals("EOR\tframe=7\nEOR\tframe=8\n",
+        assertEquals(
+                "EOR\tframe=7\nEOR\tframe=8\n",
                 drill("TICK timeNs=1 frame=7\nEND\nTICK timeNs=2 frame=8\nEND\n"));
     }
 
     @ParameterizedTest
-    @CsvSource({"HELLO, line 1: expected TICK",
+    @CsvSource({
+        "HELLO, line 1: expected TICK",
         "TICK frame=1, line 1: TICK needs the field timeNs",
         "TICK timeNs=x frame=1, line 1: TICK needs a whole number in timeNs",
         "TICK timeNs=1 frame=1, line 2: expected END",
@@ -36,7 +39,8 @@
         "TICK timeNs=1 frame=1|ELAPSED nonce=a, line 2: ELAPSED needs an ABOUT line before it",
         "TICK timeNs=1 frame=1|ABOUT sidecarId=s|ELAPSED nonce=a, line 3: ELAPSED needs a sidecar",
         "TICK timeNs=1 frame=1|DEFINE_LIST ref=0 members=2|M pod=a state=ready|END, line 4: expected entry 2",
-        "TICK timeNs=1 frame=1|DEFINE_LIST ref=0 members=1|M pod=a state=odd, line 3: M needs a known word"})
+        "TICK timeNs=1 frame=1|DEFINE_LIST ref=0 members=1|M pod=a state=odd, line 3: M needs a known word"
+    })
     void badInputIsNamedByItsLine(String input, String message) {
         var e = assertThrows(BadInput.class, () -> drill(input.replace('|', '\n')));
         assertTrue(e.getMessage().startsWith(message), e.getMessage());
--- a/lab/src/main/java/mulleinlever/lab/FleetLog.java
+++ b/lab/src/main/java/mulleinlever/lab/FleetLog.java
@@ -20,28 +20,50 @@
 import picocli.CommandLine.Parameters;
 
 /**
- * Reads the logs of a whole fleet, a file a sidecar, and adds them up by second: what each {@code count} line tells, and
- * how many lines of each other kind there were. For one id, its story over all sidecars in order of time.
+ * Reads the logs of a whole fleet, a file a sidecar, and adds them up by second: what each {@code
+ * count} line tells, and how many lines of each other kind there were. For one id, its story over
+ * all sidecars in order of time.
  *
- * <p>A line begins with the seconds since its sidecar's start; where whoever collects the logs put a time of its own before
- * that, that one is used, since it is the same for all.
+ * <p>A line begins with the seconds since its sidecar's start; where whoever collects the logs put
+ * a time of its own before that, that one is used, since it is the same for all.
  */
-@Command(name = "fleetlog", mixinStandardHelpOptions = true,
+@Command(
+        name = "fleetlog",
+        mixinStandardHelpOptions = true,
         description = "The logs of a fleet added up by second, or the story of one req.")
 final class FleetLog implements Callable<Integer> {
-    private static final Pattern LINE = Pattern.compile("\\s*([0-9.]+)\\s+(?:([0-9.]+)\\s+)?([a-z]+): (.*)");
+    private static final Pattern LINE =
+            Pattern.compile("\\s*([0-9.]+)\\s+(?:([0-9.]+)\\s+)?([a-z]+): (.*)");
     private static final Pattern PAIR = Pattern.compile("([a-z_]+)=(-?[0-9.]+)");
+
     /** What stands at a moment, where the rest are counts since the line before. */
-    private static final List<String> STANDS = List.of("clients", "links", "room", "open", "first", "further", "ready", "usable",
-            "fit", "cold", "dark", "ease", "list_age");
+    private static final List<String> STANDS =
+            List.of(
+                    "clients",
+                    "links",
+                    "room",
+                    "open",
+                    "first",
+                    "further",
+                    "ready",
+                    "usable",
+                    "fit",
+                    "cold",
+                    "dark",
+                    "ease",
+                    "list_age");
 
     private final TreeMap<Long, Map<String, Double>> seconds = new TreeMap<>();
     private final List<Told> told = new ArrayList<>();
 
-    private record Told(double at, String sidecar, String text) { }
+    private record Told(double at, String sidecar, String text) {}
 
-    @Parameters(index = "0", paramLabel = "FOLDER", description = "Where the logs lie, a file a sidecar, ending in .log.")
+    @Parameters(
+            index = "0",
+            paramLabel = "FOLDER",
+            description = "Where the logs lie, a file a sidecar, ending in .log.")
     private Path folder;
+
     @Parameters(index = "1", arity = "0..1", paramLabel = "ID", description = "The req to follow.")
     private String id;
 
@@ -56,7 +78,8 @@
         try (Stream<Path> files = Files.list(folder)) {
             for (Path f : files.filter(p -> p.toString().endsWith(".log")).sorted().toList()) {
                 String name = f.getFileName().toString().replace(".log", "");
-                for (String line : new String(Files.readAllBytes(f), StandardCharsets.UTF_8).split("\n")) {
+                for (String line :
+                        new String(Files.readAllBytes(f), StandardCharsets.UTF_8).split("\n")) {
                     all.take(name, line, id);
                 }
             }
@@ -80,31 +103,47 @@
             return;
         }
         second.merge("sidecars", 1.0, Double::sum);
-        for (Matcher p = PAIR.matcher(m.group(4)); p.find();) {
+        for (Matcher p = PAIR.matcher(m.group(4)); p.find(); ) {
             second.merge(p.group(1), Double.parseDouble(p.group(2)), Double::sum);
         }
     }
 
     /** Lines of the id that was asked for, in order of time: seconds, sidecar, what it said. */
     List<String> story() {
-        return told.stream().map(t -> String.format(Locale.ROOT, "%9.3f %s %s", t.at, t.sidecar, t.text)).toList();
+        return told.stream()
+                .map(t -> String.format(Locale.ROOT, "%9.3f %s %s", t.at, t.sidecar, t.text))
+                .toList();
     }
 
-    /** A row a second, a column for each figure told in any; what stands at a moment as the mean over the sidecars. */
+    /**
+     * A row a second, a column for each figure told in any; what stands at a moment as the mean
+     * over the sidecars.
+     */
     void print(PrintStream out) {
         List<String> columns = new ArrayList<>();
-        seconds.values().forEach(s -> s.keySet().stream().filter(k -> !columns.contains(k)).forEach(columns::add));
+        seconds.values()
+                .forEach(
+                        s ->
+                                s.keySet().stream()
+                                        .filter(k -> !columns.contains(k))
+                                        .forEach(columns::add));
         out.println("second " + String.join(" ", columns));
-        seconds.forEach((at, s) -> {
-            StringBuilder row = new StringBuilder(String.format("%6d", at));
-            double n = Math.max(1, s.getOrDefault("sidecars", 0.0));
-            for (String c : columns) {
-                double x = s.getOrDefault(c, 0.0);
-                row.append(String.format(Locale.ROOT, " %" + c.length() + "s", STANDS.contains(c)
-                        ? String.format(Locale.ROOT, "%.2f", x / n) : String.valueOf(Math.round(x))));
-            }
-            out.println(row);
-        });
+        seconds.forEach(
+                (at, s) -> {
+                    StringBuilder row = new StringBuilder(String.format("%6d", at));
+                    double n = Math.max(1, s.getOrDefault("sidecars", 0.0));
+                    for (String c : columns) {
+                        double x = s.getOrDefault(c, 0.0);
+                        row.append(
+                                String.format(
+                                        Locale.ROOT,
+                                        " %" + c.length() + "s",
+                                        STANDS.contains(c)
+                                                ? String.format(Locale.ROOT, "%.2f", x / n)
+                                                : String.valueOf(Math.round(x))));
+                    }
+                    out.println(row);
+                });
     }
 
     @Override
--- a/lab/src/main/java/mulleinlever/lab/Lab.java
+++ b/lab/src/main/java/mulleinlever/lab/Lab.java
@@ -7,11 +7,13 @@
 import picocli.CommandLine.Spec;
 
 /** The laboratory's command line: what measures the program, and nothing that serves. */
-@Command(name = "lab", mixinStandardHelpOptions = true, description = "Measurements, in emulated fleets and in process.",
+@Command(
+        name = "lab",
+        mixinStandardHelpOptions = true,
+        description = "Measurements, in emulated fleets and in process.",
         subcommands = {Restarts.class, FleetLog.class})
 public final class Lab implements Runnable {
-    @Spec
-    private CommandSpec spec;
+    @Spec private CommandSpec spec;
 
     public static void main(String[] args) {
         System.exit(new CommandLine(new Lab()).execute(args));
--- a/lab/src/main/java/mulleinlever/lab/emu/Agenda.java
+++ b/lab/src/main/java/mulleinlever/lab/emu/Agenda.java
@@ -2,7 +2,10 @@
 
 import java.util.PriorityQueue;
 
-/** What happens in virtual time, in the order of the time and then of the asking: the same on every machine. */
+/**
+ * What happens in virtual time, in the order of the time and then of the asking: the same on every
+ * machine.
+ */
 public final class Agenda {
     private static final class Entry implements Comparable<Entry> {
         private final long atNs;
--- a/lab/src/main/java/mulleinlever/lab/emu/EmuPod.java
+++ b/lab/src/main/java/mulleinlever/lab/emu/EmuPod.java
@@ -8,8 +8,8 @@
 import mulleinlever.PodEntry;
 
 /**
- * A pod: some cores that serve one line, first come first served. It can be slow, hung, or fail a share of what it
- * is sent; a pod that was started lately does less.
+ * A pod: some cores that serve one line, first come first served. It can be slow, hung, or fail a
+ * share of what it is sent; a pod that was started lately does less.
  */
 public final class EmuPod {
     /** One try at the pod, until it is told how that ended. */
@@ -60,7 +60,8 @@
     /** The part of its usual speed that a pod has which was started lately. */
     private double warmth() {
         double age = (agenda.now() - entry.startedNs()) / (double) EmuSettings.WARM_AFTER_NS;
-        return entry.startedNs() == 0 || age >= 1 ? 1
+        return entry.startedNs() == 0 || age >= 1
+                ? 1
                 : EmuSettings.COLD_SHARE + (1 - EmuSettings.COLD_SHARE) * Math.max(0, age);
     }
 
@@ -111,11 +112,13 @@
             job.runs = true;
             busy++;
             int in = start;
-            agenda.after((long) (job.workNs / speed / warmth()), () -> {
-                if (in == start) {
-                    ends(job);
-                }
-            });
+            agenda.after(
+                    (long) (job.workNs / speed / warmth()),
+                    () -> {
+                        if (in == start) {
+                            ends(job);
+                        }
+                    });
         }
     }
 
--- a/lab/src/main/java/mulleinlever/lab/emu/EmuSettings.java
+++ b/lab/src/main/java/mulleinlever/lab/emu/EmuSettings.java
@@ -10,25 +10,88 @@
     static final double COLD_SHARE = 0.3;
     static final long WARM_AFTER_NS = 4 * SECOND;
 
-    /** A cold pod that gets more than so many times what it can do then, for a second, falls over. */
+    /**
+     * A cold pod that gets more than so many times what it can do then, for a second, falls over.
+     */
     private static final double FALL_MULTIPLE = 3;
 
-    private EmuSettings() { }
+    private EmuSettings() {}
 
     /** A route whose repeats may run, or are dropped by pods of the same zone. */
-    public static Settings.Route route(String name, Settings.Repeat repeat, long objectiveMs, long timeoutMs, double earnings) {
-        return new Settings.Route(name, objectiveMs * MS, 0, timeoutMs * MS, repeat, Settings.Scope.ZONE, SECOND, false, 0.1,
+    public static Settings.Route route(
+            String name,
+            Settings.Repeat repeat,
+            long objectiveMs,
+            long timeoutMs,
+            double earnings) {
+        return new Settings.Route(
+                name,
+                objectiveMs * MS,
+                0,
+                timeoutMs * MS,
+                repeat,
+                Settings.Scope.ZONE,
+                SECOND,
+                false,
+                0.1,
                 earnings);
     }
 
-    static Settings of(int rank, int sidecars, String zone, List<String> zones, List<Settings.Route> routes) {
-        Settings.Rollout rollout = new Settings.Rollout(Settings.Control.MAJORITY, false, Math.max(1, sidecars * 2 / 5),
-                Math.max(1, sidecars / 4), 0, 2 * SECOND, 3 * SECOND, 6 * SECOND, 2 * SECOND, 100, 2 * SECOND, 2 * SECOND,
-                0.2, 0.15, List.of(0.1, 0.5, 1.0), List.of(0.2, 0.7, 1.0), 4 * SECOND, 3, false, 0, false, false, 0.3, 5);
-        Settings.Rules rules = new Settings.Rules(20 * MS, 250 * MS, COLD_SHARE, WARM_AFTER_NS, FALL_MULTIPLE, SECOND,
-                10 * SECOND);
-        Settings.Limits limits = new Settings.Limits(4, 20_000, true, false, false, true, SECOND, 1, 250 * MS, 15 * SECOND);
-        return new Settings(rank, sidecars, zone, zones, false, MS, 0.2, routes, List.of(), rollout, rules, limits,
-                new Settings.Prices(0.02, 0.08, 0.01, 0.08), Settings.ReportSource.OFF, true);
+    static Settings of(
+            int rank, int sidecars, String zone, List<String> zones, List<Settings.Route> routes) {
+        Settings.Rollout rollout =
+                new Settings.Rollout(
+                        Settings.Control.MAJORITY,
+                        false,
+                        Math.max(1, sidecars * 2 / 5),
+                        Math.max(1, sidecars / 4),
+                        0,
+                        2 * SECOND,
+                        3 * SECOND,
+                        6 * SECOND,
+                        2 * SECOND,
+                        100,
+                        2 * SECOND,
+                        2 * SECOND,
+                        0.2,
+                        0.15,
+                        List.of(0.1, 0.5, 1.0),
+                        List.of(0.2, 0.7, 1.0),
+                        4 * SECOND,
+                        3,
+                        false,
+                        0,
+                        false,
+                        false,
+                        0.3,
+                        5);
+        Settings.Rules rules =
+                new Settings.Rules(
+                        20 * MS,
+                        250 * MS,
+                        COLD_SHARE,
+                        WARM_AFTER_NS,
+                        FALL_MULTIPLE,
+                        SECOND,
+                        10 * SECOND);
+        Settings.Limits limits =
+                new Settings.Limits(
+                        4, 20_000, true, false, false, true, SECOND, 1, 250 * MS, 15 * SECOND);
+        return new Settings(
+                rank,
+                sidecars,
+                zone,
+                zones,
+                false,
+                MS,
+                0.2,
+                routes,
+                List.of(),
+                rollout,
+                rules,
+                limits,
+                new Settings.Prices(0.02, 0.08, 0.01, 0.08),
+                Settings.ReportSource.OFF,
+                true);
     }
 }
--- a/lab/src/main/java/mulleinlever/lab/emu/EmuSidecar.java
+++ b/lab/src/main/java/mulleinlever/lab/emu/EmuSidecar.java
@@ -48,7 +48,11 @@
     }
 
     /** The one final answer to a req, as its sidecar gave it. */
-    public enum Answer { COMPLETED, SHED, ERRORED }
+    public enum Answer {
+        COMPLETED,
+        SHED,
+        ERRORED
+    }
 
     private final World world;
     private final Agenda agenda;
@@ -101,7 +105,9 @@
     void take(Settings.Route route, long workNs, long key, Consumer<Answer> answered) {
         String id = Long.toString(reqs++);
         held.put(id, new Held(route, workNs, agenda.now(), answered));
-        policy.req(agenda.now(), new Req(id, route.name(), false, false, route.timeoutNs(), 0, key, null));
+        policy.req(
+                agenda.now(),
+                new Req(id, route.name(), false, false, route.timeoutNs(), 0, key, null));
     }
 
     @Override
@@ -111,11 +117,18 @@
         Sent s = new Sent(h.tries.size(), at, agenda.now());
         h.tries.add(s);
         long oneWayNs = world.oneWayNs(settings.zone(), at.entry().zone());
-        agenda.after(oneWayNs, () -> {
-            if (!s.ended) {
-                s.job = at.arrive(h.workNs, ending -> agenda.after(oneWayNs, () -> ended(rq, h, s, ending)));
-            }
-        });
+        agenda.after(
+                oneWayNs,
+                () -> {
+                    if (!s.ended) {
+                        s.job =
+                                at.arrive(
+                                        h.workNs,
+                                        ending ->
+                                                agenda.after(
+                                                        oneWayNs, () -> ended(rq, h, s, ending)));
+                    }
+                });
         agenda.after(limitNs, () -> ended(rq, h, s, Ending.TIMEOUT));
     }
 
@@ -179,29 +192,39 @@
         }
         // Told after the call that asked for it, as on sockets.
         cutOff(s);
-        agenda.after(0, () -> {
-            if (!gone) {
-                policy.tryEnded(agenda.now(), rq, s.no, Ending.CANCELLED, agenda.now() - s.sentNs, h.done);
-                settle(rq, h);
-            }
-        });
+        agenda.after(
+                0,
+                () -> {
+                    if (!gone) {
+                        policy.tryEnded(
+                                agenda.now(),
+                                rq,
+                                s.no,
+                                Ending.CANCELLED,
+                                agenda.now() - s.sentNs,
+                                h.done);
+                        settle(rq, h);
+                    }
+                });
     }
 
     @Override
-    public void vote(int build, int stage, Verdict verdict) { }
+    public void vote(int build, int stage, Verdict verdict) {}
 
     @Override
-    public void watchList() { }
+    public void watchList() {}
 
     @Override
     public void timer(long atNs, String token) {
-        agenda.at(atNs, () -> {
-            if (!gone) {
-                policy.timer(agenda.now(), token);
-            }
-        });
+        agenda.at(
+                atNs,
+                () -> {
+                    if (!gone) {
+                        policy.timer(agenda.now(), token);
+                    }
+                });
     }
 
     @Override
-    public void log(String line) { }
+    public void log(String line) {}
 }
--- a/lab/src/main/java/mulleinlever/lab/emu/World.java
+++ b/lab/src/main/java/mulleinlever/lab/emu/World.java
@@ -9,8 +9,8 @@
 import mulleinlever.Settings;
 
 /**
- * Pods, sidecars and clients in virtual time, in one process. Every part draws from a stream of its own, so that two
- * worlds with one seed get the same reqs, whatever their sidecars do.
+ * Pods, sidecars and clients in virtual time, in one process. Every part draws from a stream of its
+ * own, so that two worlds with one seed get the same reqs, whatever their sidecars do.
  */
 public final class World {
     private static final long SECOND = 1_000_000_000L;
@@ -23,7 +23,13 @@
     }
 
     /** What a world consists of. */
-    public record Size(int pods, int cores, int sidecars, List<String> zones, List<Traffic> traffic, double reqsPerSecond) {
+    public record Size(
+            int pods,
+            int cores,
+            int sidecars,
+            List<String> zones,
+            List<Traffic> traffic,
+            double reqsPerSecond) {
         /** Reqs a second that all cores together can do. */
         public double capacity() {
             double meanNs = traffic.stream().mapToDouble(t -> t.share() * t.meanWorkNs()).sum();
@@ -31,9 +37,16 @@
         }
     }
 
-    /** Hears of each req's end; without an answer {@code how} is null, at the end of its patience. */
+    /**
+     * Hears of each req's end; without an answer {@code how} is null, at the end of its patience.
+     */
     public interface Watch {
-        void ended(int sidecar, Settings.Route route, long askedNs, long tookNs, EmuSidecar.Answer how);
+        void ended(
+                int sidecar,
+                Settings.Route route,
+                long askedNs,
+                long tookNs,
+                EmuSidecar.Answer how);
     }
 
     private final Size size;
@@ -53,7 +66,16 @@
         this.sidecars = new EmuSidecar[size.sidecars()];
         this.starts = new int[size.sidecars()];
         for (int i = 0; i < size.pods(); i++) {
-            PodEntry e = new PodEntry("pod-" + i, zone(i), "m", i % 4, 1, PodEntry.State.READY, size.cores(), 0);
+            PodEntry e =
+                    new PodEntry(
+                            "pod-" + i,
+                            zone(i),
+                            "m",
+                            i % 4,
+                            1,
+                            PodEntry.State.READY,
+                            size.cores(),
+                            0);
             pods.put(e.id(), new EmuPod(agenda, e, size.cores(), 1000));
         }
         for (int i = 0; i < size.sidecars(); i++) {
@@ -68,7 +90,8 @@
 
     /** A stream of chance for one part of the world. */
     SplittableRandom random(String part, int no) {
-        return new SplittableRandom(seed * 0x9E3779B97F4A7C15L + part.hashCode() * 0x632BE59BD9B4E019L + no);
+        return new SplittableRandom(
+                seed * 0x9E3779B97F4A7C15L + part.hashCode() * 0x632BE59BD9B4E019L + no);
     }
 
     public Agenda agenda() {
@@ -92,16 +115,25 @@
     }
 
     public Settings settings(int i) {
-        return EmuSettings.of(i, size.sidecars(), zone(i), size.zones(), size.traffic().stream().map(Traffic::route).toList());
+        return EmuSettings.of(
+                i,
+                size.sidecars(),
+                zone(i),
+                size.zones(),
+                size.traffic().stream().map(Traffic::route).toList());
     }
 
     long oneWayNs(String from, String to) {
         return from.equals(to) ? 100_000 : 500_000;
     }
 
-    /** A sidecar's process begins, with the list and the news as they are; it knows nothing else. */
+    /**
+     * A sidecar's process begins, with the list and the news as they are; it knows nothing else.
+     */
     public EmuSidecar start(int i) {
-        EmuSidecar s = new EmuSidecar(this, settings(i), random("policy", i + 100_000 * starts[i]++).nextLong());
+        EmuSidecar s =
+                new EmuSidecar(
+                        this, settings(i), random("policy", i + 100_000 * starts[i]++).nextLong());
         s.list(pods.values().stream().map(EmuPod::entry).toList());
         s.news(news);
         sidecars[i] = s;
@@ -111,7 +143,16 @@
     /** A pod starts anew, cold, and all sidecars are told at once. */
     public void restart(EmuPod pod) {
         PodEntry e = pod.entry();
-        pod.startsAnew(new PodEntry(e.id(), e.zone(), e.kind(), e.cell(), e.build(), e.state(), e.weight(), agenda.now()));
+        pod.startsAnew(
+                new PodEntry(
+                        e.id(),
+                        e.zone(),
+                        e.kind(),
+                        e.cell(),
+                        e.build(),
+                        e.state(),
+                        e.weight(),
+                        agenda.now()));
         for (EmuSidecar s : sidecars) {
             if (s != null) {
                 s.changed(pod.entry());
@@ -119,7 +160,9 @@
         }
     }
 
-    /** A sidecar's process ends without notice; its clients' reqs find nobody until it starts again. */
+    /**
+     * A sidecar's process ends without notice; its clients' reqs find nobody until it starts again.
+     */
     public void kill(int i) {
         sidecars[i].kill();
         sidecars[i] = null;
@@ -133,13 +176,19 @@
     }
 
     private void next(int i, SplittableRandom random, double rate) {
-        agenda.after((long) (-Math.log(1 - random.nextDouble()) / rate * SECOND), () -> {
-            Traffic t = pick(random.nextDouble());
-            long workNs = t.leastWorkNs() + (long) (random.nextDouble() * (t.mostWorkNs() - t.leastWorkNs()));
-            long key = random.nextInt(50_000);
-            ask(i, t, workNs, key);
-            next(i, random, rate);
-        });
+        agenda.after(
+                (long) (-Math.log(1 - random.nextDouble()) / rate * SECOND),
+                () -> {
+                    Traffic t = pick(random.nextDouble());
+                    long workNs =
+                            t.leastWorkNs()
+                                    + (long)
+                                            (random.nextDouble()
+                                                    * (t.mostWorkNs() - t.leastWorkNs()));
+                    long key = random.nextInt(50_000);
+                    ask(i, t, workNs, key);
+                    next(i, random, rate);
+                });
     }
 
     private Traffic pick(double at) {
@@ -156,18 +205,24 @@
         long askedNs = agenda.now();
         boolean[] ended = new boolean[1];
         if (sidecars[i] != null) {
-            sidecars[i].take(t.route(), workNs, key, how -> {
-                if (!ended[0]) {
-                    ended[0] = true;
-                    watch.ended(i, t.route(), askedNs, agenda.now() - askedNs, how);
-                }
-            });
+            sidecars[i].take(
+                    t.route(),
+                    workNs,
+                    key,
+                    how -> {
+                        if (!ended[0]) {
+                            ended[0] = true;
+                            watch.ended(i, t.route(), askedNs, agenda.now() - askedNs, how);
+                        }
+                    });
         }
-        agenda.after(t.route().timeoutNs() + SECOND / 10, () -> {
-            if (!ended[0]) {
-                ended[0] = true;
-                watch.ended(i, t.route(), askedNs, agenda.now() - askedNs, null);
-            }
-        });
+        agenda.after(
+                t.route().timeoutNs() + SECOND / 10,
+                () -> {
+                    if (!ended[0]) {
+                        ended[0] = true;
+                        watch.ended(i, t.route(), askedNs, agenda.now() - askedNs, null);
+                    }
+                });
     }
 }
--- a/lab/src/test/java/mulleinlever/lab/FleetLogTest.java
+++ b/lab/src/test/java/mulleinlever/lab/FleetLogTest.java
@@ -14,13 +14,18 @@
 class FleetLogTest {
     /** The first with a time of the collector's own; its sidecar started later than the other's. */
     @Test
-    void addsUpTheFleetBySecondAndTellsOneReqsStoryInOrder(@TempDir Path folder) throws IOException {
-        Files.writeString(folder.resolve("n1.log"), """
+    void addsUpTheFleetBySecondAndTellsOneReqsStoryInOrder(@TempDir Path folder)
+            throws IOException {
+        Files.writeString(
+                folder.resolve("n1.log"),
+                """
                 7.020    1.010 life: serving
                 8.500    2.490 count: in=3 completed=2 try_ok=2 clients=4 links=2 room=8.0 open=1 ease=0.10
                 8.600    2.590 req: 00aa shed after 12 ms; s-1 at 0 timeout
                 """);
-        Files.writeString(folder.resolve("n2.log"), """
+        Files.writeString(
+                folder.resolve("n2.log"),
+                """
                    8.100 count: in=1 completed=1 try_ok=1 clients=2 links=4 room=4.0 open=0 ease=0.30
                    8.200 req: 00aa errored after 3 ms
                 no line of ours
@@ -28,10 +33,18 @@
         Files.writeString(folder.resolve("other.txt"), "8.1 count: in=100");
         var out = new ByteArrayOutputStream();
         FleetLog.read(folder, null).print(new PrintStream(out, true));
-        List<String> rows = out.toString().lines().map(l -> l.trim().replaceAll("\\s+", " ")).toList();
-        assertEquals(List.of("second said_life sidecars in completed try_ok clients links room open ease said_req",
-                "7 1 0 0 0 0 0.00 0.00 0.00 0.00 0.00 0", "8 0 2 4 3 3 3.00 3.00 6.00 0.50 0.20 2"), rows);
-        assertEquals(List.of("    8.200 n2 req: 00aa errored after 3 ms",
-                "    8.600 n1 req: 00aa shed after 12 ms; s-1 at 0 timeout"), FleetLog.read(folder, "00aa").story());
+        List<String> rows =
+                out.toString().lines().map(l -> l.trim().replaceAll("\\s+", " ")).toList();
+        assertEquals(
+                List.of(
+                        "second said_life sidecars in completed try_ok clients links room open ease said_req",
+                        "7 1 0 0 0 0 0.00 0.00 0.00 0.00 0.00 0",
+                        "8 0 2 4 3 3 3.00 3.00 6.00 0.50 0.20 2"),
+                rows);
+        assertEquals(
+                List.of(
+                        "    8.200 n2 req: 00aa errored after 3 ms",
+                        "    8.600 n1 req: 00aa shed after 12 ms; s-1 at 0 timeout"),
+                FleetLog.read(folder, "00aa").story());
     }
 }
--- a/lab/src/test/java/mulleinlever/lab/emu/WorldTest.java
+++ b/lab/src/test/java/mulleinlever/lab/emu/WorldTest.java
@@ -16,9 +16,19 @@
     private static List<String> ends(long seed) {
         List<String> ends = new ArrayList<>();
         var route = EmuSettings.route("read", Settings.Repeat.RETRIABLE, 150, 1000, 1);
-        World w = new World(new World.Size(6, 2, 3, List.of("a", "b"),
-                List.of(new World.Traffic(route, 1, 10_000_000, 30_000_000)), 200), seed, 1000 * SECOND,
-                (sidecar, r, askedNs, tookNs, how) -> ends.add(sidecar + " " + askedNs + " " + tookNs + " " + how));
+        World w =
+                new World(
+                        new World.Size(
+                                6,
+                                2,
+                                3,
+                                List.of("a", "b"),
+                                List.of(new World.Traffic(route, 1, 10_000_000, 30_000_000)),
+                                200),
+                        seed,
+                        1000 * SECOND,
+                        (sidecar, r, askedNs, tookNs, how) ->
+                                ends.add(sidecar + " " + askedNs + " " + tookNs + " " + how));
         w.pods().get(0).hangs(true);
         w.agenda().runUntil(1002 * SECOND);
         w.kill(1);
@@ -35,6 +45,8 @@
         assertNotEquals(once, ends(2));
         assertTrue(once.size() > 800, once.size() + " reqs");
         assertTrue(once.stream().filter(e -> e.endsWith("COMPLETED")).count() > 0.7 * once.size());
-        assertTrue(once.stream().anyMatch(e -> e.startsWith("1 ") && e.endsWith("null")), "nobody met the dead sidecar");
+        assertTrue(
+                once.stream().anyMatch(e -> e.startsWith("1 ") && e.endsWith("null")),
+                "nobody met the dead sidecar");
     }
 }
--- a/settings/src/main/java/mulleinlever/settings/Fields.java
+++ b/settings/src/main/java/mulleinlever/settings/Fields.java
@@ -3,9 +3,13 @@
 import java.math.BigDecimal;
 import java.util.Locale;
 
-/** Named fields, read on demand: those of one line of the wire, or of one object of a configuration. */
+/**
+ * Named fields, read on demand: those of one line of the wire, or of one object of a configuration.
+ */
 public abstract class Fields {
-    /** The field's text, or null where there is none; lists of plain values are joined by commas. */
+    /**
+     * The field's text, or null where there is none; lists of plain values are joined by commas.
+     */
     protected abstract String find(String name);
 
     /** The fault to throw: which field, and what it needs to hold; null where it is missing. */
--- a/settings/src/main/java/mulleinlever/settings/JsonFields.java
+++ b/settings/src/main/java/mulleinlever/settings/JsonFields.java
@@ -4,7 +4,10 @@
 import java.util.Map;
 import java.util.stream.Collectors;
 
-/** The fields of a JSON object, those of objects within it under their path; a fault names the whole path. */
+/**
+ * The fields of a JSON object, those of objects within it under their path; a fault names the whole
+ * path.
+ */
 public final class JsonFields extends Fields {
     private final String where;
     private final Object root;
@@ -28,7 +31,9 @@
             throw bad(path, "a list");
         }
         int[] i = {0};
-        return list.stream().map(o -> new JsonFields(where + path + "." + i[0]++ + ".", o)).toList();
+        return list.stream()
+                .map(o -> new JsonFields(where + path + "." + i[0]++ + ".", o))
+                .toList();
     }
 
     @Override
@@ -41,7 +46,9 @@
         if (v instanceof List<?> list) {
             return list.stream().map(String::valueOf).collect(Collectors.joining(","));
         }
-        return v == null || v instanceof Json.Bare b && b.text().equals("null") ? null : v.toString();
+        return v == null || v instanceof Json.Bare b && b.text().equals("null")
+                ? null
+                : v.toString();
     }
 
     private Object walk(String path) {
--- a/settings/src/main/java/mulleinlever/settings/Nearest.java
+++ b/settings/src/main/java/mulleinlever/settings/Nearest.java
@@ -6,13 +6,15 @@
 
 /** The known name that a misspelt one was most likely meant to be. */
 final class Nearest {
-    private Nearest() { }
+    private Nearest() {}
 
     /** Words to put behind a fault; none where nothing known is near. */
     static String hint(String wrong, Collection<String> known) {
-        return known.stream().filter(k -> edits(wrong, k) <= Math.max(2, wrong.length() / 3))
+        return known.stream()
+                .filter(k -> edits(wrong, k) <= Math.max(2, wrong.length() / 3))
                 .min(Comparator.comparingInt((String k) -> edits(wrong, k)).thenComparing(k -> k))
-                .map(k -> "; did you mean " + k + "?").orElse("");
+                .map(k -> "; did you mean " + k + "?")
+                .orElse("");
     }
 
     /** How many letters are to be put in, taken out or exchanged (Levenshtein's distance). */
