--- a/settings/src/main/java/mulleinlever/settings/Ours.java
+++ b/settings/src/main/java/mulleinlever/settings/Ours.java
@@ -6,8 +6,8 @@
 import java.util.Map;
 
 /**
- * What is switched on beside the platform's own settings, from TOML files of ours: read, checked and given
- * defaults here and nowhere else. Times are nanoseconds.
+ * What is switched on beside the platform's own settings, from TOML files of ours: read, checked
+ * and given defaults here and nowhere else. Times are nanoseconds.
  */
 public record Ours(Remember remember) {
     /** Nothing is switched on. */
@@ -27,8 +27,15 @@
      * @param lastWithinNs how long the last write may hold up the end of the process
      * @param sliceNs the longest that a capture holds the event loop at a time
      */
-    public record Remember(Path folder, long everyNs, double jitter, int keep, long mostBytes, long readWithinNs,
-            long lastWithinNs, long sliceNs) { }
+    public record Remember(
+            Path folder,
+            long everyNs,
+            double jitter,
+            int keep,
+            long mostBytes,
+            long readWithinNs,
+            long lastWithinNs,
+            long sliceNs) {}
 
     /**
      * Reads the files in the order given; each table may stand in one of them.
@@ -43,7 +50,8 @@
             if (one.remember != null) {
                 Path before = from.put(STATE, file);
                 if (before != null) {
-                    throw new Fault(file + ": the table " + STATE + " stands in " + before + " too");
+                    throw new Fault(
+                            file + ": the table " + STATE + " stands in " + before + " too");
                 }
                 all = one;
             }
@@ -60,9 +68,14 @@
     }
 
     private static Remember remember(TomlSection s) {
-        return new Remember(s.path("folder"), s.duration("every", "10s", "50ms", "1h"), s.number("jitter", 0.2, 0, 0.9),
-                (int) s.whole("keep", 3, 2, 100), s.size("most_bytes", "64MiB", "64KiB", "1GiB"),
-                s.duration("read_within", "500ms", "10ms", "30s"), s.duration("last_within", "300ms", "0ms", "10s"),
+        return new Remember(
+                s.path("folder"),
+                s.duration("every", "10s", "50ms", "1h"),
+                s.number("jitter", 0.2, 0, 0.9),
+                (int) s.whole("keep", 3, 2, 100),
+                s.size("most_bytes", "64MiB", "64KiB", "1GiB"),
+                s.duration("read_within", "500ms", "10ms", "30s"),
+                s.duration("last_within", "300ms", "0ms", "10s"),
                 s.duration("slice", "0.5ms", "0.05ms", "10ms"));
     }
 }
--- a/settings/src/main/java/mulleinlever/settings/TomlFile.java
+++ b/settings/src/main/java/mulleinlever/settings/TomlFile.java
@@ -15,9 +15,9 @@
 import org.tomlj.TomlTable;
 
 /**
- * One file of ours, in TOML. Its tables are asked for by name and their keys by type; what was never asked for
- * is a fault, since a misspelt key would else pass for its default. Every fault is one line that names file,
- * line and column.
+ * One file of ours, in TOML. Its tables are asked for by name and their keys by type; what was
+ * never asked for is a fault, since a misspelt key would else pass for its default. Every fault is
+ * one line that names file, line and column.
  */
 public final class TomlFile {
     /** No honest file of settings is longer; the parser would hold several times as much. */
@@ -62,20 +62,28 @@
         TomlParseResult result = Toml.parse(text);
         if (result.hasErrors()) {
             TomlParseError e = result.errors().get(0);
-            throw new Fault(at(name, e.position()) + e.getMessage().lines().findFirst().orElse("no TOML"));
+            throw new Fault(
+                    at(name, e.position()) + e.getMessage().lines().findFirst().orElse("no TOML"));
         }
         return new TomlFile(name, result);
     }
 
-    /** A table at the top of the file; where there is none it is empty, and says that it is absent. */
+    /**
+     * A table at the top of the file; where there is none it is empty, and says that it is absent.
+     */
     public TomlSection section(String key) {
-        return asked.computeIfAbsent(key, k -> {
-            Object value = root.get(List.of(k));
-            if (value != null && !(value instanceof TomlTable)) {
-                throw new Fault(at(name, root.inputPositionOf(List.of(k))) + k + " needs to be a table");
-            }
-            return new TomlSection(name, k, (TomlTable) value);
-        });
+        return asked.computeIfAbsent(
+                key,
+                k -> {
+                    Object value = root.get(List.of(k));
+                    if (value != null && !(value instanceof TomlTable)) {
+                        throw new Fault(
+                                at(name, root.inputPositionOf(List.of(k)))
+                                        + k
+                                        + " needs to be a table");
+                    }
+                    return new TomlSection(name, k, (TomlTable) value);
+                });
     }
 
     /**
@@ -86,8 +94,11 @@
     public void done() {
         for (String key : root.keySet()) {
             if (!asked.containsKey(key)) {
-                throw new Fault(at(name, root.inputPositionOf(List.of(key))) + "no such table: " + key
-                        + Nearest.hint(key, asked.keySet()));
+                throw new Fault(
+                        at(name, root.inputPositionOf(List.of(key)))
+                                + "no such table: "
+                                + key
+                                + Nearest.hint(key, asked.keySet()));
             }
         }
         asked.values().forEach(TomlSection::done);
--- a/settings/src/main/java/mulleinlever/settings/TomlSection.java
+++ b/settings/src/main/java/mulleinlever/settings/TomlSection.java
@@ -16,20 +16,35 @@
 import org.tomlj.TomlTable;
 
 /**
- * A table of a {@link TomlFile}. Each getter names the key, what stands in for it where it is absent, and its
- * bounds; a value of another type or beyond its bounds is a {@link Fault} with file, line and column.
+ * A table of a {@link TomlFile}. Each getter names the key, what stands in for it where it is
+ * absent, and its bounds; a value of another type or beyond its bounds is a {@link Fault} with
+ * file, line and column.
  */
 public final class TomlSection {
-    private static final Pattern DURATION = Pattern.compile("(\\d{1,9}(?:\\.\\d{1,3})?) ?(ms|s|m|h|d)");
+    private static final Pattern DURATION =
+            Pattern.compile("(\\d{1,9}(?:\\.\\d{1,3})?) ?(ms|s|m|h|d)");
     private static final Pattern SIZE = Pattern.compile("(\\d{1,9}) ?(B|KiB|MiB|GiB)");
-    private static final Map<String, Long> NS = Map.of("ms", 1_000_000L, "s", 1_000_000_000L,
-            "m", 60_000_000_000L, "h", 3_600_000_000_000L, "d", 86_400_000_000_000L);
-    private static final Map<String, Integer> BITS = Map.of("B", 0, "KiB", 10, "MiB", 20, "GiB", 30);
+    private static final Map<String, Long> NS =
+            Map.of(
+                    "ms",
+                    1_000_000L,
+                    "s",
+                    1_000_000_000L,
+                    "m",
+                    60_000_000_000L,
+                    "h",
+                    3_600_000_000_000L,
+                    "d",
+                    86_400_000_000_000L);
+    private static final Map<String, Integer> BITS =
+            Map.of("B", 0, "KiB", 10, "MiB", 20, "GiB", 30);
 
     private final String file;
     private final String path;
+
     /** Null where the table is absent. */
     private final TomlTable table;
+
     private final Set<String> known = new LinkedHashSet<>();
     private final Map<String, TomlSection> inner = new LinkedHashMap<>();
     private final List<TomlSection> listed = new ArrayList<>();
@@ -80,7 +95,11 @@
         String v = text(key, absent);
         Long ns = v == null ? null : nanoseconds(v);
         if (ns == null) {
-            throw v == null ? missing(key) : bad(key, "needs a time such as \"250ms\", \"10s\", \"5m\", \"12h\" or \"3d\"");
+            throw v == null
+                    ? missing(key)
+                    : bad(
+                            key,
+                            "needs a time such as \"250ms\", \"10s\", \"5m\", \"12h\" or \"3d\"");
         }
         if (ns < nanoseconds(least) || ns > nanoseconds(most)) {
             throw bad(key, "needs a time from " + least + " to " + most);
@@ -90,7 +109,9 @@
 
     private static Long nanoseconds(String text) {
         Matcher m = DURATION.matcher(text);
-        return m.matches() ? (Long) Math.round(Double.parseDouble(m.group(1)) * NS.get(m.group(2))) : null;
+        return m.matches()
+                ? (Long) Math.round(Double.parseDouble(m.group(1)) * NS.get(m.group(2)))
+                : null;
     }
 
     /** A number of bytes such as "512KiB" or "64MiB". */
@@ -161,13 +182,15 @@
 
     /** A table within this one; where there is none it is empty. */
     public TomlSection section(String key) {
-        return inner.computeIfAbsent(key, k -> {
-            Object v = value(k);
-            if (v != null && !(v instanceof TomlTable)) {
-                throw bad(k, "needs to be a table");
-            }
-            return new TomlSection(file, path + "." + k, (TomlTable) v);
-        });
+        return inner.computeIfAbsent(
+                key,
+                k -> {
+                    Object v = value(k);
+                    if (v != null && !(v instanceof TomlTable)) {
+                        throw bad(k, "needs to be a table");
+                    }
+                    return new TomlSection(file, path + "." + k, (TomlTable) v);
+                });
     }
 
     /** The tables of a list, such as those under [[section.key]]; none where it is absent. */
@@ -201,7 +224,8 @@
 
     /** The fault to throw for a key that is read but does not fit. */
     public Fault bad(String key, String needs) {
-        TomlPosition at = table == null || value(key) == null ? null : table.inputPositionOf(List.of(key));
+        TomlPosition at =
+                table == null || value(key) == null ? null : table.inputPositionOf(List.of(key));
         return new Fault(TomlFile.at(file, at) + path + "." + key + " " + needs);
     }
 
@@ -220,8 +244,13 @@
         }
         for (String key : table.keySet()) {
             if (!known.contains(key)) {
-                throw new Fault(TomlFile.at(file, table.inputPositionOf(List.of(key))) + "no such key: " + path + "."
-                        + key + Nearest.hint(key, known));
+                throw new Fault(
+                        TomlFile.at(file, table.inputPositionOf(List.of(key)))
+                                + "no such key: "
+                                + path
+                                + "."
+                                + key
+                                + Nearest.hint(key, known));
             }
         }
         inner.values().forEach(TomlSection::done);
--- a/settings/src/main/java/mulleinlever/settings/Version.java
+++ b/settings/src/main/java/mulleinlever/settings/Version.java
@@ -8,7 +8,7 @@
 public final class Version {
     public static final String TEXT = read();
 
-    private Version() { }
+    private Version() {}
 
     private static String read() {
         Properties p = new Properties();
--- a/settings/src/test/java/mulleinlever/settings/JsonTest.java
+++ b/settings/src/test/java/mulleinlever/settings/JsonTest.java
@@ -23,8 +23,14 @@
         if (value instanceof List<?> list) {
             return "[ " + String.join(",", list.stream().map(JsonTest::written).toList()) + "]";
         }
-        return value instanceof Json.Bare ? value.toString()
-                : "\"" + value.toString().replace("\\", "\\\\").replace("\"", "\\\"").replace("\n", "\\u000a") + "\"";
+        return value instanceof Json.Bare
+                ? value.toString()
+                : "\""
+                        + value.toString()
+                                .replace("\\", "\\\\")
+                                .replace("\"", "\\\"")
+                                .replace("\n", "\\u000a")
+                        + "\"";
     }
 
     private static Object generated(SplittableRandom random, int depth) {
--- a/settings/src/test/java/mulleinlever/settings/TomlTest.java
+++ b/settings/src/test/java/mulleinlever/settings/TomlTest.java
@@ -16,8 +16,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 class TomlTest {
-    @TempDir
-    Path folder;
+    @TempDir Path folder;
 
     private static Ours of(String text) {
         return Ours.of(TomlFile.parse("x.toml", text.replace('|', '\n')));
@@ -27,26 +26,38 @@
     void whatIsAbsentIsOffOrHasItsDefault() {
         assertNull(of("# nothing").remember());
         Ours.Remember r = of("[state]|folder = '/var/x'|every = \"1.5s\"").remember();
-        assertEquals(new Ours.Remember(Path.of("/var/x"), 1_500_000_000L, 0.2, 3, 64 << 20, 500_000_000, 300_000_000,
-                500_000), r);
+        assertEquals(
+                new Ours.Remember(
+                        Path.of("/var/x"),
+                        1_500_000_000L,
+                        0.2,
+                        3,
+                        64 << 20,
+                        500_000_000,
+                        300_000_000,
+                        500_000),
+                r);
     }
 
     @ParameterizedTest
-    @CsvSource(quoteCharacter = '`', value = {
-        "[stat]|folder = 'x', x.toml:1:1: no such table: stat; did you mean state?",
-        "[quite_other], x.toml:1:1: no such table: quite_other",
-        "[state]|  foldr = 'x', x.toml: state.folder is missing",
-        "[state]|folder = 'x'|  evry = '1s', x.toml:3:3: no such key: state.evry; did you mean every?",
-        "[state]|folder = 3, x.toml:2:1: state.folder needs a text in quotes",
-        "[state]|folder = 'x'|every = '10', x.toml:3:1: state.every needs a time such as \"250ms\"",
-        "[state]|folder = 'x'|every = '10ms', x.toml:3:1: state.every needs a time from 50ms to 1h",
-        "[state]|folder = 'x'|keep = 1, x.toml:3:1: state.keep needs a whole number from 2 to 100",
-        "[state]|folder = 'x'|keep = 2.5, x.toml:3:1: state.keep needs a whole number",
-        "[state]|folder = 'x'|jitter = nan, x.toml:3:1: state.jitter needs a number from 0.0 to 0.9",
-        "[state]|folder = 'x'|most_bytes = '1 TB', x.toml:3:1: state.most_bytes needs a size such as",
-        "state = 3, x.toml:1:1: state needs to be a table",
-        "[state]|folder = 'x, x.toml:2:",
-        "[state]|folder = 'x'|folder = 'y', x.toml:3:1: "})
+    @CsvSource(
+            quoteCharacter = '`',
+            value = {
+                "[stat]|folder = 'x', x.toml:1:1: no such table: stat; did you mean state?",
+                "[quite_other], x.toml:1:1: no such table: quite_other",
+                "[state]|  foldr = 'x', x.toml: state.folder is missing",
+                "[state]|folder = 'x'|  evry = '1s', x.toml:3:3: no such key: state.evry; did you mean every?",
+                "[state]|folder = 3, x.toml:2:1: state.folder needs a text in quotes",
+                "[state]|folder = 'x'|every = '10', x.toml:3:1: state.every needs a time such as \"250ms\"",
+                "[state]|folder = 'x'|every = '10ms', x.toml:3:1: state.every needs a time from 50ms to 1h",
+                "[state]|folder = 'x'|keep = 1, x.toml:3:1: state.keep needs a whole number from 2 to 100",
+                "[state]|folder = 'x'|keep = 2.5, x.toml:3:1: state.keep needs a whole number",
+                "[state]|folder = 'x'|jitter = nan, x.toml:3:1: state.jitter needs a number from 0.0 to 0.9",
+                "[state]|folder = 'x'|most_bytes = '1 TB', x.toml:3:1: state.most_bytes needs a size such as",
+                "state = 3, x.toml:1:1: state needs to be a table",
+                "[state]|folder = 'x, x.toml:2:",
+                "[state]|folder = 'x'|folder = 'y', x.toml:3:1: "
+            })
     void aFaultIsNamedByFileLineAndColumn(String text, String message) {
         Fault f = assertThrows(Fault.class, () -> of(text));
         assertTrue(f.getMessage().startsWith(message), f.getMessage());
@@ -62,10 +73,12 @@
         Fault twice = assertThrows(Fault.class, () -> Ours.read(List.of(one, empty, two)));
         assertEquals(two + ": the table state stands in " + one + " too", twice.getMessage());
         Path gone = folder.resolve("gone.toml");
-        assertEquals(gone + ": there is no such file",
+        assertEquals(
+                gone + ": there is no such file",
                 assertThrows(Fault.class, () -> Ours.read(List.of(gone))).getMessage());
         Path bytes = Files.write(folder.resolve("bytes.toml"), new byte[] {'a', (byte) 0xff});
-        assertEquals(bytes + ": is not UTF-8",
+        assertEquals(
+                bytes + ": is not UTF-8",
                 assertThrows(Fault.class, () -> Ours.read(List.of(bytes))).getMessage());
     }
 
@@ -84,8 +97,13 @@
         for (int i = 0; i < 300; i++) {
             String[] words = new String[2];
             for (int w = 0; w < 2; w++) {
-                words[w] = random.ints(random.nextInt(6), 'a', 'd').collect(StringBuilder::new,
-                        StringBuilder::appendCodePoint, StringBuilder::append).toString();
+                words[w] =
+                        random.ints(random.nextInt(6), 'a', 'd')
+                                .collect(
+                                        StringBuilder::new,
+                                        StringBuilder::appendCodePoint,
+                                        StringBuilder::append)
+                                .toString();
             }
             assertEquals(plainly(words[0], words[1]), Nearest.edits(words[0], words[1]));
         }
--- a/sidecar/src/main/java/mulleinlever/sidecar/AcceptFailures.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/AcceptFailures.java
@@ -6,11 +6,13 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Keeps a listener accepting after a failed accept. It pauses for a moment, since the loop would spin while descriptors
- * are short and clients wait in the machine's queue; Netty alone would pause for a second.
+ * Keeps a listener accepting after a failed accept. It pauses for a moment, since the loop would
+ * spin while descriptors are short and clients wait in the machine's queue; Netty alone would pause
+ * for a second.
  */
 final class AcceptFailures extends ChannelInboundHandlerAdapter {
     private static final long PAUSE_MS = 20;
+
     /** From one line of the log to the next. */
     private static final long TELL_NS = 1_000_000_000L;
 
--- a/sidecar/src/main/java/mulleinlever/sidecar/Address.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/Address.java
@@ -4,9 +4,12 @@
 import java.net.InetSocketAddress;
 import java.net.UnknownHostException;
 
-/** Reads address:port. Names are refused: looking one up would stall the event loop, and there is no DNS. */
+/**
+ * Reads address:port. Names are refused: looking one up would stall the event loop, and there is no
+ * DNS.
+ */
 final class Address {
-    private Address() { }
+    private Address() {}
 
     /** The same form for the same address, however it was written. */
     static String text(InetSocketAddress address) {
@@ -19,7 +22,8 @@
         String host = colon < 0 ? "" : text.substring(0, colon).replaceAll("^\\[(.*)]$", "$1");
         String port = text.substring(colon + 1);
         if (!host.matches("\\d{1,3}(\\.\\d{1,3}){3}|[0-9a-fA-F:]*:[0-9a-fA-F:.]*")
-                || !port.matches("\\d{1,5}") || Integer.parseInt(port) > 65_535) {
+                || !port.matches("\\d{1,5}")
+                || Integer.parseInt(port) > 65_535) {
             return null;
         }
         try {
--- a/sidecar/src/main/java/mulleinlever/sidecar/Admit.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/Admit.java
@@ -14,8 +14,9 @@
     private final Route route;
 
     Admit(Settings settings, Book book, Route route) {
-        this.routes = settings.routes().stream()
-                .collect(Collectors.toMap(Settings.Route::name, Function.identity()));
+        this.routes =
+                settings.routes().stream()
+                        .collect(Collectors.toMap(Settings.Route::name, Function.identity()));
         this.book = book;
         this.route = route;
     }
@@ -32,8 +33,10 @@
         Held held = row == null ? null : new Held(client, s);
         if (held == null || !book.take(held)) {
             text.release();
-            String why = s == null ? "no req: the comment with id, c and d is missing"
-                    : row == null ? "no such route" : "this id is in hand";
+            String why =
+                    s == null
+                            ? "no req: the comment with id, c and d is missing"
+                            : row == null ? "no such route" : "this id is in hand";
             client.command(Replies.error(Replies.UNKNOWN, why, 0, true));
             return;
         }
--- a/sidecar/src/main/java/mulleinlever/sidecar/Again.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/Again.java
@@ -3,10 +3,11 @@
 import java.util.SplittableRandom;
 
 /**
- * Decides how long to wait before what has ended is opened anew. Many sidecars lose the same peer at the same moment: by
- * a fixed pause all would come back in step, for as long as it is down. Waits double up to a bound and are drawn from
- * their upper half; only what has stood for longer than the bound begins at the first again, since a peer that accepts
- * and breaks off at once is down too.
+ * Decides how long to wait before what has ended is opened anew. Many sidecars lose the same peer
+ * at the same moment: by a fixed pause all would come back in step, for as long as it is down.
+ * Waits double up to a bound and are drawn from their upper half; only what has stood for longer
+ * than the bound begins at the first again, since a peer that accepts and breaks off at once is
+ * down too.
  */
 final class Again {
     private final long firstNs;
@@ -23,11 +24,16 @@
     }
 
     /**
-     * The longest wait by which a fleet makes two in three of the calls a second that a peer takes from all, on average:
-     * no more than a minute, whatever was set. While it is still bunched, a large one makes more in single seconds.
+     * The longest wait by which a fleet makes two in three of the calls a second that a peer takes
+     * from all, on average: no more than a minute, whatever was set. While it is still bunched, a
+     * large one makes more in single seconds.
      */
     static long mostFor(int sidecars, double callsPerSecond) {
-        return (long) (1e9 * Math.min(60, 2.0 * sidecars / (callsPerSecond > 0.1 ? callsPerSecond : 0.1)));
+        return (long)
+                (1e9
+                        * Math.min(
+                                60,
+                                2.0 * sidecars / (callsPerSecond > 0.1 ? callsPerSecond : 0.1)));
     }
 
     void opened(long nowNs) {
--- a/sidecar/src/main/java/mulleinlever/sidecar/Book.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/Book.java
@@ -39,7 +39,9 @@
         return inHand.size();
     }
 
-    /** A try is over, once; what still comes for it is passed over. A served one answers the req. */
+    /**
+     * A try is over, once; what still comes for it is passed over. A served one answers the req.
+     */
     void ended(Upstream t, Ending ending, ByteBuf served) {
         if (t.ended()) {
             if (served != null) {
--- a/sidecar/src/main/java/mulleinlever/sidecar/Chunked.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/Chunked.java
@@ -5,7 +5,14 @@
 
 /** The lines of one HTTP/1.1 answer that is sent in chunks. */
 abstract class Chunked extends Lines {
-    private enum Part { STATUS, HEADERS, SIZE, DATA, DATA_END, TRAILER }
+    private enum Part {
+        STATUS,
+        HEADERS,
+        SIZE,
+        DATA,
+        DATA_END,
+        TRAILER
+    }
 
     private static final int MOST_HEAD = 8192;
 
--- a/sidecar/src/main/java/mulleinlever/sidecar/Clients.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/Clients.java
@@ -30,15 +30,17 @@
     }
 
     /**
-     * At the most, the one idle for longest goes. If none is idle no more are accepted: they wait in the
-     * machine's queue rather than use up descriptors.
+     * At the most, the one idle for longest goes. If none is idle no more are accepted: they wait
+     * in the machine's queue rather than use up descriptors.
      */
     void opened(TakeIn client, long now) {
         all.add(client);
         if (all.size() >= most) {
-            all.stream().filter(c -> c != client && c.idleNs(now) >= 0)
+            all.stream()
+                    .filter(c -> c != client && c.idleNs(now) >= 0)
                     .max(Comparator.comparingLong(c -> c.idleNs(now)))
-                    .ifPresentOrElse(TakeIn::closeIfIdle, () -> listener.config().setAutoRead(false));
+                    .ifPresentOrElse(
+                            TakeIn::closeIfIdle, () -> listener.config().setAutoRead(false));
         }
     }
 
@@ -50,13 +52,15 @@
     }
 
     /**
-     * Peers that send half a message or take no answers hold memory for as long as they like. Past the most,
-     * the one that has not moved for longest goes; all others are served as ever.
+     * Peers that send half a message or take no answers hold memory for as long as they like. Past
+     * the most, the one that has not moved for longest goes; all others are served as ever.
      */
     void owed(int more) {
         owed += more;
         if (more > 0 && owed > MOST_OWED) {
-            all.stream().filter(TakeIn::owes).min(Comparator.comparingLong(TakeIn::movedNs))
+            all.stream()
+                    .filter(TakeIn::owes)
+                    .min(Comparator.comparingLong(TakeIn::movedNs))
                     .ifPresent(TakeIn::drop);
         }
     }
--- a/sidecar/src/main/java/mulleinlever/sidecar/Clock.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/Clock.java
@@ -4,8 +4,9 @@
 import java.util.function.LongSupplier;
 
 /**
- * The one place where Unix time meets the steady clock: it is read once, at the start, so that a wall clock
- * set back or forth later moves no time limit. Nanoseconds since 1970 keep the start of every pod above 0.
+ * The one place where Unix time meets the steady clock: it is read once, at the start, so that a
+ * wall clock set back or forth later moves no time limit. Nanoseconds since 1970 keep the start of
+ * every pod above 0.
  */
 final class Clock {
     /** A wall clock that is kept in step by small corrections moves less against the steady one. */
@@ -33,7 +34,10 @@
         return System.nanoTime() + aheadNs;
     }
 
-    /** How far the wall clock was stepped forward since the start, in nanoseconds; 0 where it was not. */
+    /**
+     * How far the wall clock was stepped forward since the start, in nanoseconds; 0 where it was
+     * not.
+     */
     long steppedNs() {
         long byNs = wallNs.getAsLong() - now();
         return Math.abs(byNs) < STEP_NS ? 0 : byNs;
--- a/sidecar/src/main/java/mulleinlever/sidecar/Config.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/Config.java
@@ -15,14 +15,24 @@
 import mulleinlever.settings.SettingsFields;
 
 /**
- * What one sidecar is told at its start: read, checked and given defaults here and nowhere else. A fault
- * names the key. The environment's values count where the file lacks one.
+ * What one sidecar is told at its start: read, checked and given defaults here and nowhere else. A
+ * fault names the key. The environment's values count where the file lacks one.
  */
-record Config(String name, InetSocketAddress listen, InetSocketAddress discovery, InetSocketAddress platform,
-        long seed, int sockets, PodList known, News news, Settings settings) {
+record Config(
+        String name,
+        InetSocketAddress listen,
+        InetSocketAddress discovery,
+        InetSocketAddress platform,
+        long seed,
+        int sockets,
+        PodList known,
+        News news,
+        Settings settings) {
     /** Taken where no limit is told: what a process may usually open. */
     private static final int SOCKETS = 1024;
+
     private static final int FEWEST_SOCKETS = 64;
+
     /** What is taken at the start only, in the order of the keys. */
     static final Map<String, Function<Config, Object>> KEPT = kept();
 
@@ -62,11 +72,15 @@
         if (sockets < FEWEST_SOCKETS) {
             throw all.bad("limits.sockets", "at least " + FEWEST_SOCKETS);
         }
-        return new Config(all.text("name", env.getOrDefault("LB_NAME", "sidecar")),
+        return new Config(
+                all.text("name", env.getOrDefault("LB_NAME", "sidecar")),
                 address(all, "listen", env.get("LB_LISTEN")),
                 address(all, "discovery", env.get("LB_DISCOVERY")),
-                address(all, "release_api.address", null), seed(all), (int) Math.min(1 << 20, sockets),
-                all.has("known") ? PodList.read(all.inner("known")) : PodList.NONE, news(all.inner("release_api.news")),
+                address(all, "release_api.address", null),
+                seed(all),
+                (int) Math.min(1 << 20, sockets),
+                all.has("known") ? PodList.read(all.inner("known")) : PodList.NONE,
+                news(all.inner("release_api.news")),
                 settings(all.inner("settings")));
     }
 
@@ -82,8 +96,11 @@
         check(from, "balancers", "more than rank", set.sidecars() > set.rank() && set.rank() >= 0);
         check(from, "stepNs", "0 or more", set.stepNs() >= 0);
         Settings.Rollout rollout = set.rollout();
-        check(from, "familyInfo.mostShares", "as many as steps", !rollout.caps().isEmpty()
-                && rollout.caps().size() == rollout.shares().size());
+        check(
+                from,
+                "familyInfo.mostShares",
+                "as many as steps",
+                !rollout.caps().isEmpty() && rollout.caps().size() == rollout.shares().size());
         check(from, "familyInfo.voteWaitNs", "more than 0", rollout.voteWaitNs() > 0);
         check(from, "policyLimits.maxAttempts", "1 or more", set.limits().maxTries() > 0);
         return set;
@@ -96,8 +113,12 @@
     }
 
     private static News news(JsonFields from) {
-        return new News(from.count("build"), from.count("stage"), Platform.phase(from.text("phase"), from),
-                from.number("cap", 0), Math.max(0, from.whole("age_ms", 0)) * 1_000_000L);
+        return new News(
+                from.count("build"),
+                from.count("stage"),
+                Platform.phase(from.text("phase"), from),
+                from.number("cap", 0),
+                Math.max(0, from.whole("age_ms", 0)) * 1_000_000L);
     }
 
     private static long seed(JsonFields all) {
--- a/sidecar/src/main/java/mulleinlever/sidecar/Counts.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/Counts.java
@@ -5,13 +5,28 @@
 import mulleinlever.Policy;
 
 /**
- * What happened since the last line of the log on it: one line a second while reqs come, which {@code fleetlog}
- * adds up over a fleet. Counting costs an increment; the line is put together once a second, not by req.
+ * What happened since the last line of the log on it: one line a second while reqs come, which
+ * {@code fleetlog} adds up over a fleet. Counting costs an increment; the line is put together once
+ * a second, not by req.
  */
 final class Counts {
-    /** In the order of the line. A req never sent on is counted as that beside how it was answered. */
+    /**
+     * In the order of the line. A req never sent on is counted as that beside how it was answered.
+     */
     enum What {
-        IN, COMPLETED, LATE, SHED, ERRORED, GONE, UNSENT, OVERDUE, OPENED, REUSED, RESTED, REFUSED, TOO_LATE
+        IN,
+        COMPLETED,
+        LATE,
+        SHED,
+        ERRORED,
+        GONE,
+        UNSENT,
+        OVERDUE,
+        OPENED,
+        REUSED,
+        RESTED,
+        REFUSED,
+        TOO_LATE
     }
 
     /** Of each second, so many reqs that got no row are told with their tries. */
@@ -36,7 +51,9 @@
         ends[how.ordinal()]++;
     }
 
-    /** How a req was answered: completed and in time or late, shed, errored, or left by its client. */
+    /**
+     * How a req was answered: completed and in time or late, shed, errored, or left by its client.
+     */
     void answered(Held held, What how) {
         add(how);
         long tookNs = clock.now() - held.takenNs;
@@ -57,11 +74,23 @@
     }
 
     private static String story(Held held, What how, long tookNs) {
-        StringBuilder b = new StringBuilder(held.statement.id).append(' ').append(word(how)).append(" after ")
-                .append(tookNs / 1_000_000).append(" of ").append(held.waitsNs / 1_000_000).append(" ms");
+        StringBuilder b =
+                new StringBuilder(held.statement.id)
+                        .append(' ')
+                        .append(word(how))
+                        .append(" after ")
+                        .append(tookNs / 1_000_000)
+                        .append(" of ")
+                        .append(held.waitsNs / 1_000_000)
+                        .append(" ms");
         for (Upstream t : held.tries) {
-            b.append("; ").append(t.pod).append(" at ").append((t.calledNs - held.takenNs) / 1_000_000).append(' ')
-                    .append(t.ended() ? word(t.how) : "out").append(t.written ? "" : " unwritten");
+            b.append("; ")
+                    .append(t.pod)
+                    .append(" at ")
+                    .append((t.calledNs - held.takenNs) / 1_000_000)
+                    .append(' ')
+                    .append(t.ended() ? word(t.how) : "out")
+                    .append(t.written ? "" : " unwritten");
         }
         return b.toString();
     }
@@ -79,10 +108,27 @@
         }
         stories = 0;
         if (b.length() > 0) {
-            log.say("count", b.append(String.format(Locale.ROOT, "clients=%d links=%d room=%.1f open=%d first=%d "
-                    + "further=%d ease=%.2f ready=%d usable=%d fit=%d cold=%d dark=%d list_age=%.1f", clients, links, sight.room(), sight.open(),
-                    sight.firstTries(), sight.furtherTries(), sight.ease(), sight.ready(), sight.usable(), sight.fit(), sight.cold(),
-                    sight.dark(), listAgeNs / 1e9)).toString());
+            log.say(
+                    "count",
+                    b.append(
+                                    String.format(
+                                            Locale.ROOT,
+                                            "clients=%d links=%d room=%.1f open=%d first=%d "
+                                                    + "further=%d ease=%.2f ready=%d usable=%d fit=%d cold=%d dark=%d list_age=%.1f",
+                                            clients,
+                                            links,
+                                            sight.room(),
+                                            sight.open(),
+                                            sight.firstTries(),
+                                            sight.furtherTries(),
+                                            sight.ease(),
+                                            sight.ready(),
+                                            sight.usable(),
+                                            sight.fit(),
+                                            sight.cold(),
+                                            sight.dark(),
+                                            listAgeNs / 1e9))
+                            .toString());
         }
     }
 
--- a/sidecar/src/main/java/mulleinlever/sidecar/Discovery.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/Discovery.java
@@ -6,15 +6,24 @@
 import mulleinlever.settings.Json;
 import mulleinlever.settings.JsonFields;
 
-/** Watches the list of pods. When a watch ends the module is told, and asks again when it wants to. */
+/**
+ * Watches the list of pods. When a watch ends the module is told, and asks again when it wants to.
+ */
 final class Discovery {
     private static final int LONGEST = 4 << 20;
     private static final long CONNECT_NS = 1_000_000_000L;
-    /** An empty line comes every 2 s; after this long without one, the other end is gone or cut off. */
+
+    /**
+     * An empty line comes every 2 s; after this long without one, the other end is gone or cut off.
+     */
     private static final long SILENT_NS = 2_700_000_000L;
 
-    /** How often the wait for the first byte doubles while calls end without one: the line may be long. */
+    /**
+     * How often the wait for the first byte doubles while calls end without one: the line may be
+     * long.
+     */
     private static final int MOST_DOUBLINGS = 2;
+
     /** An answer that comes slowly is waited for, but not for ever. */
     private static final long OBJECT_NS = 20_000_000_000L;
 
@@ -26,12 +35,20 @@
     private Policy policy;
     private long version;
     private Watch watch;
+
     /** Calls in a row that ended in silence without a byte. */
     private int unanswered;
+
     private int watches;
-    /** When the last line of a watch came, which is when the list was last known to be true; the start before any. */
+
+    /**
+     * When the last line of a watch came, which is when the list was last known to be true; the
+     * start before any.
+     */
     private long heardNs;
+
     private boolean heard;
+
     /** Whether nobody listened at its address when it was asked last. */
     private boolean unreached;
 
@@ -56,8 +73,15 @@
 
     /** Takes a list from a watch. */
     private void take(PodList list) {
-        log.say("discovery", String.format(Locale.ROOT, "list: generation %d after %d, %s, %d entries",
-                list.version(), version, list.whole() ? "whole" : "changes", list.entries().size()));
+        log.say(
+                "discovery",
+                String.format(
+                        Locale.ROOT,
+                        "list: generation %d after %d, %s, %d entries",
+                        list.version(),
+                        version,
+                        list.whole() ? "whole" : "changes",
+                        list.entries().size()));
         version = list.version();
         pods.learn(list);
         if (list.whole()) {
@@ -78,12 +102,18 @@
         return heard || unreached;
     }
 
-    /** How long ago the list was last known to be true, in nanoseconds; before any watch told of it, since the start. */
+    /**
+     * How long ago the list was last known to be true, in nanoseconds; before any watch told of it,
+     * since the start.
+     */
     long ageNs() {
         return clock.now() - heardNs;
     }
 
-    /** Opens a watch in place of any before it, of whose end the module, having asked anew, need not hear. */
+    /**
+     * Opens a watch in place of any before it, of whose end the module, having asked anew, need not
+     * hear.
+     */
     void watch() {
         if (watch != null) {
             watch.drop();
@@ -105,6 +135,7 @@
     private final class Watch extends Chunked {
         private final int number;
         private final JsonObjects objects = new JsonObjects(LONGEST);
+
         /** When the object under way began, at the latest when the one before was whole. */
         private long objectNs = clock.now();
 
@@ -120,8 +151,13 @@
 
         @Override
         String says() {
-            return "GET /discovery/hosts?stream=1&index=" + version + " HTTP/1.1\r\nHost: "
-                    + address.getHostString() + ":" + address.getPort() + "\r\n\r\n";
+            return "GET /discovery/hosts?stream=1&index="
+                    + version
+                    + " HTTP/1.1\r\nHost: "
+                    + address.getHostString()
+                    + ":"
+                    + address.getPort()
+                    + "\r\n\r\n";
         }
 
         @Override
@@ -152,8 +188,17 @@
 
         @Override
         void end(EndReason reason) {
-            log.say("discovery", this + " has ended: " + reason + " " + history() + ", list "
-                    + (heard ? "confirmed " : "never confirmed, taken ") + ageNs() / 1_000_000 + " ms ago");
+            log.say(
+                    "discovery",
+                    this
+                            + " has ended: "
+                            + reason
+                            + " "
+                            + history()
+                            + ", list "
+                            + (heard ? "confirmed " : "never confirmed, taken ")
+                            + ageNs() / 1_000_000
+                            + " ms ago");
             policy.listUnconfirmed(heardNs);
             unanswered = reason == EndReason.SILENT && !begun() ? unanswered + 1 : 0;
             unreached = reason == EndReason.REFUSED;
--- a/sidecar/src/main/java/mulleinlever/sidecar/Flow.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/Flow.java
@@ -4,8 +4,8 @@
 import java.util.Set;
 
 /**
- * Bounds what reqs in hand take: past the most no client is read from until there is room again, so that
- * large values in a burst don't use up the memory.
+ * Bounds what reqs in hand take: past the most no client is read from until there is room again, so
+ * that large values in a burst don't use up the memory.
  */
 final class Flow {
     private static final long MOST = 12L << 20;
--- a/sidecar/src/main/java/mulleinlever/sidecar/Frames.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/Frames.java
@@ -5,19 +5,22 @@
 import mulleinlever.settings.Fault;
 
 /**
- * Cuts a peer's bytes, however they were split, into PostgreSQL's messages. A message is read in place; a
- * part of it that must outlive the next read is taken with {@link #keep}.
+ * Cuts a peer's bytes, however they were split, into PostgreSQL's messages. A message is read in
+ * place; a part of it that must outlive the next read is taken with {@link #keep}.
  */
 final class Frames {
     /** A value of 64 KiB written as hex takes twice that; no honest message is longer than this. */
     static final int LONGEST = 192 * 1024;
+
     private static final int LENGTH = 4;
 
     private final ByteBufAllocator alloc;
     private ByteBuf bytes;
     private int begun;
+
     /** The message at hand: its type, where its body begins and how long that is. */
     char type;
+
     int at;
     int length;
 
--- a/sidecar/src/main/java/mulleinlever/sidecar/Held.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/Held.java
@@ -6,19 +6,30 @@
 
 /** A req taken and not yet done with, or another command that waits for its turn to be answered. */
 final class Held {
-    /** What a req takes besides its text: the buffer it was read into, its tries, what the module keeps. */
+    /**
+     * What a req takes besides its text: the buffer it was read into, its tries, what the module
+     * keeps.
+     */
     private static final int OVERHEAD = 2048;
 
     final TakeIn client;
+
     /** Null for a command that is no req. */
     final Statement statement;
+
     final List<Upstream> tries = new ArrayList<>(2);
-    /** When it was taken, how long an answer earns its full worth, and how long its client waits. */
+
+    /**
+     * When it was taken, how long an answer earns its full worth, and how long its client waits.
+     */
     long takenNs;
+
     long objectiveNs;
     long waitsNs;
+
     /** The answer, once there is one, waiting for those ahead of it on its connection. */
     ByteBuf answer;
+
     boolean answered;
 
     Held(TakeIn client, Statement statement) {
--- a/sidecar/src/main/java/mulleinlever/sidecar/InnerNet.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/InnerNet.java
@@ -2,10 +2,8 @@
 
 import io.netty.bootstrap.Bootstrap;
 import io.netty.bootstrap.ServerBootstrap;
-import io.netty.channel.Channel;
 import io.netty.channel.ChannelFuture;
 import io.netty.channel.ChannelHandler;
-import io.netty.channel.ChannelInitializer;
 import io.netty.channel.local.LocalAddress;
 import io.netty.channel.local.LocalChannel;
 import io.netty.channel.local.LocalIoHandler;
@@ -15,7 +13,10 @@
 import java.util.Map;
 import java.util.function.Supplier;
 
-/** A loop of its own whose connections stay within the process: no socket is opened, whatever the address. */
+/**
+ * A loop of its own whose connections stay within the process: no socket is opened, whatever the
+ * address.
+ */
 final class InnerNet extends Net {
     private final Map<InetSocketAddress, LocalAddress> addresses = new HashMap<>();
 
@@ -23,19 +24,29 @@
         super(log, LocalIoHandler.newFactory());
     }
 
-    /** Another one than any other loop's for the same address: the process keeps one register of them all. */
+    /**
+     * Another one than any other loop's for the same address: the process keeps one register of
+     * them all.
+     */
     private LocalAddress inner(InetSocketAddress at) {
         return addresses.computeIfAbsent(at, a -> new LocalAddress(InnerNet.class));
     }
 
     @Override
     ChannelFuture begin(InetSocketAddress to, long withinNs, ChannelHandler handler) {
-        return new Bootstrap().group(loop).channel(LocalChannel.class).handler(handler).connect(inner(to));
+        return new Bootstrap()
+                .group(loop)
+                .channel(LocalChannel.class)
+                .handler(handler)
+                .connect(inner(to));
     }
 
     @Override
     ChannelFuture listen(InetSocketAddress at, Supplier<ChannelHandler> handlers) {
-        return new ServerBootstrap().group(loop, loop).channel(LocalServerChannel.class)
-                .childHandler(each(handlers)).bind(inner(at));
+        return new ServerBootstrap()
+                .group(loop, loop)
+                .channel(LocalServerChannel.class)
+                .childHandler(each(handlers))
+                .bind(inner(at));
     }
 }
--- a/sidecar/src/main/java/mulleinlever/sidecar/JsonObjects.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/JsonObjects.java
@@ -20,7 +20,8 @@
     /**
      * Takes the next line.
      *
-     * @return the object that ends with this line, a blank text for a blank line between objects, or null within one
+     * @return the object that ends with this line, a blank text for a blank line between objects,
+     *     or null within one
      * @throws Fault where the object is longer than allowed
      */
     String add(String line) {
@@ -54,7 +55,7 @@
             case '"' -> quoted = true;
             case '{', '[' -> depth++;
             case '}', ']' -> depth--;
-            default -> { }
+            default -> {}
         }
     }
 }
--- a/sidecar/src/main/java/mulleinlever/sidecar/Lines.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/Lines.java
@@ -18,7 +18,16 @@
 /** A connection of ours that begins with what we say; then lines of text arrive, split anywhere. */
 abstract class Lines extends ChannelInboundHandlerAdapter {
     /** Why a connection ended. */
-    enum EndReason { REFUSED, CONNECT_FAILED, SILENT, CLOSED_BY_PEER, RESET, STATUS, UNREADABLE, COMPLETE }
+    enum EndReason {
+        REFUSED,
+        CONNECT_FAILED,
+        SILENT,
+        CLOSED_BY_PEER,
+        RESET,
+        STATUS,
+        UNREADABLE,
+        COMPLETE
+    }
 
     /** An HTTP answer whose status is not the one that was asked for. */
     static final class UnexpectedStatus extends RuntimeException {
@@ -29,8 +38,12 @@
         }
     }
 
-    /** What happened on one connection so far, for the log; nanoseconds, 0 where it has not happened. */
+    /**
+     * What happened on one connection so far, for the log; nanoseconds, 0 where it has not
+     * happened.
+     */
     private long openedNs;
+
     private long connectedNs;
     private long firstByteNs;
     private long lastByteNs;
@@ -62,7 +75,7 @@
     abstract void line(String text);
 
     /** Bytes came, be it the middle of a line. */
-    void progress() { }
+    void progress() {}
 
     /** Called once, when the connection has ended for whatever reason but {@link #drop}. */
     abstract void end(EndReason reason);
@@ -70,11 +83,18 @@
     final void open(InetSocketAddress to, long withinNs, long limitNs) {
         openedNs = System.nanoTime();
         limit(limitNs);
-        channel = net.connect(to, withinNs, this, cause -> {
-            connectError = ": " + cause.getMessage();
-            boolean refused = cause instanceof ConnectException && !(cause instanceof ConnectTimeoutException);
-            ended(refused ? EndReason.REFUSED : EndReason.CONNECT_FAILED);
-        });
+        channel =
+                net.connect(
+                        to,
+                        withinNs,
+                        this,
+                        cause -> {
+                            connectError = ": " + cause.getMessage();
+                            boolean refused =
+                                    cause instanceof ConnectException
+                                            && !(cause instanceof ConnectTimeoutException);
+                            ended(refused ? EndReason.REFUSED : EndReason.CONNECT_FAILED);
+                        });
     }
 
     /** It ends after this long, in place of any limit before. */
@@ -110,9 +130,16 @@
 
     /** What happened on this connection and when, in milliseconds since it began to open. */
     final String history() {
-        return String.format(Locale.ROOT, "after %d ms (connected %s, first byte %s, last byte %s; %d bytes, %d lines)",
-                (System.nanoTime() - openedNs) / 1_000_000, sinceOpened(connectedNs), sinceOpened(firstByteNs),
-                sinceOpened(lastByteNs), bytesRead, linesRead) + connectError;
+        return String.format(
+                        Locale.ROOT,
+                        "after %d ms (connected %s, first byte %s, last byte %s; %d bytes, %d lines)",
+                        (System.nanoTime() - openedNs) / 1_000_000,
+                        sinceOpened(connectedNs),
+                        sinceOpened(firstByteNs),
+                        sinceOpened(lastByteNs),
+                        bytesRead,
+                        linesRead)
+                + connectError;
     }
 
     private String sinceOpened(long atNs) {
--- a/sidecar/src/main/java/mulleinlever/sidecar/Log.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/Log.java
@@ -3,7 +3,10 @@
 import java.io.PrintStream;
 import java.util.Locale;
 
-/** A line for each thing worth telling; so many a second at most, since a flood would stall the event loop. */
+/**
+ * A line for each thing worth telling; so many a second at most, since a flood would stall the
+ * event loop.
+ */
 final class Log {
     private static final int MOST_A_SECOND = 20;
 
@@ -38,7 +41,12 @@
         }
         String before = leftOut > 0 ? "(" + leftOut + " lines left out) " : "";
         leftOut = 0;
-        out.println(String.format(Locale.ROOT, "%8.3f %s: %s", sinceMs / 1e3, about,
-                before + text.replaceAll("[\\r\\n\\t]+", " ")));
+        out.println(
+                String.format(
+                        Locale.ROOT,
+                        "%8.3f %s: %s",
+                        sinceMs / 1e3,
+                        about,
+                        before + text.replaceAll("[\\r\\n\\t]+", " ")));
     }
 }
--- a/sidecar/src/main/java/mulleinlever/sidecar/Memory.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/Memory.java
@@ -25,11 +25,15 @@
 import mulleinlever.state.Kept;
 import mulleinlever.state.Taking;
 
-/** What is kept over a restart: read before the first client comes, and captured from time to time. */
+/**
+ * What is kept over a restart: read before the first client comes, and captured from time to time.
+ */
 final class Memory {
     private static final Path MACHINE = Path.of("/etc/machine-id");
+
     /** Between two slices of a capture the loop turns to its connections. */
     private static final long PAUSE_NS = 1_000_000L;
+
     private static final int MOST_LINES = 3;
 
     private final Ours.Remember set;
@@ -57,7 +61,9 @@
         } catch (IOException e) {
             // The keeper says so at each step that needs it.
         }
-        keeper = new Keeper(disk, set.keep(), set.mostBytes(), config.name(), l -> log.say("state", l));
+        keeper =
+                new Keeper(
+                        disk, set.keep(), set.mostBytes(), config.name(), l -> log.say("state", l));
         // The seed alone may stand in a file and be the same at each start.
         random = new SplittableRandom(config.seed() ^ clock.now());
         start = random.nextLong();
@@ -70,7 +76,9 @@
         if (found == null) {
             return;
         }
-        found.passedOver().stream().limit(MOST_LINES).forEach(l -> log.say("state", "passed over " + l));
+        found.passedOver().stream()
+                .limit(MOST_LINES)
+                .forEach(l -> log.say("state", "passed over " + l));
         if (found.kept() == null) {
             log.say("state", "nothing taken: no whole file in " + set.folder());
             found = null;
@@ -79,7 +87,10 @@
         }
     }
 
-    /** The configuration to start from: the list that was kept where it is newer, news that allow less. */
+    /**
+     * The configuration to start from: the list that was kept where it is newer, news that allow
+     * less.
+     */
     Config startsFrom() {
         if (found == null) {
             return config;
@@ -87,13 +98,18 @@
         Kept kept = found.kept();
         News tighter = Taking.tighter(kept.news(), config.news());
         if (tighter != null) {
-            log.say("state", "build " + tighter.build() + " stays " + tighter.phase() + ", as it was kept");
+            log.say(
+                    "state",
+                    "build " + tighter.build() + " stays " + tighter.phase() + ", as it was kept");
         }
         boolean list = Taking.listHolds(kept, ageNs, config.known().version());
         if (list) {
-            log.say("state", "starting from list " + kept.head().listVersion() + ", as it was kept");
+            log.say(
+                    "state",
+                    "starting from list " + kept.head().listVersion() + ", as it was kept");
         }
-        return config.from(list ? list(kept) : config.known(), tighter == null ? config.news() : tighter);
+        return config.from(
+                list ? list(kept) : config.known(), tighter == null ? config.news() : tighter);
     }
 
     private static PodList list(Kept kept) {
@@ -103,7 +119,10 @@
         return new PodList(kept.head().listVersion(), true, entries, addresses);
     }
 
-    /** On the loop, before the first client: gives the policy what still holds, then captures from time to time. */
+    /**
+     * On the loop, before the first client: gives the policy what still holds, then captures from
+     * time to time.
+     */
     void begin(Net on, Stages of) {
         net = on;
         stages = of;
@@ -111,7 +130,13 @@
             Taking.Taken taken = Taking.of(found.kept(), ageNs, here());
             taken.learned().forEach(l -> stages.policy.recall(clock.now(), l));
             boolean moved = !found.kept().head().machine().equals(machine());
-            log.say("state", found.file() + (moved ? ", written on another machine, " : ", ") + age() + ": " + taken);
+            log.say(
+                    "state",
+                    found.file()
+                            + (moved ? ", written on another machine, " : ", ")
+                            + age()
+                            + ": "
+                            + taken);
             found = null;
         }
         later();
@@ -124,26 +149,36 @@
     private Taking.Here here() {
         Map<String, PodEntry> pods = new HashMap<>();
         Map<String, String> addresses = new HashMap<>();
-        stages.policy.learned(clock.now()).forEachRemaining(l -> {
-            if (l instanceof Learned.OfPod p) {
-                pods.put(p.is().id(), p.is());
-                addresses.put(p.is().id(), stages.addressOf(p.is().id()));
-            }
-        });
-        return new Taking.Here(config.settings().zone(), config.settings().routes().stream()
-                .map(Settings.Route::name).collect(Collectors.toSet()), pods, addresses);
+        stages.policy
+                .learned(clock.now())
+                .forEachRemaining(
+                        l -> {
+                            if (l instanceof Learned.OfPod p) {
+                                pods.put(p.is().id(), p.is());
+                                addresses.put(p.is().id(), stages.addressOf(p.is().id()));
+                            }
+                        });
+        return new Taking.Here(
+                config.settings().zone(),
+                config.settings().routes().stream()
+                        .map(Settings.Route::name)
+                        .collect(Collectors.toSet()),
+                pods,
+                addresses);
     }
 
     /** With jitter, so that sidecars that started together do not write together. */
     private void later() {
         double part = 1 + set.jitter() * (2 * random.nextDouble() - 1);
-        net.after((long) (set.everyNs() * part), () -> {
-            if (keeper.idle()) {
-                slice(capture());
-            } else {
-                later();
-            }
-        });
+        net.after(
+                (long) (set.everyNs() * part),
+                () -> {
+                    if (keeper.idle()) {
+                        slice(capture());
+                    } else {
+                        later();
+                    }
+                });
     }
 
     private Capture capture() {
@@ -160,8 +195,17 @@
     }
 
     private Kept kept(Capture c) {
-        return c.kept(new Kept.Head(Version.TEXT, config.name(), machine(), config.settings().zone(), start, 0,
-                clock.now() / 1_000_000, stages.discovery.version()), stages.platform.last(config.news()));
+        return c.kept(
+                new Kept.Head(
+                        Version.TEXT,
+                        config.name(),
+                        machine(),
+                        config.settings().zone(),
+                        start,
+                        0,
+                        clock.now() / 1_000_000,
+                        stages.discovery.version()),
+                stages.platform.last(config.news()));
     }
 
     /** When nothing is in hand any more; all at once, since nobody waits. */
@@ -182,7 +226,9 @@
     private static String machine() {
         try {
             CRC32C mark = new CRC32C();
-            mark.update(Files.readString(MACHINE, StandardCharsets.ISO_8859_1).getBytes(StandardCharsets.ISO_8859_1));
+            mark.update(
+                    Files.readString(MACHINE, StandardCharsets.ISO_8859_1)
+                            .getBytes(StandardCharsets.ISO_8859_1));
             return Long.toHexString(mark.getValue());
         } catch (IOException e) {
             return "";
--- a/sidecar/src/main/java/mulleinlever/sidecar/Net.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/Net.java
@@ -27,12 +27,20 @@
 class Net {
     private static final int BACKLOG = 1024;
     private static final int PAGE = 8192;
+
     /** Chunks of 256 KiB: a process this small would waste most of the usual 4 MiB. */
     private static final int CHUNK_ORDER = 5;
 
-    private final ByteBufAllocator alloc = new PooledByteBufAllocator(true, 0, 1, PAGE, CHUNK_ORDER,
-            PooledByteBufAllocator.defaultSmallCacheSize(), PooledByteBufAllocator.defaultNormalCacheSize(),
-            false);
+    private final ByteBufAllocator alloc =
+            new PooledByteBufAllocator(
+                    true,
+                    0,
+                    1,
+                    PAGE,
+                    CHUNK_ORDER,
+                    PooledByteBufAllocator.defaultSmallCacheSize(),
+                    PooledByteBufAllocator.defaultNormalCacheSize(),
+                    false);
     private final EventLoopGroup group;
     final EventLoop loop;
     private final Log log;
@@ -77,33 +85,48 @@
      * @param failed told on the loop, and never within this call, where it does not come up
      * @return its channel, or null where not even a socket could be had
      */
-    final Channel connect(InetSocketAddress to, long withinNs, ChannelHandler handler, Consumer<Throwable> failed) {
+    final Channel connect(
+            InetSocketAddress to,
+            long withinNs,
+            ChannelHandler handler,
+            Consumer<Throwable> failed) {
         ChannelFuture connecting = begin(to, withinNs, handler);
-        // Without a socket Netty tells of it on a thread of its own, and closing that channel throws.
-        if (connecting.isDone() && !connecting.isSuccess() && !connecting.channel().isRegistered()) {
+        // Without a socket Netty tells of it on a thread of its own, and closing that channel
+        // throws.
+        if (connecting.isDone()
+                && !connecting.isSuccess()
+                && !connecting.channel().isRegistered()) {
             soon(() -> failed.accept(connecting.cause()));
             return null;
         }
-        connecting.addListener(f -> {
-            if (!f.isSuccess()) {
-                failed.accept(f.cause());
-            }
-        });
+        connecting.addListener(
+                f -> {
+                    if (!f.isSuccess()) {
+                        failed.accept(f.cause());
+                    }
+                });
         return connecting.channel();
     }
 
     /** Begins to connect. */
     ChannelFuture begin(InetSocketAddress to, long withinNs, ChannelHandler handler) {
-        return new Bootstrap().group(loop).channel(NioSocketChannel.class).handler(handler)
+        return new Bootstrap()
+                .group(loop)
+                .channel(NioSocketChannel.class)
+                .handler(handler)
                 .option(ChannelOption.ALLOCATOR, alloc)
                 .option(ChannelOption.RECVBUF_ALLOCATOR, reads())
                 .option(ChannelOption.TCP_NODELAY, true)
-                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) Math.max(1, withinNs / 1_000_000))
+                .option(
+                        ChannelOption.CONNECT_TIMEOUT_MILLIS,
+                        (int) Math.max(1, withinNs / 1_000_000))
                 .connect(to);
     }
 
     ChannelFuture listen(InetSocketAddress at, Supplier<ChannelHandler> handlers) {
-        return new ServerBootstrap().group(loop, loop).channel(NioServerSocketChannel.class)
+        return new ServerBootstrap()
+                .group(loop, loop)
+                .channel(NioServerSocketChannel.class)
                 .option(ChannelOption.SO_BACKLOG, BACKLOG)
                 .option(ChannelOption.SO_REUSEADDR, true)
                 .childOption(ChannelOption.ALLOCATOR, alloc)
--- a/sidecar/src/main/java/mulleinlever/sidecar/NettyLog.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/NettyLog.java
@@ -6,8 +6,9 @@
 import java.util.logging.Logger;
 
 /**
- * Passes what Netty warns of to our log. The JDK's own handlers open files for their first line, and their failure, when
- * there are no descriptors left, ends the event loop that had only meant to warn of a failed accept.
+ * Passes what Netty warns of to our log. The JDK's own handlers open files for their first line,
+ * and their failure, when there are no descriptors left, ends the event loop that had only meant to
+ * warn of a failed accept.
  */
 final class NettyLog extends Handler {
     /** Held here, since the JDK itself holds loggers weakly. */
@@ -32,13 +33,15 @@
     @Override
     public void publish(LogRecord told) {
         if (isLoggable(told)) {
-            log.say("netty", told.getMessage() + (told.getThrown() == null ? "" : " " + told.getThrown()));
+            log.say(
+                    "netty",
+                    told.getMessage() + (told.getThrown() == null ? "" : " " + told.getThrown()));
         }
     }
 
     @Override
-    public void flush() { }
+    public void flush() {}
 
     @Override
-    public void close() { }
+    public void close() {}
 }
--- a/sidecar/src/main/java/mulleinlever/sidecar/Patience.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/Patience.java
@@ -3,17 +3,24 @@
 import mulleinlever.Decay;
 
 /**
- * Decides how long a connection to a pod may take to come up before the try that waits for it goes elsewhere: a pod
- * that is paused, lost or cut off holds it for all the time that the settings allow, which can be most of a latency
- * objective. What comes up at all does so within a few times the slowest of late. Where many fail, pods may be slow
- * rather than gone, and giving up sooner would cost them one handshake more each time: then it waits longer.
+ * Decides how long a connection to a pod may take to come up before the try that waits for it goes
+ * elsewhere: a pod that is paused, lost or cut off holds it for all the time that the settings
+ * allow, which can be most of a latency objective. What comes up at all does so within a few times
+ * the slowest of late. Where many fail, pods may be slow rather than gone, and giving up sooner
+ * would cost them one handshake more each time: then it waits longer.
  */
 final class Patience {
     private static final double TIMES_SLOWEST = 3;
+
     /** Fewer show too little of what is usual. */
     private static final double ENOUGH = 20;
-    /** Never under this part of what the settings allow: a collector's pause at either end must not count. */
+
+    /**
+     * Never under this part of what the settings allow: a collector's pause at either end must not
+     * count.
+     */
     private static final double LEAST_PART = 0.1;
+
     private static final long HALF_LIFE_NS = 10_000_000_000L;
 
     private final long mostNs;
@@ -45,6 +52,7 @@
             return mostNs;
         }
         double times = TIMES_SLOWEST * (up + tooLate.read(nowNs)) / up;
-        return (long) Math.min(mostNs, Math.max(LEAST_PART * mostNs, times * slowestNs.read(nowNs)));
+        return (long)
+                Math.min(mostNs, Math.max(LEAST_PART * mostNs, times * slowestNs.read(nowNs)));
     }
 }
--- a/sidecar/src/main/java/mulleinlever/sidecar/Platform.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/Platform.java
@@ -14,16 +14,29 @@
 final class Platform {
     private static final int LONGEST = 8192;
     private static final long CONNECT_NS = 1_000_000_000L;
-    /** A sign of life comes each second: two missed, and what the platform tells may not reach us any more. */
+
+    /**
+     * A sign of life comes each second: two missed, and what the platform tells may not reach us
+     * any more.
+     */
     private static final long SILENT_NS = 2_000_000_000L;
+
     private static final long RETRY_NS = 300_000_000L;
     private static final long ORDER_NS = 1_000_000_000L;
     private static final long MS = 1_000_000L;
+
     /** On trial, then released, or on the way back from either. */
-    private static final List<News.Phase> PHASES = List.of(News.Phase.ON_TRIAL, News.Phase.RELEASED,
-            News.Phase.REVERTING, News.Phase.WITHDRAWN);
-    private static final Comparator<News> FORWARD = Comparator.comparingInt(News::build)
-            .thenComparingInt(n -> PHASES.indexOf(n.phase())).thenComparingInt(News::stage);
+    private static final List<News.Phase> PHASES =
+            List.of(
+                    News.Phase.ON_TRIAL,
+                    News.Phase.RELEASED,
+                    News.Phase.REVERTING,
+                    News.Phase.WITHDRAWN);
+
+    private static final Comparator<News> FORWARD =
+            Comparator.comparingInt(News::build)
+                    .thenComparingInt(n -> PHASES.indexOf(n.phase()))
+                    .thenComparingInt(News::stage);
 
     private final Net net;
     private final Clock clock;
@@ -43,7 +56,11 @@
         this.address = config.platform();
         Settings set = config.settings();
         this.voteWaitNs = set.rollout().voteWaitNs();
-        this.again = new Again(RETRY_NS, Again.mostFor(set.sidecars(), set.rollout().votesPerSecond()), config.seed());
+        this.again =
+                new Again(
+                        RETRY_NS,
+                        Again.mostFor(set.sidecars(), set.rollout().votesPerSecond()),
+                        config.seed());
     }
 
     void reportsTo(Policy decides) {
@@ -61,9 +78,10 @@
     }
 
     /**
-     * News come on two connections, which may be read in another order than they were written in: an old cap
-     * taken for the new one would let too many tries out. A build only goes forward, so what lies behind
-     * the news just heard is left out; not for long, lest one odd line make us deaf.
+     * News come on two connections, which may be read in another order than they were written in:
+     * an old cap taken for the new one would let too many tries out. A build only goes forward, so
+     * what lies behind the news just heard is left out; not for long, lest one odd line make us
+     * deaf.
      */
     private void tell(News n) {
         long now = clock.now();
@@ -82,8 +100,12 @@
     /** The news behind a line's first words. */
     private static News news(String[] words, int from) {
         News.Phase phase = phase(words[from + 2], new JsonFields("platform: ", null));
-        return new News(Integer.parseInt(words[from]), Integer.parseInt(words[from + 1]), phase,
-                Double.parseDouble(words[from + 3]), age(words[from + 4]));
+        return new News(
+                Integer.parseInt(words[from]),
+                Integer.parseInt(words[from + 1]),
+                phase,
+                Double.parseDouble(words[from + 3]),
+                age(words[from + 4]));
     }
 
     private static long age(String ms) {
@@ -106,12 +128,13 @@
     }
 
     void vote(int build, int stage, Verdict verdict) {
-        String word = switch (verdict) {
-            case NONE -> "clear";
-            case ON -> "approve";
-            case HOLD -> "wait";
-            case BACK -> "reject";
-        };
+        String word =
+                switch (verdict) {
+                    case NONE -> "clear";
+                    case ON -> "approve";
+                    case HOLD -> "wait";
+                    case BACK -> "reject";
+                };
         log.say("platform", "vote: build " + build + " stage " + stage + " " + word);
         new Vote("BALLOT " + build + " " + stage + " " + word)
                 .open(address, Math.min(CONNECT_NS, voteWaitNs), voteWaitNs);
@@ -172,22 +195,32 @@
             long now = clock.now();
             switch (w.length > 1 && w[0].equals("*") ? w[1] : "") {
                 case "progress" -> tell(news(w, 2));
-                case "metrics" -> policy.tally(now, w[3], Integer.parseInt(w[2]), Double.parseDouble(w[4]),
-                        Double.parseDouble(w[5]), age(w[6]), age(w[7]));
+                case "metrics" ->
+                        policy.tally(
+                                now,
+                                w[3],
+                                Integer.parseInt(w[2]),
+                                Double.parseDouble(w[4]),
+                                Double.parseDouble(w[5]),
+                                age(w[6]),
+                                age(w[7]));
                 case "complaint" -> policy.flagged(now, w[2], w[3]);
-                default -> { }
+                default -> {}
             }
         }
 
         @Override
         void end(EndReason reason) {
             log.say("platform", "the news have ended: " + reason + " " + history());
-            net.after(again.endedNs(clock.now()), () -> {
-                // Unless the platform has moved meanwhile: news heard twice would count twice.
-                if (listener == this) {
-                    listen();
-                }
-            });
+            net.after(
+                    again.endedNs(clock.now()),
+                    () -> {
+                        // Unless the platform has moved meanwhile: news heard twice would count
+                        // twice.
+                        if (listener == this) {
+                            listen();
+                        }
+                    });
         }
     }
 }
--- a/sidecar/src/main/java/mulleinlever/sidecar/PodLink.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/PodLink.java
@@ -14,15 +14,17 @@
 /** One connection to a pod: opening, then idle, resting or carrying one try. */
 final class PodLink extends ChannelInboundHandlerAdapter {
     /**
-     * A pod in trouble sends an answer twice, the copy up to a millisecond behind: read after the next req was
-     * written, it would be taken for that one's answer.
+     * A pod in trouble sends an answer twice, the copy up to a millisecond behind: read after the
+     * next req was written, it would be taken for that one's answer.
      */
     private static final long REST_NS = 3_000_000L;
 
     final String pod;
     final InetSocketAddress address;
+
     /** When it began to open. */
     final long beganNs;
+
     private final Pods pods;
     private final Relay relay;
     private final Send send;
@@ -31,17 +33,27 @@
     private Channel channel;
     private Frames frames;
     private Future<?> openLimit;
+
     /** The try that waits for this connection to open or to have rested, or is carried by it. */
     private Upstream at;
+
     private boolean up;
     private boolean carries;
+
     /** Whether the pod has said so since the last try. */
     private boolean ready;
+
     private boolean closed;
     final Relay.Answer answer = new Relay.Answer();
     long idleSinceNs;
 
-    PodLink(String pod, InetSocketAddress address, Pods pods, Relay relay, Send send, Clock clock,
+    PodLink(
+            String pod,
+            InetSocketAddress address,
+            Pods pods,
+            Relay relay,
+            Send send,
+            Clock clock,
             Log log) {
         this.pod = pod;
         this.address = address;
@@ -153,7 +165,9 @@
         }
     }
 
-    /** Something came that nobody asked for: a try that waits for the rest to end goes over another. */
+    /**
+     * Something came that nobody asked for: a try that waits for the rest to end goes over another.
+     */
     private void stray() {
         Upstream t = at;
         at = null;
@@ -187,7 +201,8 @@
                 } else if (carries) {
                     relay.message(this, at, frames);
                 } else if (frames.type != 'S' && frames.type != 'N') {
-                    // Nothing was asked: a copy, noise, or the pod says that it is about to end the connection.
+                    // Nothing was asked: a copy, noise, or the pod says that it is about to end the
+                    // connection.
                     stray();
                 }
             }
--- a/sidecar/src/main/java/mulleinlever/sidecar/PodList.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/PodList.java
@@ -7,7 +7,10 @@
 import mulleinlever.PodEntry;
 import mulleinlever.settings.JsonFields;
 
-/** A list of pods as discovery writes it, or the changes since an earlier one, and where each pod listens. */
+/**
+ * A list of pods as discovery writes it, or the changes since an earlier one, and where each pod
+ * listens.
+ */
 record PodList(long version, boolean whole, List<PodEntry> entries, Map<String, String> addresses) {
     /** Before any list was told: discovery is asked for all of it. */
     static final PodList NONE = new PodList(0, true, List.of(), Map.of());
@@ -18,9 +21,16 @@
         for (JsonFields pod : from.all("instances")) {
             String id = pod.text("instanceId");
             PodEntry.State state = pod.word("lifecycle", PodEntry.State.class);
-            entries.add(new PodEntry(id, pod.text("zone", ""), pod.text("machineType", ""),
-                    (int) pod.whole("cell", 0), (int) pod.whole("build", 0), state, pod.number("weight", 1),
-                    Clock.ofUnixMs(pod.whole("startedAtMs", 0))));
+            entries.add(
+                    new PodEntry(
+                            id,
+                            pod.text("zone", ""),
+                            pod.text("machineType", ""),
+                            (int) pod.whole("cell", 0),
+                            (int) pod.whole("build", 0),
+                            state,
+                            pod.number("weight", 1),
+                            Clock.ofUnixMs(pod.whole("startedAtMs", 0))));
             if (state != PodEntry.State.GONE || pod.has("hostPort")) {
                 addresses.put(id, pod.text("hostPort"));
             }
--- a/sidecar/src/main/java/mulleinlever/sidecar/Pods.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/Pods.java
@@ -14,7 +14,9 @@
 
 /** Where the pods listen, and the connections to them that wait for work. */
 final class Pods {
-    /** Idle connections go before the pods' own limit: a req written to a closed one would be lost. */
+    /**
+     * Idle connections go before the pods' own limit: a req written to a closed one would be lost.
+     */
     private static final double IDLE_PART = 0.85;
 
     private static final class Place {
@@ -36,16 +38,27 @@
     private int open;
     private final Counts counts;
 
-    Pods(Net net, Clock clock, Log log, Relay relay, int most, Settings.Limits limits, Counts counts) {
+    Pods(
+            Net net,
+            Clock clock,
+            Log log,
+            Relay relay,
+            int most,
+            Settings.Limits limits,
+            Counts counts) {
         this.counts = counts;
         this.net = net;
         this.clock = clock;
         this.log = log;
         this.relay = relay;
         this.most = most;
-        this.patience = new Patience(limits.connectTimeoutNs() > 0 ? limits.connectTimeoutNs() : 1_000_000_000L);
-        this.idleNs = limits.connectionIdleNs() > 0 ? (long) (IDLE_PART * limits.connectionIdleNs())
-                : Long.MAX_VALUE;
+        this.patience =
+                new Patience(
+                        limits.connectTimeoutNs() > 0 ? limits.connectTimeoutNs() : 1_000_000_000L);
+        this.idleNs =
+                limits.connectionIdleNs() > 0
+                        ? (long) (IDLE_PART * limits.connectionIdleNs())
+                        : Long.MAX_VALUE;
     }
 
     /** Before the module hears of the list, so that it can use all that stands on it. */
@@ -62,11 +75,13 @@
     }
 
     /**
-     * After the module has heard: what waits for a connection to a pod that leaves would be sent there late,
-     * past the time in which that is allowed, so it has failed to connect and the module decides anew.
+     * After the module has heard: what waits for a connection to a pod that leaves would be sent
+     * there late, past the time in which that is allowed, so it has failed to connect and the
+     * module decides anew.
      */
     void retire(PodList list) {
-        Set<String> leaving = list.whole() ? new LinkedHashSet<>(places.keySet()) : new LinkedHashSet<>();
+        Set<String> leaving =
+                list.whole() ? new LinkedHashSet<>(places.keySet()) : new LinkedHashSet<>();
         for (PodEntry e : list.entries()) {
             if (e.state() == PodEntry.State.READY) {
                 leaving.remove(e.id());
@@ -93,8 +108,8 @@
     }
 
     /**
-     * The one used last of those that have rested: those not needed grow old and are closed. Where none has
-     * rested, the one that will have first, since to open another costs the pod more.
+     * The one used last of those that have rested: those not needed grow old and are closed. Where
+     * none has rested, the one that will have first, since to open another costs the pod more.
      */
     PodLink idle(String pod) {
         Place place = places.get(pod);
@@ -104,7 +119,7 @@
         long now = clock.now();
         PodLink found = null;
         for (Iterator<PodLink> i = place.idle.descendingIterator();
-                i.hasNext() && (found == null || found.restNs(now) > 0);) {
+                i.hasNext() && (found == null || found.restNs(now) > 0); ) {
             PodLink l = i.next();
             found = l.usable() && now - l.idleSinceNs < idleNs ? l : found;
         }
@@ -186,7 +201,10 @@
         PodLink oldest = null;
         for (Place p : places.values()) {
             PodLink l = p.idle.peekFirst();
-            oldest = l != null && (oldest == null || l.idleSinceNs < oldest.idleSinceNs) ? l : oldest;
+            oldest =
+                    l != null && (oldest == null || l.idleSinceNs < oldest.idleSinceNs)
+                            ? l
+                            : oldest;
         }
         if (oldest != null) {
             oldest.close();
--- a/sidecar/src/main/java/mulleinlever/sidecar/Rehearsal.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/Rehearsal.java
@@ -17,13 +17,18 @@
 import mulleinlever.Settings;
 
 /**
- * Before the first client comes, reqs of our own pass all stages, on connections that stay within the process
- * and among parts that are thrown away. Code runs many times slower until it is compiled: at a part of a core
- * the reqs of the first seconds, and the compiling that they set off, would come late by seconds.
+ * Before the first client comes, reqs of our own pass all stages, on connections that stay within
+ * the process and among parts that are thrown away. Code runs many times slower until it is
+ * compiled: at a part of a core the reqs of the first seconds, and the compiling that they set off,
+ * would come late by seconds.
  */
 final class Rehearsal {
-    /** Enough for what each req passes to be loaded and mostly compiled; no longer, since others wait for us. */
+    /**
+     * Enough for what each req passes to be loaded and mostly compiled; no longer, since others
+     * wait for us.
+     */
     static final int REQS = 400;
+
     private static final long LONGEST_NS = 1_500_000_000L;
     private static final int CLIENTS = 8;
     private static final byte[] ROW = row();
@@ -72,7 +77,11 @@
         }
         stages.clients.listensAt(net.listen(config.listen(), stages::client).channel());
         for (int i = 0; i < CLIENTS; i++) {
-            net.connect(config.listen(), LONGEST_NS, new Client(), cause -> quiet.say("life", cause.toString()));
+            net.connect(
+                    config.listen(),
+                    LONGEST_NS,
+                    new Client(),
+                    cause -> quiet.say("life", cause.toString()));
         }
     }
 
@@ -117,17 +126,34 @@
             List<Settings.Route> routes = config.settings().routes();
             Settings.Route route = routes.get(asked++ % routes.size());
             boolean read = route.repeat() == Settings.Repeat.RETRIABLE;
-            String text = String.format(read ? "SELECT payload FROM entries WHERE ref = '%016x'"
-                    : "INSERT INTO entries (ref, payload) VALUES ('%016x', '\\x9f03') RETURNING payload", asked % 97)
-                    + String.format(" /* id=%016x,c=%s,t=none,d=%d%s */\0", asked, route.name(),
-                    route.timeoutNs() / 1_000_000, read ? "" : ",k=5c0f6e1a2b3d4c59");
+            String text =
+                    String.format(
+                                    read
+                                            ? "SELECT payload FROM entries WHERE ref = '%016x'"
+                                            : "INSERT INTO entries (ref, payload) VALUES ('%016x', '\\x9f03') RETURNING payload",
+                                    asked % 97)
+                            + String.format(
+                                    " /* id=%016x,c=%s,t=none,d=%d%s */\0",
+                                    asked,
+                                    route.name(),
+                                    route.timeoutNs() / 1_000_000,
+                                    read ? "" : ",k=5c0f6e1a2b3d4c59");
             byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
-            later(ctx, () -> ctx.alloc().buffer(bytes.length + 5).writeByte('Q').writeInt(bytes.length + 4)
-                    .writeBytes(bytes));
+            later(
+                    ctx,
+                    () ->
+                            ctx.alloc()
+                                    .buffer(bytes.length + 5)
+                                    .writeByte('Q')
+                                    .writeInt(bytes.length + 4)
+                                    .writeBytes(bytes));
         }
     }
 
-    /** Within the process a write is read within the call that writes it, where a socket's is read later. */
+    /**
+     * Within the process a write is read within the call that writes it, where a socket's is read
+     * later.
+     */
     private static void later(ChannelHandlerContext ctx, Supplier<ByteBuf> what) {
         ctx.executor().execute(() -> ctx.writeAndFlush(what.get()));
     }
@@ -148,14 +174,24 @@
             while (frames.next(started)) {
                 boolean asked = started;
                 started = true;
-                later(ctx, () -> asked ? ctx.alloc().buffer(ROW.length).writeBytes(ROW) : Replies.welcome());
+                later(
+                        ctx,
+                        () ->
+                                asked
+                                        ? ctx.alloc().buffer(ROW.length).writeBytes(ROW)
+                                        : Replies.welcome());
             }
         }
     }
 
     private static byte[] row() {
         var all = new ByteArrayOutputStream();
-        message(all, 'T', new byte[] {0, 1, 'p', 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 17, -1, -1, -1, -1, -1, -1, 0, 1});
+        message(
+                all,
+                'T',
+                new byte[] {
+                    0, 1, 'p', 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 17, -1, -1, -1, -1, -1, -1, 0, 1
+                });
         message(all, 'D', new byte[] {0, 1, 0, 0, 0, 2, 1, 2});
         message(all, 'C', "SELECT 1\0".getBytes(StandardCharsets.US_ASCII));
         message(all, 'Z', new byte[] {'I'});
--- a/sidecar/src/main/java/mulleinlever/sidecar/Relay.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/Relay.java
@@ -7,8 +7,8 @@
 import mulleinlever.settings.Fault;
 
 /**
- * Fifth stage: what a pod answers. A row is passed on as the pod gave it, and only once it is whole: a pod
- * that dies within one costs a try, not an answer.
+ * Fifth stage: what a pod answers. A row is passed on as the pod gave it, and only once it is
+ * whole: a pod that dies within one costs a try, not an answer.
  */
 final class Relay {
     private final Book book;
@@ -77,14 +77,14 @@
                 book.ended(t, turnedAway ? Ending.FULL : Ending.ERROR, null);
             }
             // Notices and settings change nothing.
-            default -> { }
+            default -> {}
         }
     }
 
     private static String code(Frames at) {
         ByteBuf b = at.bytes();
         int end = at.at + at.length;
-        for (int i = at.at; i < end && b.getByte(i) != 0;) {
+        for (int i = at.at; i < end && b.getByte(i) != 0; ) {
             int zero = b.indexOf(i + 1, end, (byte) 0);
             if (zero < 0) {
                 return "";
--- a/sidecar/src/main/java/mulleinlever/sidecar/Reload.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/Reload.java
@@ -7,14 +7,15 @@
 import mulleinlever.settings.Fault;
 
 /**
- * At each SIGHUP the configuration is read anew: discovery and the platform may have moved. Left to itself
- * the signal ends the process, and with it all that is in hand.
+ * At each SIGHUP the configuration is read anew: discovery and the platform may have moved. Left to
+ * itself the signal ends the process, and with it all that is in hand.
  */
 final class Reload {
     private final Map<String, String> env;
     private final Net net;
     private final Log log;
     private Config at;
+
     /** Null while the sidecar starts. */
     private Stages stages;
 
@@ -32,33 +33,42 @@
         stages.platform.moved(at.platform());
     }
 
-    /** Looked up by name: the JDK has no other way to a signal, and the compiler warns of any use of this. */
+    /**
+     * Looked up by name: the JDK has no other way to a signal, and the compiler warns of any use of
+     * this.
+     */
     void listen() {
         try {
             Class<?> signal = Class.forName("sun.misc.Signal");
             Class<?> handler = Class.forName("sun.misc.SignalHandler");
-            Object ours = Proxy.newProxyInstance(handler.getClassLoader(), new Class<?>[] {handler},
-                    (self, method, args) -> {
-                        heard();
-                        return null;
-                    });
-            signal.getMethod("handle", signal, handler).invoke(null,
-                    signal.getConstructor(String.class).newInstance("HUP"), ours);
+            Object ours =
+                    Proxy.newProxyInstance(
+                            handler.getClassLoader(),
+                            new Class<?>[] {handler},
+                            (self, method, args) -> {
+                                heard();
+                                return null;
+                            });
+            signal.getMethod("handle", signal, handler)
+                    .invoke(null, signal.getConstructor(String.class).newInstance("HUP"), ours);
         } catch (ReflectiveOperationException | IllegalArgumentException e) {
             log.say("reload", "SIGHUP can't be heard here: " + e);
         }
     }
 
     /**
-     * On the signal's own thread, since a long list would hold up the loop; one at a time, so that the file
-     * read last is the one taken last. Whatever is wrong with the file, what was told before stands.
+     * On the signal's own thread, since a long list would hold up the loop; one at a time, so that
+     * the file read last is the one taken last. Whatever is wrong with the file, what was told
+     * before stands.
      */
     private synchronized void heard() {
         Config next;
         try {
             next = Config.load(env);
         } catch (RuntimeException e) {
-            log.say("reload", "nothing is changed: " + (e instanceof Fault ? e.getMessage() : e.toString()));
+            log.say(
+                    "reload",
+                    "nothing is changed: " + (e instanceof Fault ? e.getMessage() : e.toString()));
             return;
         }
         net.soon(() -> take(next));
@@ -71,8 +81,15 @@
                 left.add(key);
             }
         }
-        log.say("reload", "discovery at " + next.discovery() + ", platform at " + next.platform()
-                + (left.isEmpty() ? "" : "; a restart is needed for " + String.join(", ", left)));
+        log.say(
+                "reload",
+                "discovery at "
+                        + next.discovery()
+                        + ", platform at "
+                        + next.platform()
+                        + (left.isEmpty()
+                                ? ""
+                                : "; a restart is needed for " + String.join(", ", left)));
         at = next;
         if (stages != null) {
             actsOn(stages);
--- a/sidecar/src/main/java/mulleinlever/sidecar/Replies.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/Replies.java
@@ -17,20 +17,37 @@
     private static final ByteBuf NO_CRYPTO = fixed(new byte[] {'N'});
     private static final ByteBuf HELLO = startup();
 
-    private Replies() { }
+    private Replies() {}
 
     private static ByteBuf fixed(byte[] bytes) {
         ByteBuf all = Unpooled.directBuffer(bytes.length).writeBytes(bytes);
         return Unpooled.unreleasableBuffer(all).asReadOnly();
     }
 
-    /** AuthenticationOk, no password being asked for; the settings that client libraries insist on; ready. */
+    /**
+     * AuthenticationOk, no password being asked for; the settings that client libraries insist on;
+     * ready.
+     */
     private static ByteBuf welcoming() {
-        String[] settings = {"server_version", "16.0", "server_encoding", "UTF8", "client_encoding", "UTF8",
-            "DateStyle", "ISO, MDY", "integer_datetimes", "on", "standard_conforming_strings", "on"};
+        String[] settings = {
+            "server_version",
+            "16.0",
+            "server_encoding",
+            "UTF8",
+            "client_encoding",
+            "UTF8",
+            "DateStyle",
+            "ISO, MDY",
+            "integer_datetimes",
+            "on",
+            "standard_conforming_strings",
+            "on"
+        };
         ByteBuf all = Unpooled.buffer().writeBytes(new byte[] {'R', 0, 0, 0, 8, 0, 0, 0, 0});
         for (int i = 0; i < settings.length; i += 2) {
-            byte[] words = (settings[i] + "\0" + settings[i + 1] + "\0").getBytes(StandardCharsets.US_ASCII);
+            byte[] words =
+                    (settings[i] + "\0" + settings[i + 1] + "\0")
+                            .getBytes(StandardCharsets.US_ASCII);
             all.writeByte('S').writeInt(4 + words.length).writeBytes(words);
         }
         all.writeBytes(new byte[] {'Z', 0, 0, 0, 5, 'I'});
@@ -41,7 +58,8 @@
 
     private static ByteBuf startup() {
         byte[] words = "user\0web\0database\0orders\0\0".getBytes(StandardCharsets.US_ASCII);
-        ByteBuf all = Unpooled.buffer().writeInt(8 + words.length).writeInt(3 << 16).writeBytes(words);
+        ByteBuf all =
+                Unpooled.buffer().writeInt(8 + words.length).writeInt(3 << 16).writeBytes(words);
         byte[] bytes = new byte[all.readableBytes()];
         all.readBytes(bytes);
         return fixed(bytes);
--- a/sidecar/src/main/java/mulleinlever/sidecar/Route.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/Route.java
@@ -17,7 +17,14 @@
     private final Log log;
     private Policy policy;
 
-    Route(Net net, Clock clock, Book book, Send send, Discovery discovery, Platform platform, Log log) {
+    Route(
+            Net net,
+            Clock clock,
+            Book book,
+            Send send,
+            Discovery discovery,
+            Platform platform,
+            Log log) {
         this.net = net;
         this.clock = clock;
         this.book = book;
@@ -42,7 +49,10 @@
 
     @Override
     public void shed(String rq, long backoffNs) {
-        answer(rq, Counts.What.SHED, Replies.error(Replies.SHED, "shed: try again", backoffNs / 1_000_000, true));
+        answer(
+                rq,
+                Counts.What.SHED,
+                Replies.error(Replies.SHED, "shed: try again", backoffNs / 1_000_000, true));
     }
 
     @Override
--- a/sidecar/src/main/java/mulleinlever/sidecar/Send.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/Send.java
@@ -24,7 +24,8 @@
 
     void start(Held held, String pod, long writeWithinNs, long limitNs) {
         long now = clock.now();
-        Upstream t = new Upstream(held, held.tries.size(), pod, now, now + writeWithinNs, now + limitNs);
+        Upstream t =
+                new Upstream(held, held.tries.size(), pod, now, now + writeWithinNs, now + limitNs);
         held.tries.add(t);
         if (held.answered || limitNs <= 0) {
             net.soon(() -> book.ended(t, Ending.MOOT, null));
@@ -70,7 +71,10 @@
         }
     }
 
-    /** The text goes on as it was read but for the time that is left: a new head, then the parts around it. */
+    /**
+     * The text goes on as it was read but for the time that is left: a new head, then the parts
+     * around it.
+     */
     void write(Upstream t, PodLink link) {
         if (clock.now() > t.writeByNs) {
             t.link = null;
--- a/sidecar/src/main/java/mulleinlever/sidecar/Serve.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/Serve.java
@@ -7,7 +7,6 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
-import mulleinlever.Policy;
 import mulleinlever.Settings;
 import mulleinlever.settings.Fault;
 import mulleinlever.settings.Ours;
@@ -16,12 +15,16 @@
 public final class Serve {
     private static final long MS = 1_000_000L;
     private static final long SECOND = 1_000 * MS;
+
     /** Who sends to us hears late that we leave. */
     private static final long LEAVING_NS = 500 * MS;
+
     /** What was taken last may be answered this much after its route timeout. */
     private static final long SLACK_NS = 100 * MS;
+
     /** From the start of the process: until then it waits for a list that is known to be true. */
     private static final long LIST_WITHIN_NS = 5 * SECOND;
+
     private static final long LIST_LOOK_NS = 20 * MS;
     private static final long LISTEN_AGAIN_NS = 250 * MS;
     private static final int LISTEN_TRIES = 40;
@@ -29,8 +32,10 @@
     private static final long LATE_NS = 50 * MS;
 
     private final Config config;
+
     /** Null where nothing is remembered. */
     private final Memory memory;
+
     private final Clock clock;
     private final Log log;
     private final Life life;
@@ -71,7 +76,8 @@
             return 2;
         }
         // Not even named where it is off: what it needs is not on the bare daemon's class path.
-        Memory memory = ours.remember() == null ? null : new Memory(ours.remember(), config, clock, log);
+        Memory memory =
+                ours.remember() == null ? null : new Memory(ours.remember(), config, clock, log);
         Serve serve = new Serve(env, config, memory, clock, log);
         Runtime.getRuntime().addShutdownHook(new Thread(serve::stop, "stop"));
         AtomicInteger code = new AtomicInteger();
@@ -80,19 +86,22 @@
             // Discovery may have a long line, so it is asked while the rehearsal goes on.
             serve.net.soon(serve::prepare);
         }
-        Rehearsal.play(config, played -> {
-            log.say("life", played.toString());
-            serve.remember();
-            serve.net.soon(() -> {
-                try {
-                    serve.start(code);
-                } catch (RuntimeException e) {
-                    log.say("life", "can't start: " + e);
-                    code.set(2);
-                    serve.end();
-                }
-            });
-        });
+        Rehearsal.play(
+                config,
+                played -> {
+                    log.say("life", played.toString());
+                    serve.remember();
+                    serve.net.soon(
+                            () -> {
+                                try {
+                                    serve.start(code);
+                                } catch (RuntimeException e) {
+                                    log.say("life", "can't start: " + e);
+                                    code.set(2);
+                                    serve.end();
+                                }
+                            });
+                });
         serve.done.await();
         serve.forgo();
         return code.get();
@@ -141,7 +150,10 @@
         }
     }
 
-    /** Without a list that is known to be true requests are better served elsewhere; but not for long. */
+    /**
+     * Without a list that is known to be true requests are better served elsewhere; but not for
+     * long.
+     */
     private void listenOnceListed(AtomicInteger code) {
         if (life.is(Life.Phase.ENDED)) {
             return;
@@ -156,18 +168,19 @@
     /** A predecessor may hold the address for a moment after it was told to go. */
     private void listen(int tries, AtomicInteger code) {
         ChannelFuture listening = net.listen(config.listen(), stages::client);
-        listening.addListener(f -> {
-            if (f.isSuccess()) {
-                stages.clients.listensAt(listening.channel());
-                life.enter(Life.Phase.SERVING);
-            } else if (tries > 1) {
-                net.after(LISTEN_AGAIN_NS, () -> listen(tries - 1, code));
-            } else {
-                log.say("life", "can't listen at " + config.listen() + ": " + f.cause());
-                code.set(2);
-                end();
-            }
-        });
+        listening.addListener(
+                f -> {
+                    if (f.isSuccess()) {
+                        stages.clients.listensAt(listening.channel());
+                        life.enter(Life.Phase.SERVING);
+                    } else if (tries > 1) {
+                        net.after(LISTEN_AGAIN_NS, () -> listen(tries - 1, code));
+                    } else {
+                        log.say("life", "can't listen at " + config.listen() + ": " + f.cause());
+                        code.set(2);
+                        end();
+                    }
+                });
     }
 
     /** All time limits are as late as the loop is. */
@@ -175,7 +188,9 @@
         long now = clock.now();
         long late = now - lastNs - WATCH_NS;
         if (late > LATE_NS) {
-            log.say("loop", "late by " + late / MS + " ms, " + stages.book.count() + " reqs in hand");
+            log.say(
+                    "loop",
+                    "late by " + late / MS + " ms, " + stages.book.count() + " reqs in hand");
         }
         lastNs = now;
     }
@@ -185,13 +200,14 @@
         if (life.is(Life.Phase.ENDED)) {
             return;
         }
-        net.soon(() -> {
-            if (life.is(Life.Phase.STARTING)) {
-                end();
-            } else if (life.enter(Life.Phase.LEAVING)) {
-                net.after(LEAVING_NS, this::finish);
-            }
-        });
+        net.soon(
+                () -> {
+                    if (life.is(Life.Phase.STARTING)) {
+                        end();
+                    } else if (life.enter(Life.Phase.LEAVING)) {
+                        net.after(LEAVING_NS, this::finish);
+                    }
+                });
         try {
             done.await(1, TimeUnit.MINUTES);
             forgo();
@@ -203,14 +219,19 @@
     private void finish() {
         life.enter(Life.Phase.FINISHING);
         stages.clients.finish();
-        long longest = config.settings().routes().stream().mapToLong(Settings.Route::timeoutNs).max()
-                .orElse(0);
+        long longest =
+                config.settings().routes().stream()
+                        .mapToLong(Settings.Route::timeoutNs)
+                        .max()
+                        .orElse(0);
         net.after(longest + SLACK_NS, this::end);
-        net.every(10 * MS, () -> {
-            if (stages.clients.count() == 0) {
-                end();
-            }
-        });
+        net.every(
+                10 * MS,
+                () -> {
+                    if (stages.clients.count() == 0) {
+                        end();
+                    }
+                });
     }
 
     private void end() {
--- a/sidecar/src/main/java/mulleinlever/sidecar/Stages.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/Stages.java
@@ -4,10 +4,15 @@
 import mulleinlever.Policy;
 import mulleinlever.Settings;
 
-/** The stages that a req passes and what stands beside them, put together around one {@link Policy}. */
+/**
+ * The stages that a req passes and what stands beside them, put together around one {@link Policy}.
+ */
 final class Stages {
-    /** Descriptors for clients and for pods; the rest is for the files, the platform and discovery. */
+    /**
+     * Descriptors for clients and for pods; the rest is for the files, the platform and discovery.
+     */
     private static final double CLIENTS_PART = 0.55;
+
     private static final double PODS_PART = 0.35;
 
     final Clients clients;
@@ -30,11 +35,26 @@
         clients = new Clients((int) (CLIENTS_PART * config.sockets()), life);
         counts = new Counts(clock, log);
         book = new Book(clock, counts);
-        pods = new Pods(net, clock, log, new Relay(book), (int) (PODS_PART * config.sockets()), set.limits(),
-                counts);
+        pods =
+                new Pods(
+                        net,
+                        clock,
+                        log,
+                        new Relay(book),
+                        (int) (PODS_PART * config.sockets()),
+                        set.limits(),
+                        counts);
         discovery = new Discovery(net, clock, log, config.discovery(), pods);
         platform = new Platform(net, clock, log, config);
-        Route route = new Route(net, clock, book, new Send(net, clock, book, pods), discovery, platform, log);
+        Route route =
+                new Route(
+                        net,
+                        clock,
+                        book,
+                        new Send(net, clock, book, pods),
+                        discovery,
+                        platform,
+                        log);
         policy = new Policy(set, config.seed(), clock.now(), route);
         book.reportsTo(policy);
         route.asks(policy);
--- a/sidecar/src/main/java/mulleinlever/sidecar/Statement.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/Statement.java
@@ -9,20 +9,27 @@
 
     /** The text with the zero behind it. */
     final ByteBuf text;
+
     String id;
     String route;
     String tenant;
     boolean repeat;
     long waitsMs = -1;
-    /** Where the number stands that says how long the client waits: each pod is told its own there. */
+
+    /**
+     * Where the number stands that says how long the client waits: each pod is told its own there.
+     */
     int waitsAt;
+
     int waitsLength;
 
     private Statement(ByteBuf text) {
         this.text = text;
     }
 
-    /** Null where the text is not in the form that reqs have; it is left to the caller to release. */
+    /**
+     * Null where the text is not in the form that reqs have; it is left to the caller to release.
+     */
     static Statement read(ByteBuf text) {
         Statement s = new Statement(text);
         int end = text.readerIndex() + text.readableBytes() - 1;
@@ -42,7 +49,7 @@
     }
 
     private boolean fields(int from, int to) {
-        for (int i = from; i < to;) {
+        for (int i = from; i < to; ) {
             int comma = text.indexOf(i, to, (byte) ',');
             int end = comma < 0 ? to : comma;
             int a = i;
@@ -63,7 +70,8 @@
     }
 
     private boolean field(int nameAt, int is, int from, int to) {
-        boolean isId = is == nameAt + 2 && text.getByte(nameAt) == 'i' && text.getByte(nameAt + 1) == 'd';
+        boolean isId =
+                is == nameAt + 2 && text.getByte(nameAt) == 'i' && text.getByte(nameAt + 1) == 'd';
         if (isId) {
             id = word(from, to);
         }
@@ -80,7 +88,7 @@
                 waitsMs = digits(from, to);
                 return waitsMs >= 0;
             }
-            default -> { }
+            default -> {}
         }
         return true;
     }
@@ -105,7 +113,10 @@
         return text.getByte(text.readerIndex()) == 'I' || text.getByte(text.readerIndex()) == 'i';
     }
 
-    /** What the req is about: the row named by up to 16 hex digits between quotes; -1 where there is none. */
+    /**
+     * What the req is about: the row named by up to 16 hex digits between quotes; -1 where there is
+     * none.
+     */
     long key() {
         int from = text.indexOf(text.readerIndex(), text.writerIndex(), (byte) '\'') + 1;
         long key = 0;
--- a/sidecar/src/main/java/mulleinlever/sidecar/TakeIn.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/TakeIn.java
@@ -10,11 +10,16 @@
 import java.util.ArrayDeque;
 import mulleinlever.settings.Fault;
 
-/** First stage: one client's connection, from its bytes to its commands, and the answers in their order. */
+/**
+ * First stage: one client's connection, from its bytes to its commands, and the answers in their
+ * order.
+ */
 final class TakeIn extends ChannelInboundHandlerAdapter {
     private static final int MOST_IN_LINE = 32;
+
     /** Against peers that go silent before or within a message, or take no answer. */
     private static final long STUCK_NS = 10_000_000_000L;
+
     private static final int SSL = 80_877_103;
     private static final int GSS = 80_877_104;
 
@@ -30,8 +35,12 @@
     private boolean started;
     private boolean closing;
     private long movedNs;
-    /** What waits for the client itself: the message it has half sent, the answers it has not taken. */
+
+    /**
+     * What waits for the client itself: the message it has half sent, the answers it has not taken.
+     */
     private int halfRead;
+
     private int untaken;
 
     TakeIn(Admit admit, Clients clients, Flow flow, Book book, Clock clock, Log log) {
@@ -105,13 +114,18 @@
         return line.size() < MOST_IN_LINE && channel.isWritable();
     }
 
-    /** Not at once: the module may be in the middle of a call, and what is read next becomes another. */
+    /**
+     * Not at once: the module may be in the middle of a call, and what is read next becomes
+     * another.
+     */
     void resumeSoon() {
-        channel.eventLoop().execute(() -> {
-            if (channel.isActive() && !closing) {
-                decode();
-            }
-        });
+        channel.eventLoop()
+                .execute(
+                        () -> {
+                            if (channel.isActive() && !closing) {
+                                decode();
+                            }
+                        });
     }
 
     private void startup() {
@@ -129,7 +143,8 @@
     private void command() {
         switch (frames.type) {
             case 'Q' -> {
-                if (frames.length < 1 || frames.bytes().getByte(frames.at + frames.length - 1) != 0) {
+                if (frames.length < 1
+                        || frames.bytes().getByte(frames.at + frames.length - 1) != 0) {
                     throw new Fault("a query without its end");
                 }
                 admit.query(this, frames.keep());
--- a/sidecar/src/main/java/mulleinlever/sidecar/Upstream.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/Upstream.java
@@ -9,13 +9,17 @@
     final int no;
     final String pod;
     final long calledNs;
+
     /** It is written by then or not at all. */
     final long writeByNs;
+
     final long untilNs;
     PodLink link;
     Future<?> limit;
+
     /** Whether the last byte of the req was handed to the network: from then on it may have run. */
     boolean written;
+
     /** How it ended; null until it has. */
     Ending how;
 
--- a/sidecar/src/test/java/mulleinlever/sidecar/AgainTest.java
+++ b/sidecar/src/test/java/mulleinlever/sidecar/AgainTest.java
@@ -11,9 +11,12 @@
     private static final long MS = 1_000_000L;
     private static final long S = 1_000 * MS;
 
-    private record Call(long atNs, int by) { }
+    private record Call(long atNs, int by) {}
 
-    /** The most calls in any second once the waits have grown, while a peer that all lost at once stays down. */
+    /**
+     * The most calls in any second once the waits have grown, while a peer that all lost at once
+     * stays down.
+     */
     private static int mostCallsASecond(int sidecars, double callsPerSecond, long failsAfterNs) {
         Again[] all = new Again[sidecars];
         var agenda = new PriorityQueue<Call>((a, b) -> Long.compare(a.atNs, b.atNs));
@@ -39,12 +42,22 @@
 
     @Test
     void aFleetWhosePlatformIsDownCallsItOutOfStep() {
-        assertTrue(mostCallsASecond(14, 16, MS) <= 16, mostCallsASecond(14, 16, MS) + " refused at once");
-        // Waits of 6 to 12 s spread a hundred that began in step too little for each second to stay under 16.
-        assertTrue(mostCallsASecond(100, 16, MS) <= 24, mostCallsASecond(100, 16, MS) + " refused at once");
-        assertTrue(mostCallsASecond(100, 100, MS) <= 100, mostCallsASecond(100, 100, MS) + " refused at once");
-        // A silent one is given up after 2 s: without chance all would come within the same moment for ever.
-        assertTrue(mostCallsASecond(14, 16, 2 * S) <= 10, mostCallsASecond(14, 16, 2 * S) + " after silence");
+        assertTrue(
+                mostCallsASecond(14, 16, MS) <= 16,
+                mostCallsASecond(14, 16, MS) + " refused at once");
+        // Waits of 6 to 12 s spread a hundred that began in step too little for each second to stay
+        // under 16.
+        assertTrue(
+                mostCallsASecond(100, 16, MS) <= 24,
+                mostCallsASecond(100, 16, MS) + " refused at once");
+        assertTrue(
+                mostCallsASecond(100, 100, MS) <= 100,
+                mostCallsASecond(100, 100, MS) + " refused at once");
+        // A silent one is given up after 2 s: without chance all would come within the same moment
+        // for ever.
+        assertTrue(
+                mostCallsASecond(14, 16, 2 * S) <= 10,
+                mostCallsASecond(14, 16, 2 * S) + " after silence");
     }
 
     @Test
@@ -59,12 +72,15 @@
             int inRow = 0;
             for (int i = 0; i < 50; i++) {
                 a.opened(now);
-                long stands = random.nextBoolean() ? random.nextLong(100 * MS) : random.nextLong(12 * S);
+                long stands =
+                        random.nextBoolean() ? random.nextLong(100 * MS) : random.nextLong(12 * S);
                 inRow = stands > bound + first ? 0 : inRow;
                 now += stands;
                 long wait = a.endedNs(now);
                 double full = Math.min(bound, first * Math.pow(2, inRow++));
-                assertTrue(wait >= (long) full / 2 && wait <= full, "seed " + seed + ": " + wait + " of " + full);
+                assertTrue(
+                        wait >= (long) full / 2 && wait <= full,
+                        "seed " + seed + ": " + wait + " of " + full);
                 now += wait;
             }
         }
--- a/sidecar/src/test/java/mulleinlever/sidecar/ClockTest.java
+++ b/sidecar/src/test/java/mulleinlever/sidecar/ClockTest.java
@@ -9,7 +9,8 @@
 class ClockTest {
     private static final long HOUR_NS = 3_600_000_000_000L;
 
-    // Time limits and windows are spans of the steady clock; a step of the wall clock is only noticed.
+    // Time limits and windows are spans of the steady clock; a step of the wall clock is only
+    // noticed.
     @Test
     void aStepOfTheWallClockMovesNoTimeLimitAndIsNoticed() {
         AtomicLong stepNs = new AtomicLong();
--- a/sidecar/src/test/java/mulleinlever/sidecar/DecodersTest.java
+++ b/sidecar/src/test/java/mulleinlever/sidecar/DecodersTest.java
@@ -29,7 +29,7 @@
     /** The bytes in pieces of random length. */
     private static List<ByteBuf> cut(byte[] all, SplittableRandom random) {
         List<ByteBuf> pieces = new ArrayList<>();
-        for (int at = 0; at < all.length;) {
+        for (int at = 0; at < all.length; ) {
             int n = Math.min(all.length - at, 1 + random.nextInt(random.nextBoolean() ? 3 : 200));
             pieces.add(ByteBufAllocator.DEFAULT.buffer(n).writeBytes(all, at, n));
             at += n;
@@ -100,42 +100,83 @@
             fields.put(pair[0], pair[1]);
         }
         String waits = fields.getOrDefault("d", "-1");
-        return !fields.containsKey("id") || !fields.containsKey("c") ? null
-                : fields.get("id") + " " + fields.get("c") + " " + fields.get("t") + " " + Long.parseLong(waits)
-                        + " " + "1".equals(fields.get("r"));
+        return !fields.containsKey("id") || !fields.containsKey("c")
+                ? null
+                : fields.get("id")
+                        + " "
+                        + fields.get("c")
+                        + " "
+                        + fields.get("t")
+                        + " "
+                        + Long.parseLong(waits)
+                        + " "
+                        + "1".equals(fields.get("r"));
     }
 
     @Test
     void commentsAreReadAsAPlainReadingDoes() {
         SplittableRandom random = new SplittableRandom(2);
-        String[] parts = {"id=9b1f", "c=basket", "t=acme", "d=480", "d=", "d=x", "d=0", "r=1", "r=10", "k=5c0f",
-            "x", "idea=3", "=", "cc=a", " t=b ", "d=1234567890"};
+        String[] parts = {
+            "id=9b1f",
+            "c=basket",
+            "t=acme",
+            "d=480",
+            "d=",
+            "d=x",
+            "d=0",
+            "r=1",
+            "r=10",
+            "k=5c0f",
+            "x",
+            "idea=3",
+            "=",
+            "cc=a",
+            " t=b ",
+            "d=1234567890"
+        };
         int read = 0;
         for (int round = 0; round < 20 * ROUNDS; round++) {
             List<String> some = new ArrayList<>(List.of("id=" + round, "c=get"));
             for (int i = random.nextInt(4); i > 0; i--) {
                 some.add(random.nextInt(some.size() + 1), parts[random.nextInt(parts.length)]);
             }
-            String text = "SELECT '/* c=no */' " + (random.nextInt(9) == 0 ? "" : "/*") + " "
-                    + String.join(",", some) + " */" + " ".repeat(random.nextInt(3));
+            String text =
+                    "SELECT '/* c=no */' "
+                            + (random.nextInt(9) == 0 ? "" : "/*")
+                            + " "
+                            + String.join(",", some)
+                            + " */"
+                            + " ".repeat(random.nextInt(3));
             ByteBuf b = Unpooled.copiedBuffer(text + "\0", StandardCharsets.UTF_8);
             Statement s = Statement.read(b);
-            String got = s == null ? null
-                    : s.id + " " + s.route + " " + s.tenant + " " + s.waitsMs + " " + s.repeat;
+            String got =
+                    s == null
+                            ? null
+                            : s.id + " " + s.route + " " + s.tenant + " " + s.waitsMs + " "
+                                    + s.repeat;
             assertEquals(plainly(text), got, text);
             read += s == null ? 0 : 1;
             if (s != null && s.waitsMs >= 0) {
-                assertEquals(s.waitsMs,
-                        Long.parseLong(b.toString(s.waitsAt, s.waitsLength, StandardCharsets.UTF_8)));
+                assertEquals(
+                        s.waitsMs,
+                        Long.parseLong(
+                                b.toString(s.waitsAt, s.waitsLength, StandardCharsets.UTF_8)));
             }
         }
         assertEquals(true, read > ROUNDS);
     }
 
     @ParameterizedTest
-    @CsvSource({"SELECT '7f3a9c21e0b4d655', 7f3a9c21e0b4d655", "SELECT 'ff', ff", "SELECT 'zz', ",
-        "SELECT 'fa3a9c21e0b4d655', 7a3a9c21e0b4d655", "SELECT '', ", "SELECT 1, ",
-        "SELECT '7f3a9c21e0b4d6551', ", "SELECT '7f3a, "})
+    @CsvSource({
+        "SELECT '7f3a9c21e0b4d655', 7f3a9c21e0b4d655",
+        "SELECT 'ff', ff",
+        "SELECT 'zz', ",
+        "SELECT 'fa3a9c21e0b4d655', 7a3a9c21e0b4d655",
+        "SELECT '', ",
+        "SELECT 1, ",
+        "SELECT '7f3a9c21e0b4d6551', ",
+        "SELECT '7f3a, "
+    })
     void theRowNamedIsTheKey(String text, String key) {
         ByteBuf b = Unpooled.copiedBuffer(text + " /* id=1,c=get,d=5 */\0", StandardCharsets.UTF_8);
         assertEquals(key == null ? -1 : Long.parseLong(key, 16), Statement.read(b).key());
@@ -150,11 +191,16 @@
                 expected.add("x".repeat(random.nextInt(60)));
             }
             byte[] text = (String.join("\n", expected) + "\r\n").getBytes();
-            StringBuilder all = new StringBuilder("HTTP/1.1 200 OK\r\nTransfer-Encoding: Chunked\r\nA: b\r\n\r\n");
+            StringBuilder all =
+                    new StringBuilder(
+                            "HTTP/1.1 200 OK\r\nTransfer-Encoding: Chunked\r\nA: b\r\n\r\n");
             for (ByteBuf chunk : cut(text, random)) {
                 byte[] part = bytes(chunk);
-                all.append(Integer.toHexString(part.length)).append(random.nextBoolean() ? ";a=b" : "")
-                        .append("\r\n").append(new String(part)).append("\r\n");
+                all.append(Integer.toHexString(part.length))
+                        .append(random.nextBoolean() ? ";a=b" : "")
+                        .append("\r\n")
+                        .append(new String(part))
+                        .append("\r\n");
             }
             all.append("0\r\n\r\n");
             List<String> got = new ArrayList<>();
@@ -166,12 +212,17 @@
     }
 
     @ParameterizedTest
-    @CsvSource({"HTTP/1.1 503 Busy|", "HTTP/1.1 200 OK|Content-Length: 5||hello",
-        "HTTP/1.1 200 OK|Transfer-Encoding: chunked||zz|", "HTTP/1.1 200 OK|Transfer-Encoding: chunked||-5|"})
+    @CsvSource({
+        "HTTP/1.1 503 Busy|",
+        "HTTP/1.1 200 OK|Content-Length: 5||hello",
+        "HTTP/1.1 200 OK|Transfer-Encoding: chunked||zz|",
+        "HTTP/1.1 200 OK|Transfer-Encoding: chunked||-5|"
+    })
     void otherAnswersEndTheWatch(String text) {
         List<String> got = new ArrayList<>();
         EmbeddedChannel channel = new EmbeddedChannel(lines(got));
-        channel.writeInbound(Unpooled.copiedBuffer(text.replace("|", "\r\n"), StandardCharsets.US_ASCII));
+        channel.writeInbound(
+                Unpooled.copiedBuffer(text.replace("|", "\r\n"), StandardCharsets.US_ASCII));
         assertEquals(List.of("ended"), got);
     }
 
@@ -201,25 +252,30 @@
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', value = {
-        "\"127.0.0.1:1\"|\"localhost:1\"|configuration: listen needs an IP address and port, not localhost:1",
-        "\"seed\":\"8c1f30d27a5be964\"|\"seed\":\"xyz\"|configuration: seed needs up to 16 hex digits",
-        "\"sockets\":99|\"sockets\":9|configuration: limits.sockets needs at least 64",
-        "\"phase\":\"live\"|\"phase\":\"odd\"|configuration: release_api.news.phase needs testing, recalling",
-        "\"rank\":0,||configuration: settings.rank is missing",
-        "\"rank\":0|\"rank\":5|configuration: settings.balancers needs more than rank",
-        "\"repeat\":\"keyed\"|\"repeat\":\"x\"|configuration: settings.grades.1.repeat needs safe, keyed or unsafe",
-        "\"aimNs\":500000000|\"aimNs\":0|configuration: settings.grades.0.aimNs needs more than 0",
-        "\"mostShares\":[0.2,|\"mostShares\":[|configuration: settings.familyInfo.mostShares needs as many as steps",
-        "\"voteWaitNs\":5|\"voteWaitNs\":x5|JSON: expected a value at character",
-        "\"settings\":{|\"set\":{|configuration: settings needs an object"})
+    @CsvSource(
+            delimiter = '|',
+            value = {
+                "\"127.0.0.1:1\"|\"localhost:1\"|configuration: listen needs an IP address and port, not localhost:1",
+                "\"seed\":\"8c1f30d27a5be964\"|\"seed\":\"xyz\"|configuration: seed needs up to 16 hex digits",
+                "\"sockets\":99|\"sockets\":9|configuration: limits.sockets needs at least 64",
+                "\"phase\":\"live\"|\"phase\":\"odd\"|configuration: release_api.news.phase needs testing, recalling",
+                "\"rank\":0,||configuration: settings.rank is missing",
+                "\"rank\":0|\"rank\":5|configuration: settings.balancers needs more than rank",
+                "\"repeat\":\"keyed\"|\"repeat\":\"x\"|configuration: settings.grades.1.repeat needs safe, keyed or unsafe",
+                "\"aimNs\":500000000|\"aimNs\":0|configuration: settings.grades.0.aimNs needs more than 0",
+                "\"mostShares\":[0.2,|\"mostShares\":[|configuration: settings.familyInfo.mostShares needs as many as steps",
+                "\"voteWaitNs\":5|\"voteWaitNs\":x5|JSON: expected a value at character",
+                "\"settings\":{|\"set\":{|configuration: settings needs an object"
+            })
     void aFaultyConfigurationIsNamedByItsKey(String there, String instead, String message) {
         String known = "{\"generation\":1,\"instances\":[]}";
         String good = StandIns.config("127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3", known, 99);
         assertEquals(99, Config.read(good, Map.of()).sockets());
         String bad = good.replace(there, instead == null ? "" : instead);
         Fault fault = assertThrows(Fault.class, () -> Config.read(bad, Map.of()));
-        assertEquals(message, fault.getMessage().substring(0, Math.min(message.length(),
-                fault.getMessage().length())));
+        assertEquals(
+                message,
+                fault.getMessage()
+                        .substring(0, Math.min(message.length(), fault.getMessage().length())));
     }
 }
--- a/sidecar/src/test/java/mulleinlever/sidecar/FailingCallsTest.java
+++ b/sidecar/src/test/java/mulleinlever/sidecar/FailingCallsTest.java
@@ -16,7 +16,7 @@
 class FailingCallsTest extends StandIns {
     private static final int DESCRIPTORS = 80;
 
-    FailingCallsTest() throws IOException { }
+    FailingCallsTest() throws IOException {}
 
     /** Connections that say nothing, more than the process has descriptors for. */
     private List<Socket> exhaust() throws Exception {
@@ -34,7 +34,8 @@
         }
     }
 
-    // A watch for which no socket could be had threw within its own end, and was never opened again.
+    // A watch for which no socket could be had threw within its own end, and was never opened
+    // again.
     @Test
     void aWatchIsOpenedAgainThoughNoSocketCouldBeHadForIt() throws Exception {
         pod((q, out) -> give(out, "v"));
@@ -49,7 +50,8 @@
         until(() -> discovery.told.size() == 2);
     }
 
-    // An attempt for which no socket could be had was told of it by another thread, or waited for its time limit.
+    // An attempt for which no socket could be had was told of it by another thread, or waited for
+    // its time limit.
     @Test
     void anAttemptForWhichNoSocketCouldBeHadIsAnsweredAtOnce() throws Exception {
         pod((q, out) -> give(out, "v"));
--- a/sidecar/src/test/java/mulleinlever/sidecar/HeldUpTest.java
+++ b/sidecar/src/test/java/mulleinlever/sidecar/HeldUpTest.java
@@ -15,17 +15,25 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** The program held up between reading its clock and writing, and attempts that wait before they are written. */
+/**
+ * The program held up between reading its clock and writing, and attempts that wait before they are
+ * written.
+ */
 @Timeout(90)
 class HeldUpTest extends StandIns {
     private static final Pattern ID = Pattern.compile("id=([0-9a-f]+)");
+
     /** {@code windowNs} of the tests' configuration. */
     private static final long WINDOW_MS = 400;
 
-    HeldUpTest() throws IOException { }
+    HeldUpTest() throws IOException {}
 
     private void signal(String name) throws Exception {
-        assertEquals(0, new ProcessBuilder("kill", "-" + name, String.valueOf(process.pid())).start().waitFor());
+        assertEquals(
+                0,
+                new ProcessBuilder("kill", "-" + name, String.valueOf(process.pid()))
+                        .start()
+                        .waitFor());
     }
 
     private static String id(String query) {
@@ -36,44 +44,51 @@
 
     /** A server that takes so long to let a connection in. */
     private Listener slowToLetIn(long ms, Answers answers) throws IOException {
-        Listener server = new Listener((in, out) -> {
-            in.skipBytes(in.readInt() - 4);
-            Thread.sleep(ms);
-            out.write(new byte[] {'R', 0, 0, 0, 8, 0, 0, 0, 0, 'Z', 0, 0, 0, 5, 'I'});
-            while (in.read() == 'Q') {
-                byte[] text = in.readNBytes(in.readInt() - 4);
-                if (!answers.to(new String(text, 0, text.length - 1), out)) {
-                    return;
-                }
-            }
-        });
+        Listener server =
+                new Listener(
+                        (in, out) -> {
+                            in.skipBytes(in.readInt() - 4);
+                            Thread.sleep(ms);
+                            out.write(
+                                    new byte[] {'R', 0, 0, 0, 8, 0, 0, 0, 0, 'Z', 0, 0, 0, 5, 'I'});
+                            while (in.read() == 'Q') {
+                                byte[] text = in.readNBytes(in.readInt() - 4);
+                                if (!answers.to(new String(text, 0, text.length - 1), out)) {
+                                    return;
+                                }
+                            }
+                        });
         pods.add(server);
         return server;
     }
 
-    // A repeat that waited for its connection was written after the servers may have forgotten the first attempt.
+    // A repeat that waited for its connection was written after the servers may have forgotten the
+    // first attempt.
     @Test
     void aRepeatIsWrittenWithinItsWindowOrNotAtAll() throws Exception {
         Map<String, Long> firstMs = new ConcurrentHashMap<>();
         List<Long> gaps = new ArrayList<>();
-        Answers failsLate = (q, out) -> {
-            firstMs.putIfAbsent(id(q), System.nanoTime() / 1_000_000);
-            Thread.sleep(290);
-            return refuse(out, "XX000");
-        };
+        Answers failsLate =
+                (q, out) -> {
+                    firstMs.putIfAbsent(id(q), System.nanoTime() / 1_000_000);
+                    Thread.sleep(290);
+                    return refuse(out, "XX000");
+                };
         pod(failsLate);
         pod((q, out) -> give(out, "v"));
         // Idle connections are closed after a second: each repeat opens one of its own.
-        slowToLetIn(200, (q, out) -> {
-            Long first = firstMs.get(id(q));
-            if (first != null) {
-                synchronized (gaps) {
-                    gaps.add(System.nanoTime() / 1_000_000 - first);
-                }
-            }
-            give(out, "v");
-            return false;
-        });
+        slowToLetIn(
+                200,
+                (q, out) -> {
+                    Long first = firstMs.get(id(q));
+                    if (first != null) {
+                        synchronized (gaps) {
+                            gaps.add(System.nanoTime() / 1_000_000 - first);
+                        }
+                    }
+                    give(out, "v");
+                    return false;
+                });
         start();
         try (Client client = new Client()) {
             for (int i = 0; i < 60; i++) {
@@ -81,26 +96,30 @@
             }
         }
         assertFalse(firstMs.isEmpty());
-        gaps.forEach(ms -> assertTrue(ms <= WINDOW_MS, "written " + ms + " ms after the first attempt"));
+        gaps.forEach(
+                ms -> assertTrue(ms <= WINDOW_MS, "written " + ms + " ms after the first attempt"));
     }
 
-    // Held up for 0.15 s again and again: what is due meanwhile is answered within half a second of its time.
+    // Held up for 0.15 s again and again: what is due meanwhile is answered within half a second of
+    // its time.
     @Test
     void answersAreInTimeThoughTheProcessIsHeldUp() throws Exception {
-        pod((q, out) -> {
-            Thread.sleep(30_000);
-            return false;
-        });
+        pod(
+                (q, out) -> {
+                    Thread.sleep(30_000);
+                    return false;
+                });
         start();
         AtomicBoolean over = new AtomicBoolean();
-        thread(() -> {
-            while (!over.get()) {
-                signal("STOP");
-                Thread.sleep(150);
-                signal("CONT");
-                Thread.sleep(100);
-            }
-        });
+        thread(
+                () -> {
+                    while (!over.get()) {
+                        signal("STOP");
+                        Thread.sleep(150);
+                        signal("CONT");
+                        Thread.sleep(100);
+                    }
+                });
         try (Client client = new Client()) {
             for (int i = 0; i < 12; i++) {
                 long fromNs = System.nanoTime();
--- a/sidecar/src/test/java/mulleinlever/sidecar/MemoryTest.java
+++ b/sidecar/src/test/java/mulleinlever/sidecar/MemoryTest.java
@@ -21,12 +21,13 @@
 @Timeout(120)
 class MemoryTest extends StandIns {
     private static final long MOST = 1 << 20;
+
     /** How often the process is killed; more for a long run, outside CI. */
     private static final int KILLS = Integer.getInteger("kills", 8);
 
     private Path state;
 
-    MemoryTest() throws IOException { }
+    MemoryTest() throws IOException {}
 
     @BeforeEach
     void remembers() throws IOException {
@@ -35,8 +36,12 @@
     }
 
     private Path settings(String more) throws IOException {
-        return Files.writeString(folder.resolve("state.toml"), "[state]\nfolder = '" + state
-                + "'\nevery = '50ms'\nslice = '0.05ms'\nread_within = '1s'\n" + more);
+        return Files.writeString(
+                folder.resolve("state.toml"),
+                "[state]\nfolder = '"
+                        + state
+                        + "'\nevery = '50ms'\nslice = '0.05ms'\nread_within = '1s'\n"
+                        + more);
     }
 
     private Keeper.Found newest() throws IOException {
@@ -65,10 +70,11 @@
         // The first and the third are in the sidecar's own zone, where its reqs go first.
         pod((q, out) -> give(out, "v"));
         pod((q, out) -> give(out, "v"));
-        pod((q, out) -> {
-            Thread.sleep(60);
-            return give(out, "v");
-        });
+        pod(
+                (q, out) -> {
+                    Thread.sleep(60);
+                    return give(out, "v");
+                });
         start();
         assertTrue(logged().contains("state: nothing taken: no whole file in"), logged());
         try (Client c = new Client()) {
@@ -81,11 +87,14 @@
         long last = newest().kept().head().unixMs();
         assertTrue(System.currentTimeMillis() - last < 3_000);
         start();
-        String taken = logged().lines().filter(l -> l.contains("state: state-")).findFirst().orElseThrow();
-        assertTrue(taken.matches(".*state-\\d{12}\\.mls, \\d\\.\\d+ s old: .*[23] pods, 1 routes.*"), taken);
+        String taken =
+                logged().lines().filter(l -> l.contains("state: state-")).findFirst().orElseThrow();
+        assertTrue(
+                taken.matches(".*state-\\d{12}\\.mls, \\d\\.\\d+ s old: .*[23] pods, 1 routes.*"),
+                taken);
         // A pod that listens elsewhere now is not the one that was slow.
         kill();
-        pods.set(2, new Listener((in, out) -> { }));
+        pods.set(2, new Listener((in, out) -> {}));
         start();
         taken = logged().lines().filter(l -> l.contains("state: state-")).findFirst().orElseThrow();
         assertTrue(taken.contains("1 pods at another address"), taken);
@@ -102,13 +111,14 @@
             assertFalse(logged().contains("passed over"), logged());
             assertTrue(before == 0 || logged().contains("state: " + Keeper.name(before)), logged());
             AtomicInteger served = new AtomicInteger();
-            thread(() -> {
-                try (Client c = new Client()) {
-                    while (true) {
-                        served.addAndGet(c.ask(get("1", 800)).equals("TDvC") ? 1 : 0);
-                    }
-                }
-            });
+            thread(
+                    () -> {
+                        try (Client c = new Client()) {
+                            while (true) {
+                                served.addAndGet(c.ask(get("1", 800)).equals("TDvC") ? 1 : 0);
+                            }
+                        }
+                    });
             long from = sequence();
             until(() -> sequence() > from && served.get() > 20);
             Thread.sleep(random.nextInt(150));
@@ -167,7 +177,8 @@
     }
 
     private void pipe(String name) throws Exception {
-        assertEquals(0, new ProcessBuilder("mkfifo", state.resolve(name).toString()).start().waitFor());
+        assertEquals(
+                0, new ProcessBuilder("mkfifo", state.resolve(name).toString()).start().waitFor());
     }
 
     @Test
@@ -207,14 +218,23 @@
         pod((q, out) -> give(out, "v"));
         settings("evry = '1s'\n");
         // Not by start(), which waits for an answer.
-        var b = new ProcessBuilder(Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-cp",
-                System.getProperty("java.class.path"), ServeMain.class.getName(), "serve", "--with",
-                folder.resolve("state.toml").toString());
+        var b =
+                new ProcessBuilder(
+                        Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                        "-cp",
+                        System.getProperty("java.class.path"),
+                        ServeMain.class.getName(),
+                        "serve",
+                        "--with",
+                        folder.resolve("state.toml").toString());
         port = 1;
         b.environment().put("LB_CONFIG", configure(256).toString());
-        process = b.redirectErrorStream(true).redirectOutput(folder.resolve("log").toFile()).start();
+        process =
+                b.redirectErrorStream(true).redirectOutput(folder.resolve("log").toFile()).start();
         assertTrue(process.waitFor(10, TimeUnit.SECONDS));
         assertEquals(2, process.exitValue());
-        assertTrue(logged().contains("state.toml:6:1: no such key: state.evry; did you mean every?"), logged());
+        assertTrue(
+                logged().contains("state.toml:6:1: no such key: state.evry; did you mean every?"),
+                logged());
     }
 }
--- a/sidecar/src/test/java/mulleinlever/sidecar/PatienceTest.java
+++ b/sidecar/src/test/java/mulleinlever/sidecar/PatienceTest.java
@@ -13,9 +13,12 @@
     private static final long MS = 1_000_000L;
     private static final long MOST = 250 * MS;
 
-    private record Seen(long atNs, long tookNs) { }
+    private record Seen(long atNs, long tookNs) {}
 
-    /** Slow and plain: from all that was ever seen, each part faded by its age. A failure took nothing. */
+    /**
+     * Slow and plain: from all that was ever seen, each part faded by its age. A failure took
+     * nothing.
+     */
     private static long model(List<Seen> all, long now) {
         double slowest = 0;
         double up = 0;
@@ -27,7 +30,9 @@
             down += s.tookNs > 0 ? 0 : left;
         }
         boolean little = all.stream().filter(s -> s.tookNs > 0).count() < 20;
-        return little ? MOST : (long) Math.min(MOST, Math.max(25 * MS, 3 * slowest * (up + down) / up));
+        return little
+                ? MOST
+                : (long) Math.min(MOST, Math.max(25 * MS, 3 * slowest * (up + down) / up));
     }
 
     @Test
--- a/sidecar/src/test/java/mulleinlever/sidecar/RehearsalTest.java
+++ b/sidecar/src/test/java/mulleinlever/sidecar/RehearsalTest.java
@@ -11,8 +11,9 @@
 
 /** What passes all stages before the first client comes. */
 class RehearsalTest {
-    private static final String POD = "{\"instanceId\":\"p0\",\"hostPort\":\"127.0.0.9:6543\",\"zone\":\"a\","
-            + "\"machineType\":\"m\",\"cell\":0,\"lifecycle\":\"ready\",\"weight\":1.0,\"startedAtMs\":0,\"build\":1}";
+    private static final String POD =
+            "{\"instanceId\":\"p0\",\"hostPort\":\"127.0.0.9:6543\",\"zone\":\"a\","
+                    + "\"machineType\":\"m\",\"cell\":0,\"lifecycle\":\"ready\",\"weight\":1.0,\"startedAtMs\":0,\"build\":1}";
 
     private static BlockingQueue<Rehearsal> play(String pods) {
         String known = "{\"generation\":7,\"reset\":true,\"instances\":[" + pods + "]}";
--- a/sidecar/src/test/java/mulleinlever/sidecar/Soak.java
+++ b/sidecar/src/test/java/mulleinlever/sidecar/Soak.java
@@ -16,8 +16,9 @@
 import java.util.regex.Pattern;
 
 /**
- * One seeded run of the program among servers, a discovery and a platform that fail: what happens, when and to whom is drawn
- * from the seed. Whatever breaks a rule is collected; times are milliseconds of the monotonic clock.
+ * One seeded run of the program among servers, a discovery and a platform that fail: what happens,
+ * when and to whom is drawn from the seed. Whatever breaks a rule is collected; times are
+ * milliseconds of the monotonic clock.
  */
 final class Soak extends StandIns {
     private static final Pattern ID = Pattern.compile("'([^']*)'.*id=([0-9a-f]+),c=(\\w+)");
@@ -30,19 +31,28 @@
     private static final long GRACE_MS = 250;
     private static final long WINDOW_MS = 400;
     private static final long LATE_MS = 500;
+
     /** How late the threads of this rig may see what happened. */
     private static final long RIG_MS = 100;
+
     private static final long FOREVER = Long.MAX_VALUE / 2;
 
-    private enum Mode { RIGHT, CROWDED, SILENT, SLOW }
+    private enum Mode {
+        RIGHT,
+        CROWDED,
+        SILENT,
+        SLOW
+    }
 
     /** One server: what the list says of it, since when, and how it behaves. */
     private final class Server {
         final int number;
         volatile String state = "ready";
         volatile long leftMs = FOREVER;
+
         /** When discovery wrote to the sidecar that it leaves. */
         volatile long writtenMs = FOREVER;
+
         volatile int resets;
         volatile int errors;
         volatile long delayMs;
@@ -59,9 +69,19 @@
                 broken("unknown statement " + query);
                 return false;
             }
-            long toldMs = Math.min(Math.min(writtenMs, leftMs + TOLD_MS), movedMs > leftMs ? movedMs + TOLD_MOVED_MS : FOREVER);
+            long toldMs =
+                    Math.min(
+                            Math.min(writtenMs, leftMs + TOLD_MS),
+                            movedMs > leftMs ? movedMs + TOLD_MOVED_MS : FOREVER);
             if (!state.equals("ready") && now > toldMs + GRACE_MS + RIG_MS) {
-                broken("drain: p" + number + " got " + m.group(2) + " " + (now - toldMs) + " ms after told");
+                broken(
+                        "drain: p"
+                                + number
+                                + " got "
+                                + m.group(2)
+                                + " "
+                                + (now - toldMs)
+                                + " ms after told");
             }
             if (state.equals("draining")) {
                 return refuse(out, "53300");
@@ -83,8 +103,17 @@
 
         private void ran(String id, String route, long now) {
             long[] first = ran.computeIfAbsent(id, i -> new long[] {now, number});
-            if (route.equals("put") && (first[1] % 2 != number % 2 || now > first[0] + WINDOW_MS + RIG_MS)) {
-                broken("duplicate: put " + id + " at p" + first[1] + ", " + (now - first[0]) + " ms later at p" + number);
+            if (route.equals("put")
+                    && (first[1] % 2 != number % 2 || now > first[0] + WINDOW_MS + RIG_MS)) {
+                broken(
+                        "duplicate: put "
+                                + id
+                                + " at p"
+                                + first[1]
+                                + ", "
+                                + (now - first[0])
+                                + " ms later at p"
+                                + number);
             }
         }
     }
@@ -130,7 +159,7 @@
 
     private void serveList(DataInputStream in, DataOutputStream out) throws Exception {
         line(in);
-        while (!line(in).isEmpty()) { }
+        while (!line(in).isEmpty()) {}
         if (mode == Mode.CROWDED) {
             Thread.sleep(1_000);
             out.writeBytes("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
@@ -146,11 +175,16 @@
             if (at == told) {
                 chunk(out, "\n");
             } else {
-                String[] entries = servers.stream().filter(s -> !s.state.equals("gone"))
-                        .map(s -> entry(s.number, 1, s.state)).toArray(String[]::new);
-                List<Server> leaving = servers.stream().filter(s -> !s.state.equals("ready")).toList();
+                String[] entries =
+                        servers.stream()
+                                .filter(s -> !s.state.equals("gone"))
+                                .map(s -> entry(s.number, 1, s.state))
+                                .toArray(String[]::new);
+                List<Server> leaving =
+                        servers.stream().filter(s -> !s.state.equals("ready")).toList();
                 chunk(out, list(at, true, entries) + "\n");
-                leaving.stream().filter(s -> !s.state.equals("ready"))
+                leaving.stream()
+                        .filter(s -> !s.state.equals("ready"))
                         .forEach(s -> s.writtenMs = Math.min(s.writtenMs, now()));
                 told = at;
             }
@@ -185,17 +219,18 @@
 
     /** It drains, ends, listens again before it is listed, and is listed. */
     private void replace(Server s, long drainsMs, long gone, long unlisted) {
-        thread(() -> {
-            change(s, "draining");
-            Thread.sleep(drainsMs);
-            change(s, "gone");
-            pods.get(s.number).close();
-            Thread.sleep(gone);
-            pods.get(s.number).reopen();
-            tell("p" + s.number + " listens");
-            Thread.sleep(unlisted);
-            change(s, "ready");
-        });
+        thread(
+                () -> {
+                    change(s, "draining");
+                    Thread.sleep(drainsMs);
+                    change(s, "gone");
+                    pods.get(s.number).close();
+                    Thread.sleep(gone);
+                    pods.get(s.number).reopen();
+                    tell("p" + s.number + " listens");
+                    Thread.sleep(unlisted);
+                    change(s, "ready");
+                });
     }
 
     private void event() throws Exception {
@@ -206,7 +241,11 @@
             case 0, 1, 2 -> {
                 long ready = servers.stream().filter(o -> o.state.equals("ready")).count();
                 if (s.state.equals("ready") && ready > SERVERS / 2) {
-                    replace(s, 500 + random.nextInt(1_500), 2_000 + random.nextInt(5_000), 1_000 + random.nextInt(4_000));
+                    replace(
+                            s,
+                            500 + random.nextInt(1_500),
+                            2_000 + random.nextInt(5_000),
+                            1_000 + random.nextInt(4_000));
                 }
             }
             case 3 -> {
@@ -223,10 +262,11 @@
                 configure(256);
                 movedMs = now();
                 hangUp();
-                thread(() -> {
-                    Thread.sleep(1_500);
-                    old.close();
-                });
+                thread(
+                        () -> {
+                            Thread.sleep(1_500);
+                            old.close();
+                        });
             }
             case 10 -> {
                 s.resets += random.nextInt(4);
@@ -245,7 +285,10 @@
         }
     }
 
-    /** Discovery can be reached and tells nobody anything, for longer than it takes until changes count as told. */
+    /**
+     * Discovery can be reached and tells nobody anything, for longer than it takes until changes
+     * count as told.
+     */
     private void beginOutage() throws IOException {
         mode = random.nextBoolean() ? Mode.CROWDED : Mode.SILENT;
         outageEndsMs = now() + 8_000 + random.nextInt(4_000);
@@ -282,9 +325,23 @@
         asked.incrementAndGet();
         String answer;
         try {
-            answer = c.ask(put
-                    ? "INSERT INTO entries (ref) VALUES ('" + ref + "') /* id=" + id + ",c=put,t=acme,d=" + waitsMs + ",k=5c0f */"
-                    : "SELECT payload FROM entries WHERE ref = '" + ref + "' /* id=" + id + ",c=get,t=acme,d=" + waitsMs + " */");
+            answer =
+                    c.ask(
+                            put
+                                    ? "INSERT INTO entries (ref) VALUES ('"
+                                            + ref
+                                            + "') /* id="
+                                            + id
+                                            + ",c=put,t=acme,d="
+                                            + waitsMs
+                                            + ",k=5c0f */"
+                                    : "SELECT payload FROM entries WHERE ref = '"
+                                            + ref
+                                            + "' /* id="
+                                            + id
+                                            + ",c=get,t=acme,d="
+                                            + waitsMs
+                                            + " */");
         } catch (IOException e) {
             // The kill takes its connections with it.
             if (!over && fromMs > killedMs) {
@@ -324,17 +381,25 @@
             }
             tell("calm");
             mode = Mode.RIGHT;
-            servers.forEach(s -> {
-                s.resets = 0;
-                s.errors = 0;
-                s.delayMs = 0;
-            });
+            servers.forEach(
+                    s -> {
+                        s.resets = 0;
+                        s.errors = 0;
+                        s.delayMs = 0;
+                    });
             Thread.sleep(CALM_MS);
             served.set(0);
             asked.set(0);
             Thread.sleep(2_000);
             if (served.get() < 0.9 * asked.get() || served.get() < 20) {
-                broken("not recovered: " + served + " of " + asked + " served " + CALM_MS + " ms after the last fault");
+                broken(
+                        "not recovered: "
+                                + served
+                                + " of "
+                                + asked
+                                + " served "
+                                + CALM_MS
+                                + " ms after the last fault");
             }
             over = true;
             process.destroy();
@@ -349,9 +414,15 @@
         return List.copyOf(broken);
     }
 
-    /** What happened and what the program logged of it but for its counts, for whoever looks into a broken run. */
+    /**
+     * What happened and what the program logged of it but for its counts, for whoever looks into a
+     * broken run.
+     */
     String story() {
-        return String.join("\n", story) + "\n" + logged().lines().filter(l -> l.matches(".* (discovery|reload|life|clients): .*"))
-                .reduce("", (a, b) -> a + "\n" + b);
+        return String.join("\n", story)
+                + "\n"
+                + logged().lines()
+                        .filter(l -> l.matches(".* (discovery|reload|life|clients): .*"))
+                        .reduce("", (a, b) -> a + "\n" + b);
     }
 }
--- a/sidecar/src/test/java/mulleinlever/sidecar/SoakTest.java
+++ b/sidecar/src/test/java/mulleinlever/sidecar/SoakTest.java
@@ -12,8 +12,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Seeded runs with faults everywhere; {@code -Dsoak.seeds=1-50 -Dsoak.parallel=4} for a long one, any seed alone to play it
- * again.
+ * Seeded runs with faults everywhere; {@code -Dsoak.seeds=1-50 -Dsoak.parallel=4} for a long one,
+ * any seed alone to play it again.
  */
 class SoakTest {
     private static final int FIRST = 1;
@@ -21,7 +21,10 @@
 
     private static List<Long> seeds() {
         String[] ends = System.getProperty("soak.seeds", FIRST + "-" + LAST).split("-");
-        return LongStream.rangeClosed(Long.parseLong(ends[0]), Long.parseLong(ends[ends.length - 1])).boxed().toList();
+        return LongStream.rangeClosed(
+                        Long.parseLong(ends[0]), Long.parseLong(ends[ends.length - 1]))
+                .boxed()
+                .toList();
     }
 
     @Test
@@ -29,16 +32,21 @@
         ExecutorService pool = Executors.newFixedThreadPool(Integer.getInteger("soak.parallel", 2));
         List<Future<List<String>>> runs = new ArrayList<>();
         for (long seed : seeds()) {
-            Callable<List<String>> run = () -> {
-                Soak soak = new Soak(seed);
-                List<String> broken = soak.play();
-                System.out.println("soak seed " + seed + ": " + (broken.isEmpty() ? "held" : broken.size() + " broken"));
-                if (!broken.isEmpty()) {
-                    System.out.println(soak.story());
-                    broken.stream().limit(10).forEach(System.out::println);
-                }
-                return broken;
-            };
+            Callable<List<String>> run =
+                    () -> {
+                        Soak soak = new Soak(seed);
+                        List<String> broken = soak.play();
+                        System.out.println(
+                                "soak seed "
+                                        + seed
+                                        + ": "
+                                        + (broken.isEmpty() ? "held" : broken.size() + " broken"));
+                        if (!broken.isEmpty()) {
+                            System.out.println(soak.story());
+                            broken.stream().limit(10).forEach(System.out::println);
+                        }
+                        return broken;
+                    };
             runs.add(pool.submit(run));
         }
         List<String> all = new ArrayList<>();
@@ -46,6 +54,8 @@
             all.addAll(run.get());
         }
         pool.shutdown();
-        assertTrue(all.isEmpty(), all.size() + " broken, such as " + all.stream().findFirst().orElse(""));
+        assertTrue(
+                all.isEmpty(),
+                all.size() + " broken, such as " + all.stream().findFirst().orElse(""));
     }
 }
--- a/sidecar/src/test/java/mulleinlever/sidecar/SocketsTest.java
+++ b/sidecar/src/test/java/mulleinlever/sidecar/SocketsTest.java
@@ -23,7 +23,7 @@
 /** Starts the program and speaks to it over sockets. */
 @Timeout(60)
 class SocketsTest extends StandIns {
-    SocketsTest() throws IOException { }
+    SocketsTest() throws IOException {}
 
     @Test
     void passesTheReqOnAndTheRowBack() throws Exception {
@@ -36,21 +36,30 @@
             assertEquals("TDvC", c.ask(put("\\x9f", 480)));
         }
         String sent = pod.told.get(0);
-        assertEquals("SELECT payload FROM entries WHERE ref = '7f3a' /* id=0000000000000001,c=get,t=acme,d=N */",
+        assertEquals(
+                "SELECT payload FROM entries WHERE ref = '7f3a' /* id=0000000000000001,c=get,t=acme,d=N */",
                 sent.replaceAll("d=4[0-7]\\d ", "d=N "));
-        assertTrue(pod.told.get(1).matches(".*'\\\\x9f'.* /\\* id=0{15}2,c=put,t=acme,d=4[0-7]\\d,k=5c0f \\*/"));
+        assertTrue(
+                pod.told
+                        .get(1)
+                        .matches(
+                                ".*'\\\\x9f'.* /\\* id=0{15}2,c=put,t=acme,d=4[0-7]\\d,k=5c0f \\*/"));
     }
 
     @Test
     void bytesMayBeSplitAndCommandsPipelined() throws Exception {
-        pod((q, out) -> {
-            Thread.sleep(q.contains("'a'") ? 150 : 0);
-            byte[] row = served(q.replaceAll(".*ref = '(.*?)'.*", "$1").getBytes(StandardCharsets.UTF_8));
-            for (int i = 0; i < row.length; i += 7) {
-                out.write(row, i, Math.min(7, row.length - i));
-            }
-            return true;
-        });
+        pod(
+                (q, out) -> {
+                    Thread.sleep(q.contains("'a'") ? 150 : 0);
+                    byte[] row =
+                            served(
+                                    q.replaceAll(".*ref = '(.*?)'.*", "$1")
+                                            .getBytes(StandardCharsets.UTF_8));
+                    for (int i = 0; i < row.length; i += 7) {
+                        out.write(row, i, Math.min(7, row.length - i));
+                    }
+                    return true;
+                });
         start();
         try (Client c = new Client(false)) {
             var bytes = new ByteArrayOutputStream();
@@ -84,11 +93,12 @@
 
     @Test
     void aRowCutShortNeverReachesTheClient() throws Exception {
-        Answers cut = (q, out) -> {
-            byte[] row = served("broken".getBytes(StandardCharsets.UTF_8));
-            out.write(row, 0, row.length - 25);
-            return false;
-        };
+        Answers cut =
+                (q, out) -> {
+                    byte[] row = served("broken".getBytes(StandardCharsets.UTF_8));
+                    out.write(row, 0, row.length - 25);
+                    return false;
+                };
         pod(cut);
         pod((q, out) -> give(out, "whole"));
         start();
@@ -98,20 +108,25 @@
             }
         }
         assertFalse(pods.get(0).told.isEmpty());
-        until(() -> counted("completed") == 10 && counted("try_ok") == 10 && counted("try_reset") > 0);
+        until(
+                () ->
+                        counted("completed") == 10
+                                && counted("try_ok") == 10
+                                && counted("try_reset") > 0);
     }
 
     @Test
     void shedOnlyWhereARepeatIsHarmless() throws Exception {
         boolean[] dies = {false};
-        pod((q, out) -> {
-            if (q.contains("'rowless'")) {
-                out.write(message('C', "INSERT 0 1\0".getBytes(StandardCharsets.US_ASCII)));
-                out.write(message('Z', new byte[] {'I'}));
-                return true;
-            }
-            return !dies[0] && refuse(out, "53300");
-        });
+        pod(
+                (q, out) -> {
+                    if (q.contains("'rowless'")) {
+                        out.write(message('C', "INSERT 0 1\0".getBytes(StandardCharsets.US_ASCII)));
+                        out.write(message('Z', new byte[] {'I'}));
+                        return true;
+                    }
+                    return !dies[0] && refuse(out, "53300");
+                });
         start();
         try (Client c = new Client()) {
             assertEquals("E53300 with advice", c.ask(put("1", 800)));
@@ -121,21 +136,34 @@
             // It may have run, and its repeat might go where that is not known.
             assertEquals("EXX000", c.ask(put("1", 800)));
         }
-        until(() -> counted("in") == 3 && counted("shed") == 1 && counted("errored") == 2 && counted("try_error") > 0);
-        assertTrue(logged().matches("(?s).*req: [0-9a-f]{16} errored after [0-9]+ of 800 ms; p0 at 0 error.*"), logged());
+        until(
+                () ->
+                        counted("in") == 3
+                                && counted("shed") == 1
+                                && counted("errored") == 2
+                                && counted("try_error") > 0);
+        assertTrue(
+                logged().matches(
+                                "(?s).*req: [0-9a-f]{16} errored after [0-9]+ of 800 ms; p0 at 0 error.*"),
+                logged());
     }
 
     private int counted(String what) {
-        return Pattern.compile(" " + what + "=(\\d+)").matcher(logged()).results()
-                .mapToInt(m -> Integer.parseInt(m.group(1))).sum();
+        return Pattern.compile(" " + what + "=(\\d+)")
+                .matcher(logged())
+                .results()
+                .mapToInt(m -> Integer.parseInt(m.group(1)))
+                .sum();
     }
 
     @Test
     void hungPodsCostATimeLimitNoMore() throws Exception {
-        Listener hung = pod((q, out) -> {
-            Thread.sleep(30_000);
-            return false;
-        });
+        Listener hung =
+                pod(
+                        (q, out) -> {
+                            Thread.sleep(30_000);
+                            return false;
+                        });
         start();
         try (Client c = new Client()) {
             long from = System.nanoTime();
@@ -148,14 +176,16 @@
 
     @Test
     void oneWhoLeavesTakesTheTryAlong() throws Exception {
-        Listener pod = pod((q, out) -> {
-            // Until the other side ends the connection.
-            for (int i = 0; i < 300; i++) {
-                Thread.sleep(20);
-                out.write(message('N', new byte[1]));
-            }
-            return false;
-        });
+        Listener pod =
+                pod(
+                        (q, out) -> {
+                            // Until the other side ends the connection.
+                            for (int i = 0; i < 300; i++) {
+                                Thread.sleep(20);
+                                out.write(message('N', new byte[1]));
+                            }
+                            return false;
+                        });
         start();
         try (Client c = new Client()) {
             c.query(get("1", 1400));
@@ -170,7 +200,9 @@
     void malformedInputCostsItsConnectionOnly() throws Exception {
         pod((q, out) -> give(out, "v"));
         start();
-        try (Client good = new Client(); Client bad = new Client(); Client worse = new Client(false);
+        try (Client good = new Client();
+                Client bad = new Client();
+                Client worse = new Client(false);
                 Client odd = new Client()) {
             bad.socket.getOutputStream().write(new byte[] {'Q', 127, 0, 0, 0, 1});
             assertEquals("E08P01", bad.next());
@@ -179,8 +211,15 @@
             assertEquals("E08P01", worse.next());
             odd.socket.getOutputStream().write(message('P', new byte[3]));
             assertEquals("E08P01", odd.next());
-            for (String text : List.of("SELECT 1", "SELECT 1 /* id=1,c=none,d=5 */", "SELECT 1 /* id=1,c=get,d=x */",
-                    "SELECT 1 /* c=get,d=5 */", "/*", "*/", "SELECT 1 /* id=1,c=get,d=5 */ ; SELECT 2")) {
+            for (String text :
+                    List.of(
+                            "SELECT 1",
+                            "SELECT 1 /* id=1,c=none,d=5 */",
+                            "SELECT 1 /* id=1,c=get,d=x */",
+                            "SELECT 1 /* c=get,d=5 */",
+                            "/*",
+                            "*/",
+                            "SELECT 1 /* id=1,c=get,d=5 */ ; SELECT 2")) {
                 assertEquals("E42601", good.ask(text), text);
             }
             assertEquals("TDvC", good.ask(get("1", 800)));
@@ -217,7 +256,9 @@
     void whoIsSilentWithinAMessageIsClosedAndWhoIsIdleIsNot() throws Exception {
         pod((q, out) -> give(out, "v"));
         start();
-        try (Client mute = new Client(false); Client half = new Client(); Client idle = new Client()) {
+        try (Client mute = new Client(false);
+                Client half = new Client();
+                Client idle = new Client()) {
             half.socket.getOutputStream().write(queryBytes(get("1", 800)), 0, 30);
             for (Client c : List.of(mute, half)) {
                 c.socket.setSoTimeout(20_000);
@@ -233,13 +274,15 @@
 
     @Test
     void aCopyOfAnAnswerIsNotTheNextOnes() throws Exception {
-        Listener pod = pod((q, out) -> {
-            var twice = new ByteArrayOutputStream();
-            twice.write(valueAskedFor(q));
-            twice.write(valueAskedFor(q));
-            out.write(twice.toByteArray());
-            return true;
-        });
+        Listener pod =
+                pod(
+                        (q, out) -> {
+                            var twice = new ByteArrayOutputStream();
+                            twice.write(valueAskedFor(q));
+                            twice.write(valueAskedFor(q));
+                            out.write(twice.toByteArray());
+                            return true;
+                        });
         start();
         try (Client c = new Client()) {
             for (int i = 0; i < 30; i++) {
@@ -255,14 +298,15 @@
     void aConnectionRestsAfterAnAnswerSinceACopyMayFollow() throws Exception {
         List<Long> rests = new CopyOnWriteArrayList<>();
         ThreadLocal<Long> answered = new ThreadLocal<>();
-        pod((q, out) -> {
-            // Each connection of the stand-in has a thread of its own.
-            if (answered.get() != null) {
-                rests.add(System.nanoTime() - answered.get());
-            }
-            answered.set(System.nanoTime());
-            return give(out, "v");
-        });
+        pod(
+                (q, out) -> {
+                    // Each connection of the stand-in has a thread of its own.
+                    if (answered.get() != null) {
+                        rests.add(System.nanoTime() - answered.get());
+                    }
+                    answered.set(System.nanoTime());
+                    return give(out, "v");
+                });
         start();
         try (Client c = new Client()) {
             for (int i = 0; i < 30; i++) {
@@ -275,12 +319,14 @@
 
     @Test
     void noiseOnAnIdleConnectionCostsOnlyThatConnection() throws Exception {
-        Listener pod = pod((q, out) -> {
-            give(out, "v");
-            Thread.sleep(10);
-            out.write(new byte[] {7, 0, 0});
-            return true;
-        });
+        Listener pod =
+                pod(
+                        (q, out) -> {
+                            give(out, "v");
+                            Thread.sleep(10);
+                            out.write(new byte[] {7, 0, 0});
+                            return true;
+                        });
         start();
         try (Client c = new Client()) {
             for (int i = 0; i < 5; i++) {
@@ -317,7 +363,10 @@
                 s.close();
             }
         }
-        until(() -> platform.told.equals(List.of("NOTIFY", "NOTIFY")) && discovery.told.size() == 2);
+        until(
+                () ->
+                        platform.told.equals(List.of("NOTIFY", "NOTIFY"))
+                                && discovery.told.size() == 2);
         assertEquals("GET /discovery/hosts?stream=1&index=41 HTTP/1.1", discovery.told.get(1));
     }
 
@@ -367,13 +416,16 @@
         pod((q, out) -> give(out, "v"));
         start();
         until(() -> platform.told.contains("BALLOT 2 1 approve"));
-        assertTrue(platform.told.indexOf("BALLOT 2 0 approve") < platform.told.indexOf("BALLOT 2 1 approve"));
+        assertTrue(
+                platform.told.indexOf("BALLOT 2 0 approve")
+                        < platform.told.indexOf("BALLOT 2 1 approve"));
     }
 
     @Test
     void oldNewsBehindNewerOnesAreLeftOut() throws Exception {
         // The answer to a vote says stage 1; what was written before it is read behind it.
-        progress = "* progress 2 1 testing 0.7 0\r\n* progress 2 0 testing 0.2 900\r\n* progress 2 1 testing 0.7 9";
+        progress =
+                "* progress 2 1 testing 0.7 0\r\n* progress 2 0 testing 0.2 900\r\n* progress 2 1 testing 0.7 9";
         pod((q, out) -> give(out, "v"));
         start();
         until(() -> platform.told.contains("BALLOT 2 1 approve"));
@@ -382,12 +434,14 @@
 
     @Test
     void toldToStopItAnswersAllAndLeaves() throws Exception {
-        pod((q, out) -> {
-            Thread.sleep(q.contains("'slow'") ? 1200 : 0);
-            return give(out, "v");
-        });
+        pod(
+                (q, out) -> {
+                    Thread.sleep(q.contains("'slow'") ? 1200 : 0);
+                    return give(out, "v");
+                });
         start();
-        try (Client idle = new Client(); Client slow = new Client()) {
+        try (Client idle = new Client();
+                Client slow = new Client()) {
             slow.query(get("slow", 1400));
             until(() -> pods.get(0).told.size() == 1);
             process.destroy();
@@ -405,10 +459,11 @@
 
     @Test
     void toldToReloadItGoesOnWithTheNewAddresses() throws Exception {
-        pod((q, out) -> {
-            Thread.sleep(q.contains("'slow'") ? 1000 : 0);
-            return give(out, "v");
-        });
+        pod(
+                (q, out) -> {
+                    Thread.sleep(q.contains("'slow'") ? 1000 : 0);
+                    return give(out, "v");
+                });
         start();
         until(() -> platform.told.contains("NOTIFY") && discovery.told.size() == 1);
         Listener oldDiscovery = discovery;
@@ -422,9 +477,13 @@
             hangUp();
             until(() -> logged().contains("reload: nothing is changed: JSON: expected }"));
             Path file = configure(256);
-            Files.writeString(file, Files.readString(file).replace("\"listen\":\"127", "\"listen\":\"x127"));
+            Files.writeString(
+                    file, Files.readString(file).replace("\"listen\":\"127", "\"listen\":\"x127"));
             hangUp();
-            until(() -> logged().contains("reload: nothing is changed: configuration: listen needs"));
+            until(
+                    () ->
+                            logged().contains(
+                                            "reload: nothing is changed: configuration: listen needs"));
             assertEquals(0, discovery.told.size() + platform.told.size());
             configure(99);
             hangUp();
@@ -436,7 +495,8 @@
             oldPlatform.close();
             assertEquals("TDvC", open.answer());
             assertTrue(logged().contains("; a restart is needed for limits.sockets"));
-            // What the new address tells is taken: the only pod leaves, so nothing is sent any more.
+            // What the new address tells is taken: the only pod leaves, so nothing is sent any
+            // more.
             extraLines.add(list(8, false, entry(0, 1, "gone")));
             until(() -> pods.get(0).open.isEmpty());
             assertEquals("E53300 with advice", open.ask(get("1", 800)));
@@ -473,7 +533,8 @@
             for (int i = 0; i < 200; i++) {
                 assertEquals("TDvC", c.ask(get("k" + i, 1400)));
             }
-            // It takes connections and says nothing, as one does that is paused. The other is in the zone that idle
+            // It takes connections and says nothing, as one does that is paused. The other is in
+            // the zone that idle
             // sidecars leave alone.
             Listener mute = new Listener((in, out) -> Thread.sleep(30_000));
             pods.addAll(List.of(mute, mute));
@@ -487,7 +548,8 @@
             }
             assertFalse(mute.open.isEmpty(), "it was never tried");
             // 250 ms are what the settings allow.
-            assertTrue(slowest < 200_000_000L, "slowest answer after " + slowest / 1_000_000 + " ms");
+            assertTrue(
+                    slowest < 200_000_000L, "slowest answer after " + slowest / 1_000_000 + " ms");
         }
     }
 }
--- a/sidecar/src/test/java/mulleinlever/sidecar/StaleListTest.java
+++ b/sidecar/src/test/java/mulleinlever/sidecar/StaleListTest.java
@@ -17,16 +17,21 @@
 @Timeout(90)
 class StaleListTest extends StandIns {
     private static final long SECOND = 1_000_000_000L;
+
     /** A change counts as told this long after discovery had it, whether it arrived or not. */
     private static final long TOLD_WITHIN_NS = 6 * SECOND;
+
     /** {@code stopSendingWithinNs} of the tests' configuration. */
     private static final long GRACE_NS = SECOND / 4;
+
     private static final long CALL_WAITS_MS = 1_000;
 
     /** Whether each call waits in line until discovery gives it up. */
     private volatile boolean crowded;
+
     /** How long each call stands in line before it is served. */
     private volatile long lineMs;
+
     /** A list that is written twenty characters each half a second. */
     private volatile String slowly;
 
@@ -38,7 +43,7 @@
         Thread.sleep(lineMs);
         if (slowly != null) {
             discovery.told.add(line(in));
-            while (!line(in).isEmpty()) { }
+            while (!line(in).isEmpty()) {}
             out.writeBytes("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
             String text = slowly + "\n";
             for (int i = 0; i < text.length(); i += 20) {
@@ -52,12 +57,15 @@
             return;
         }
         discovery.told.add(line(in));
-        while (!line(in).isEmpty()) { }
+        while (!line(in).isEmpty()) {}
         Thread.sleep(CALL_WAITS_MS);
         out.writeBytes("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
     }
 
-    /** Asks every 20 ms until then; how many of the answers were rows, and how many requests there were. */
+    /**
+     * Asks every 20 ms until then; how many of the answers were rows, and how many requests there
+     * were.
+     */
     private int[] askUntil(Client client, long endNs) throws Exception {
         int[] served = new int[2];
         while (System.nanoTime() < endNs) {
@@ -68,7 +76,8 @@
         return served;
     }
 
-    // Report abbe30: so did a process that had started with a list of unknown age, while discovery turned it away.
+    // Report abbe30: so did a process that had started with a list of unknown age, while discovery
+    // turned it away.
     @Test
     void aProcessThatWasNeverToldAListSendsNothingByTheOneItStartedWith() throws Exception {
         crowded = true;
@@ -86,7 +95,8 @@
         }
     }
 
-    // The other duty: where nobody is there who could tell of a change, none counts, and requests are served.
+    // The other duty: where nobody is there who could tell of a change, none counts, and requests
+    // are served.
     @Test
     void aProcessServesByTheListItStartedWithWhereDiscoveryCantBeReached() throws Exception {
         discovery.close();
@@ -107,7 +117,8 @@
         }
     }
 
-    // An indented list was taken for a faulty one: it ended the watch, and the next brought the same again.
+    // An indented list was taken for a faulty one: it ended the watch, and the next brought the
+    // same again.
     @Test
     void anIndentedListIsTakenLikeAnyOther() throws Exception {
         Listener leaving = pod((q, out) -> give(out, "v"));
@@ -115,7 +126,8 @@
         start();
         try (Client client = new Client()) {
             askUntil(client, System.nanoTime() + SECOND / 2);
-            extraLines.add(list(8, false, entry(0, 1, "draining")).replaceAll("([{\\[,])", "$1\n  "));
+            extraLines.add(
+                    list(8, false, entry(0, 1, "draining")).replaceAll("([{\\[,])", "$1\n  "));
             until(() -> leaving.open.isEmpty());
             int before = leaving.told.size();
             askUntil(client, System.nanoTime() + SECOND / 2);
@@ -124,7 +136,8 @@
         assertEquals(1, discovery.told.size());
     }
 
-    // A list of which bytes kept coming was given up after 2.7 s, and asked for again from its beginning.
+    // A list of which bytes kept coming was given up after 2.7 s, and asked for again from its
+    // beginning.
     @Test
     void aListThatComesSlowlyIsWaitedFor() throws Exception {
         Listener leaving = pod((q, out) -> give(out, "v"));
@@ -153,7 +166,8 @@
         until(() -> discovery.told.size() == 2);
     }
 
-    // A call that stood in a long line was given up after 2.7 s and made again at its end, so it was never served.
+    // A call that stood in a long line was given up after 2.7 s and made again at its end, so it
+    // was never served.
     @Test
     void aCallThatStandsInALongLineIsWaitedFor() throws Exception {
         pod((q, out) -> give(out, "v"));
@@ -165,7 +179,8 @@
         until(() -> logged().contains("list: generation 8"));
     }
 
-    // A watch opened anew that has nothing new to tell was given up every four seconds, one more call each time.
+    // A watch opened anew that has nothing new to tell was given up every four seconds, one more
+    // call each time.
     @Test
     void aWatchThatStandsIsKeptThoughNothingChanges() throws Exception {
         pod((q, out) -> give(out, "v"));
@@ -177,15 +192,17 @@
         assertEquals(2, discovery.told.size(), discovery.told.toString());
     }
 
-    // Report abbe30: requests went to servers that had been removed, by a list that discovery did not confirm.
+    // Report abbe30: requests went to servers that had been removed, by a list that discovery did
+    // not confirm.
     @Test
     void aServerThatLeftIsNotUsedOnceItsRemovalCountsAsToldThoughNoListArrived() throws Exception {
         List<Long> sentToP0 = new CopyOnWriteArrayList<>();
         boolean[] drains = {false};
-        Answers recorded = (q, out) -> {
-            sentToP0.add(System.nanoTime());
-            return drains[0] ? refuse(out, "53300") : give(out, "v");
-        };
+        Answers recorded =
+                (q, out) -> {
+                    sentToP0.add(System.nanoTime());
+                    return drains[0] ? refuse(out, "53300") : give(out, "v");
+                };
         Listener leaving = pod(recorded);
         pod((q, out) -> give(out, "v"));
         start();
@@ -193,7 +210,8 @@
         try (Client client = new Client()) {
             askUntil(client, System.nanoTime() + SECOND);
             assertFalse(sentToP0.isEmpty());
-            // It drains, ends, and comes back before discovery lists it again: nothing of it reaches the sidecar.
+            // It drains, ends, and comes back before discovery lists it again: nothing of it
+            // reaches the sidecar.
             crowded = true;
             cut(discovery);
             long changedNs = System.nanoTime();
@@ -206,7 +224,9 @@
             pods.get(0).reopen();
             int[] after = askUntil(client, changedNs + 14 * SECOND);
             long lastNs = sentToP0.get(sentToP0.size() - 1) - changedNs;
-            assertTrue(lastNs <= TOLD_WITHIN_NS + GRACE_NS, "sent " + lastNs / 1_000_000 + " ms after the change");
+            assertTrue(
+                    lastNs <= TOLD_WITHIN_NS + GRACE_NS,
+                    "sent " + lastNs / 1_000_000 + " ms after the change");
             // The other server answers all the while, which shows that it has not left.
             assertTrue(after[0] > 0.9 * after[1], after[0] + " of " + after[1]);
         }
--- a/sidecar/src/test/java/mulleinlever/sidecar/StandIns.java
+++ b/sidecar/src/test/java/mulleinlever/sidecar/StandIns.java
@@ -26,7 +26,10 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The program in a process of its own, among stand-ins for pods, discovery, the platform and clients. */
+/**
+ * The program in a process of its own, among stand-ins for pods, discovery, the platform and
+ * clients.
+ */
 abstract class StandIns {
     /** What serves one connection of a stand-in. */
     interface Serving {
@@ -48,22 +51,25 @@
         }
 
         private void accept(ServerSocket from) {
-            thread(() -> {
-                while (true) {
-                    Socket s = from.accept();
-                    s.setTcpNoDelay(true);
-                    open.add(s);
-                    thread(() -> {
-                        try (s) {
-                            serving.serve(new DataInputStream(s.getInputStream()),
-                                    new DataOutputStream(s.getOutputStream()));
-                        } finally {
-                            open.remove(s);
-                            ended++;
+            thread(
+                    () -> {
+                        while (true) {
+                            Socket s = from.accept();
+                            s.setTcpNoDelay(true);
+                            open.add(s);
+                            thread(
+                                    () -> {
+                                        try (s) {
+                                            serving.serve(
+                                                    new DataInputStream(s.getInputStream()),
+                                                    new DataOutputStream(s.getOutputStream()));
+                                        } finally {
+                                            open.remove(s);
+                                            ended++;
+                                        }
+                                    });
                         }
                     });
-                }
-            });
         }
 
         /** Listens again where it did before it was closed, as a process that starts anew. */
@@ -98,13 +104,15 @@
     }
 
     static void thread(Work work) {
-        Thread t = new Thread(() -> {
-            try {
-                work.run();
-            } catch (Exception e) {
-                // The other side has gone: so does this one.
-            }
-        });
+        Thread t =
+                new Thread(
+                        () -> {
+                            try {
+                                work.run();
+                            } catch (Exception e) {
+                                // The other side has gone: so does this one.
+                            }
+                        });
         t.setDaemon(true);
         t.start();
     }
@@ -123,18 +131,27 @@
     volatile boolean silent;
     volatile String ballotAnswer = "OK 1 2 live 1 5000";
     volatile String progress = "* progress 1 2 live 1 5000";
-    /** The configuration's word on discovery: subscribe, or automatic where it tells changes unasked. */
+
+    /**
+     * The configuration's word on discovery: subscribe, or automatic where it tells changes
+     * unasked.
+     */
     String discoveryMode = "subscribe";
-    /** Descriptors the process may hold, set as the hard limit of the system; 0 for what the machine gives. */
+
+    /**
+     * Descriptors the process may hold, set as the hard limit of the system; 0 for what the machine
+     * gives.
+     */
     int descriptors;
+
     /** What the program is started with besides. */
     final List<String> with = new ArrayList<>();
+
     Process process;
     int port;
-    @TempDir
-    Path folder;
+    @TempDir Path folder;
 
-    StandIns() throws IOException { }
+    StandIns() throws IOException {}
 
     @AfterEach
     void end() throws Exception {
@@ -148,19 +165,26 @@
 
     Listener pod(Answers answers) throws IOException {
         Listener[] self = new Listener[1];
-        self[0] = new Listener((in, out) -> {
-            in.skipBytes(in.readInt() - 4);
-            out.write(new byte[] {'R', 0, 0, 0, 8, 0, 0, 0, 0, 'S', 0, 0, 0, 8, 'a', 0, 'b', 0});
-            out.write(new byte[] {'Z', 0, 0, 0, 5, 'I'});
-            while (in.read() == 'Q') {
-                byte[] text = in.readNBytes(in.readInt() - 4);
-                String query = new String(text, 0, text.length - 1, StandardCharsets.UTF_8);
-                self[0].told.add(query);
-                if (!answers.to(query, out)) {
-                    return;
-                }
-            }
-        });
+        self[0] =
+                new Listener(
+                        (in, out) -> {
+                            in.skipBytes(in.readInt() - 4);
+                            out.write(
+                                    new byte[] {
+                                        'R', 0, 0, 0, 8, 0, 0, 0, 0, 'S', 0, 0, 0, 8, 'a', 0, 'b', 0
+                                    });
+                            out.write(new byte[] {'Z', 0, 0, 0, 5, 'I'});
+                            while (in.read() == 'Q') {
+                                byte[] text = in.readNBytes(in.readInt() - 4);
+                                String query =
+                                        new String(
+                                                text, 0, text.length - 1, StandardCharsets.UTF_8);
+                                self[0].told.add(query);
+                                if (!answers.to(query, out)) {
+                                    return;
+                                }
+                            }
+                        });
         pods.add(self[0]);
         return self[0];
     }
@@ -178,12 +202,15 @@
         return out.toByteArray();
     }
 
-    static final byte[] ROW =
-            {0, 1, 'p', 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 17, -1, -1, -1, -1, -1, -1, 0, 1};
+    static final byte[] ROW = {
+        0, 1, 'p', 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 17, -1, -1, -1, -1, -1, -1, 0, 1
+    };
 
     /** Row, CommandComplete, ReadyForQuery. */
     static byte[] served(byte[] value) throws IOException {
-        byte[] head = {0, 1, 0, (byte) (value.length >> 16), (byte) (value.length >> 8), (byte) value.length};
+        byte[] head = {
+            0, 1, 0, (byte) (value.length >> 16), (byte) (value.length >> 8), (byte) value.length
+        };
         var out = new ByteArrayOutputStream();
         out.write(message('T', ROW));
         out.write(message('D', head, value));
@@ -198,14 +225,17 @@
     }
 
     static boolean refuse(DataOutputStream out, String code) throws IOException {
-        out.write(message('E', ("SERROR\0C" + code + "\0Mno\0\0").getBytes(StandardCharsets.US_ASCII)));
+        out.write(
+                message(
+                        'E',
+                        ("SERROR\0C" + code + "\0Mno\0\0").getBytes(StandardCharsets.US_ASCII)));
         out.write(message('Z', new byte[] {'I'}));
         return true;
     }
 
     void discover(DataInputStream in, DataOutputStream out) throws Exception {
         discovery.told.add(line(in));
-        while (!line(in).isEmpty()) { }
+        while (!line(in).isEmpty()) {}
         out.writeBytes("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
         int said = 0;
         while (!silent) {
@@ -213,8 +243,10 @@
             // In two chunks: a line may be split anywhere.
             int half = text.length() / 2;
             for (String part : List.of(text.substring(0, half), text.substring(half))) {
-                out.writeBytes(part.isEmpty() ? ""
-                        : Integer.toHexString(part.length()) + "\r\n" + part + "\r\n");
+                out.writeBytes(
+                        part.isEmpty()
+                                ? ""
+                                : Integer.toHexString(part.length()) + "\r\n" + part + "\r\n");
             }
             Thread.sleep(50);
         }
@@ -243,28 +275,51 @@
     }
 
     String entry(int i, int build, String state) {
-        return String.format("{\"instanceId\":\"p%d\",\"hostPort\":\"%s\",\"zone\":\"%s\",\"machineType\":\"m\","
-                + "\"cell\":0,\"lifecycle\":\"%s\",\"weight\":1.0,\"startedAtMs\":0,\"build\":%d}", i,
-                pods.get(i).address(), i % 2 == 0 ? "a" : "b", state, build);
+        return String.format(
+                "{\"instanceId\":\"p%d\",\"hostPort\":\"%s\",\"zone\":\"%s\",\"machineType\":\"m\","
+                        + "\"cell\":0,\"lifecycle\":\"%s\",\"weight\":1.0,\"startedAtMs\":0,\"build\":%d}",
+                i, pods.get(i).address(), i % 2 == 0 ? "a" : "b", state, build);
     }
 
     String list(long version, boolean whole, String... entries) {
-        return "{\"generation\":" + version + ",\"reset\":" + whole + ",\"instances\":["
-                + String.join(",", entries) + "]}";
+        return "{\"generation\":"
+                + version
+                + ",\"reset\":"
+                + whole
+                + ",\"instances\":["
+                + String.join(",", entries)
+                + "]}";
     }
 
     static String route(String name, String repeat) {
-        return "{\"name\":\"" + name + "\",\"aimNs\":500000000,\"deadlineNs\":1500000000,\"worth\":1.0,\"repeat\":\""
-                + repeat + "\",\"keyScope\":\"zone\",\"windowNs\":400000000,\"lateWorth\":0.2}";
-    }
-
-    static String config(String listen, String discovery, String platform, String known, int sockets) {
-        return "{\"name\":\"n0\",\"listen\":\"" + listen + "\",\"discovery\":\"" + discovery
-                + "\",\"seed\":\"8c1f30d27a5be964\",\"limits\":{\"sockets\":" + sockets + "},"
-                + "\"release_api\":{\"address\":\"" + platform + "\",\"news\":{\"build\":1,\"stage\":2,"
-                + "\"phase\":\"live\",\"cap\":1.0,\"age_ms\":9000}},\"known\":" + known + ",\"settings\":{"
+        return "{\"name\":\""
+                + name
+                + "\",\"aimNs\":500000000,\"deadlineNs\":1500000000,\"worth\":1.0,\"repeat\":\""
+                + repeat
+                + "\",\"keyScope\":\"zone\",\"windowNs\":400000000,\"lateWorth\":0.2}";
+    }
+
+    static String config(
+            String listen, String discovery, String platform, String known, int sockets) {
+        return "{\"name\":\"n0\",\"listen\":\""
+                + listen
+                + "\",\"discovery\":\""
+                + discovery
+                + "\",\"seed\":\"8c1f30d27a5be964\",\"limits\":{\"sockets\":"
+                + sockets
+                + "},"
+                + "\"release_api\":{\"address\":\""
+                + platform
+                + "\",\"news\":{\"build\":1,\"stage\":2,"
+                + "\"phase\":\"live\",\"cap\":1.0,\"age_ms\":9000}},\"known\":"
+                + known
+                + ",\"settings\":{"
                 + "\"rank\":0,\"balancers\":1,\"zone\":\"a\",\"zones\":[\"a\",\"b\"],\"discovery\":\"subscribe\","
-                + "\"stepNs\":5000000,\"grades\":[" + route("get", "safe") + "," + route("put", "keyed") + "],"
+                + "\"stepNs\":5000000,\"grades\":["
+                + route("get", "safe")
+                + ","
+                + route("put", "keyed")
+                + "],"
                 + "\"familyInfo\":{\"control\":\"majority\",\"ayesNeeded\":1,\"votesToRevert\":1,"
                 + "\"bakeNs\":200000000,\"voteStandsNs\":4000000000,\"voteWaitNs\":500000000,"
                 + "\"steps\":[0.1,0.5,1.0],\"mostShares\":[0.2,0.7,1.0],\"windowNs\":2000000000,\"uncounted\":2},"
@@ -282,9 +337,17 @@
     Path configure(int sockets) throws IOException {
         String[] entries = new String[pods.size()];
         Arrays.setAll(entries, i -> entry(i, 1, "ready"));
-        return Files.writeString(folder.resolve("config.json"), config("127.0.0.1:" + port, discovery.address(),
-                platform.address(), list(7, true, entries), sockets)
-                .replace("\"discovery\":\"subscribe\"", "\"discovery\":\"" + discoveryMode + "\""));
+        return Files.writeString(
+                folder.resolve("config.json"),
+                config(
+                                "127.0.0.1:" + port,
+                                discovery.address(),
+                                platform.address(),
+                                list(7, true, entries),
+                                sockets)
+                        .replace(
+                                "\"discovery\":\"subscribe\"",
+                                "\"discovery\":\"" + discoveryMode + "\""));
     }
 
     String logged() {
@@ -296,7 +359,8 @@
     }
 
     void hangUp() throws Exception {
-        assertEquals(0, new ProcessBuilder("sh", "-c", "kill -HUP " + process.pid()).start().waitFor());
+        assertEquals(
+                0, new ProcessBuilder("sh", "-c", "kill -HUP " + process.pid()).start().waitFor());
     }
 
     void start(int sockets) throws Exception {
@@ -305,35 +369,52 @@
         }
         Path file = configure(sockets);
         // From another class path and with other flags, where these properties are set.
-        List<String> command = new ArrayList<>(List.of(
-                Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-cp",
-                System.getProperty("sidecar.classpath", with.isEmpty() ? lean() : System.getProperty("java.class.path"))));
+        List<String> command =
+                new ArrayList<>(
+                        List.of(
+                                Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                                "-cp",
+                                System.getProperty(
+                                        "sidecar.classpath",
+                                        with.isEmpty()
+                                                ? lean()
+                                                : System.getProperty("java.class.path"))));
         String flags = System.getProperty("sidecar.flags", "-Xmx40m -XX:MaxDirectMemorySize=40m");
         command.addAll(List.of(flags.split(" ")));
-        command.addAll(List.of(System.getProperty("sidecar.main", ServeMain.class.getName()), "serve"));
+        command.addAll(
+                List.of(System.getProperty("sidecar.main", ServeMain.class.getName()), "serve"));
         command.addAll(with);
         if (descriptors > 0) {
-            command.addAll(0, List.of("sh", "-c", "ulimit -n " + descriptors + " && exec \"$@\"", "sh"));
+            command.addAll(
+                    0, List.of("sh", "-c", "ulimit -n " + descriptors + " && exec \"$@\"", "sh"));
         }
         var b = new ProcessBuilder(command);
         b.environment().put("LB_CONFIG", file.toString());
-        process = b.redirectErrorStream(true).redirectOutput(folder.resolve("log").toFile()).start();
+        process =
+                b.redirectErrorStream(true).redirectOutput(folder.resolve("log").toFile()).start();
         Process started = process;
         Runtime.getRuntime().addShutdownHook(new Thread(started::destroyForcibly));
-        until(() -> {
-            try (Client c = new Client()) {
-                c.query("");
-                return c.next().equals("I");
-            } catch (IOException e) {
-                return false;
-            }
-        });
-    }
-
-    /** The class path without what is loaded only where switched on: each jar on it would take a descriptor. */
+        until(
+                () -> {
+                    try (Client c = new Client()) {
+                        c.query("");
+                        return c.next().equals("I");
+                    } catch (IOException e) {
+                        return false;
+                    }
+                });
+    }
+
+    /**
+     * The class path without what is loaded only where switched on: each jar on it would take a
+     * descriptor.
+     */
     private static String lean() {
         return Arrays.stream(System.getProperty("java.class.path").split(File.pathSeparator))
-                .filter(e -> !e.endsWith(".jar") || e.matches(".*/(netty|core|settings|sidecar)-[^/]*"))
+                .filter(
+                        e ->
+                                !e.endsWith(".jar")
+                                        || e.matches(".*/(netty|core|settings|sidecar)-[^/]*"))
                 .collect(Collectors.joining(File.pathSeparator));
     }
 
@@ -347,13 +428,14 @@
 
     /** Asks again until a row comes. */
     void untilServed(Client client) throws InterruptedException {
-        until(() -> {
-            try {
-                return client.ask(get("1", 1400)).equals("TDvC");
-            } catch (IOException e) {
-                return false;
-            }
-        });
+        until(
+                () -> {
+                    try {
+                        return client.ask(get("1", 1400)).equals("TDvC");
+                    } catch (IOException e) {
+                        return false;
+                    }
+                });
     }
 
     /** Ends all open connections of a stand-in. */
@@ -363,7 +445,10 @@
         }
     }
 
-    /** A client's connection; an answer reads as its type, a row with its value, an error with its code. */
+    /**
+     * A client's connection; an answer reads as its type, a row with its value, an error with its
+     * code.
+     */
     final class Client implements Closeable {
         final Socket socket = new Socket(InetAddress.getLoopbackAddress(), port);
         final DataInputStream in = new DataInputStream(socket.getInputStream());
@@ -377,7 +462,7 @@
             socket.setSoTimeout(10_000);
             if (greets) {
                 socket.getOutputStream().write(hello());
-                while (!next().equals("Z")) { }
+                while (!next().equals("Z")) {}
             }
         }
 
@@ -391,8 +476,10 @@
             String text = new String(body, StandardCharsets.UTF_8);
             return switch (type) {
                 case 'D' -> "D" + text.substring(6);
-                case 'E' -> "E" + text.replaceAll("(?s).*\0C(.{5})\0.*", "$1")
-                        + (text.contains("\0D") ? " with advice" : "");
+                case 'E' ->
+                        "E"
+                                + text.replaceAll("(?s).*\0C(.{5})\0.*", "$1")
+                                + (text.contains("\0D") ? " with advice" : "");
                 default -> String.valueOf(type);
             };
         }
@@ -426,7 +513,8 @@
     }
 
     static byte[] hello() throws IOException {
-        byte[] words = "\0\3\0\0user\0web\0database\0orders\0\0".getBytes(StandardCharsets.US_ASCII);
+        byte[] words =
+                "\0\3\0\0user\0web\0database\0orders\0\0".getBytes(StandardCharsets.US_ASCII);
         var out = new ByteArrayOutputStream();
         new DataOutputStream(out).writeInt(4 + words.length);
         out.write(words);
@@ -440,12 +528,15 @@
     int ids;
 
     String get(String ref, int waitsMs) {
-        return String.format("SELECT payload FROM entries WHERE ref = '%s' /* id=%016x,c=get,t=acme,d=%d */", ref,
-                ++ids, waitsMs);
+        return String.format(
+                "SELECT payload FROM entries WHERE ref = '%s' /* id=%016x,c=get,t=acme,d=%d */",
+                ref, ++ids, waitsMs);
     }
 
     String put(String value, int waitsMs) {
-        return String.format("INSERT INTO entries (ref, payload) VALUES ('7f', '%s') RETURNING payload"
-                + " /* id=%016x,c=put,t=acme,d=%d,k=5c0f */", value, ++ids, waitsMs);
+        return String.format(
+                "INSERT INTO entries (ref, payload) VALUES ('7f', '%s') RETURNING payload"
+                        + " /* id=%016x,c=put,t=acme,d=%d,k=5c0f */",
+                value, ++ids, waitsMs);
     }
 }
