--- a/state/src/main/java/mulleinlever/state/Ageing.java
+++ b/state/src/main/java/mulleinlever/state/Ageing.java
@@ -3,23 +3,31 @@
 import mulleinlever.Learned;
 
 /**
- * How what was remembered fades by the time that passed, and when a whole group of it is dropped. It knows no clock:
- * the age is told, in nanoseconds, or {@link #UNKNOWN} where the clock was set back or the file comes from another.
+ * How what was remembered fades by the time that passed, and when a whole group of it is dropped.
+ * It knows no clock: the age is told, in nanoseconds, or {@link #UNKNOWN} where the clock was set
+ * back or the file comes from another.
  */
 public final class Ageing {
-    /** No age that can be believed. What changes within minutes is dropped then, the rest counts half. */
+    /**
+     * No age that can be believed. What changes within minutes is dropped then, the rest counts
+     * half.
+     */
     public static final long UNKNOWN = -1;
 
     private static final long SECOND = 1_000_000_000L;
     private static final long MINUTE = 60 * SECOND;
     private static final long HOUR = 60 * MINUTE;
     private static final long DAY = 24 * HOUR;
+
     /** Below so many outcomes a figure says nothing. */
     private static final double LEAST = 0.1;
 
     /** What fades alike: its half-life, and the age beyond which nothing of it is taken. */
     public enum Group {
-        /** A slow or hung pod is restarted or recovers within minutes; wrong suspicion of it costs room. */
+        /**
+         * A slow or hung pod is restarted or recovers within minutes; wrong suspicion of it costs
+         * room.
+         */
         PODS(MINUTE, 15 * MINUTE, false),
         /** Connections are refused while something lasts, and others hold on to them since. */
         LINKS(15 * SECOND, 2 * MINUTE, false),
@@ -29,7 +37,10 @@
         BASELINE(HOUR, DAY, true),
         /** A rule, not an estimate: it does not fade, but long after its build it binds nothing. */
         KEYS(Long.MAX_VALUE, DAY, true),
-        /** Discovery tells better at once; where it can't, an old list may name addresses that are others' now. */
+        /**
+         * Discovery tells better at once; where it can't, an old list may name addresses that are
+         * others' now.
+         */
         LIST(Long.MAX_VALUE, HOUR, false);
 
         final long halfLifeNs;
@@ -43,9 +54,12 @@
         }
     }
 
-    private Ageing() { }
+    private Ageing() {}
 
-    /** The age of what was captured at a Unix time in milliseconds, by a clock that may have been set. */
+    /**
+     * The age of what was captured at a Unix time in milliseconds, by a clock that may have been
+     * set.
+     */
     public static long age(long capturedUnixMs, long nowNs) {
         long capturedNs = Math.multiplyExact(capturedUnixMs, 1_000_000L);
         return capturedNs > nowNs || capturedNs <= 0 ? UNKNOWN : nowNs - capturedNs;
@@ -60,9 +74,13 @@
     }
 
     static Group group(Learned one) {
-        return one instanceof Learned.OfPod ? Group.PODS : one instanceof Learned.OfLinks ? Group.LINKS
-                : one instanceof Learned.OfRoute ? Group.ROUTES : one instanceof Learned.OfBaseline ? Group.BASELINE
-                : Group.KEYS;
+        return one instanceof Learned.OfPod
+                ? Group.PODS
+                : one instanceof Learned.OfLinks
+                        ? Group.LINKS
+                        : one instanceof Learned.OfRoute
+                                ? Group.ROUTES
+                                : one instanceof Learned.OfBaseline ? Group.BASELINE : Group.KEYS;
     }
 
     /** What is left of one thing learned; null where nothing is. */
@@ -72,23 +90,33 @@
             return null;
         }
         if (one instanceof Learned.OfPod p) {
-            Learned.OfPod aged = new Learned.OfPod(p.is(), faded(p.slowness(), left), faded(p.late(), left),
-                    (int) Math.round(p.strikes() * left));
-            return aged.slowness().weight() + aged.late().weight() + aged.strikes() > 0 ? aged : null;
+            Learned.OfPod aged =
+                    new Learned.OfPod(
+                            p.is(),
+                            faded(p.slowness(), left),
+                            faded(p.late(), left),
+                            (int) Math.round(p.strikes() * left));
+            return aged.slowness().weight() + aged.late().weight() + aged.strikes() > 0
+                    ? aged
+                    : null;
         }
         if (one instanceof Learned.OfLinks l) {
-            Learned.OfLinks aged = new Learned.OfLinks(faded(l.refused(), left), faded(l.unanswered(), left));
+            Learned.OfLinks aged =
+                    new Learned.OfLinks(faded(l.refused(), left), faded(l.unanswered(), left));
             return aged.refused().weight() + aged.unanswered().weight() > 0 ? aged : null;
         }
         if (one instanceof Learned.OfRoute r) {
-            Learned.OfRoute aged = new Learned.OfRoute(r.route(), r.build(), faded(r.times(), left),
-                    faded(r.usual(), left));
+            Learned.OfRoute aged =
+                    new Learned.OfRoute(
+                            r.route(), r.build(), faded(r.times(), left), faded(r.usual(), left));
             return aged.times().weight() + aged.usual().weight() > 0 ? aged : null;
         }
         if (one instanceof Learned.OfBaseline b) {
             double samples = b.samples() * left;
-            return samples < 1 ? null
-                    : new Learned.OfBaseline(b.build(), b.route(), b.ofLate(), b.mean(), b.deviation(), samples);
+            return samples < 1
+                    ? null
+                    : new Learned.OfBaseline(
+                            b.build(), b.route(), b.ofLate(), b.mean(), b.deviation(), samples);
         }
         return one;
     }
--- a/state/src/main/java/mulleinlever/state/Capture.java
+++ b/state/src/main/java/mulleinlever/state/Capture.java
@@ -10,8 +10,9 @@
 import mulleinlever.PodEntry;
 
 /**
- * One capture under way. It is taken in slices, so that the event loop of a sidecar with ten thousand pods is never
- * held for long; what changes between two slices is taken as it is when its turn comes.
+ * One capture under way. It is taken in slices, so that the event loop of a sidecar with ten
+ * thousand pods is never held for long; what changes between two slices is taken as it is when its
+ * turn comes.
  */
 public final class Capture {
     /** Pieces between two looks at the clock: some microseconds of work. */
@@ -24,7 +25,8 @@
 
     /**
      * @param pieces what a policy gives out
-     * @param addresses where a pod listens, by its id; null for pods whose address is not known, which are left out
+     * @param addresses where a pod listens, by its id; null for pods whose address is not known,
+     *     which are left out
      */
     public Capture(Iterator<Learned> pieces, Function<String, String> addresses) {
         this.pieces = pieces;
@@ -47,7 +49,8 @@
             learned.add(one);
             return;
         }
-        String address = p.is().state() == PodEntry.State.GONE ? null : addresses.apply(p.is().id());
+        String address =
+                p.is().state() == PodEntry.State.GONE ? null : addresses.apply(p.is().id());
         if (address != null) {
             pods.add(new Kept.OfPod(address, p));
         }
--- a/state/src/main/java/mulleinlever/state/Format.java
+++ b/state/src/main/java/mulleinlever/state/Format.java
@@ -25,35 +25,45 @@
 import org.apache.avro.io.EncoderFactory;
 
 /**
- * The bytes of a file of state; docs/state.md describes them. A magic, a version, then sections of records, each
- * with its records' schema, so that Avro can read what a somewhat older or newer writer wrote. Each section's head
- * and body have a checksum of their own, and no length is believed before its head's has proved true.
+ * The bytes of a file of state; docs/state.md describes them. A magic, a version, then sections of
+ * records, each with its records' schema, so that Avro can read what a somewhat older or newer
+ * writer wrote. Each section's head and body have a checksum of their own, and no length is
+ * believed before its head's has proved true.
  */
 final class Format {
     static final int VERSION = 1;
     static final byte[] MAGIC = {(byte) 0x89, 'M', 'L', 'S', 'T', '\r', '\n', 0x1a};
     private static final int HEAD = 20;
+
     /** Our schemas take less than a thousand bytes; nothing honest comes near this. */
     private static final int LONGEST_SCHEMA = 1 << 16;
+
     private static final int END = kind("END ");
 
     /** What one kind of section holds. */
     private enum Section {
-        HEAD, NEWS, LINK, ROUT, BASE, PODS, KEYS;
+        HEAD,
+        NEWS,
+        LINK,
+        ROUT,
+        BASE,
+        PODS,
+        KEYS;
 
         private final int kind = Format.kind((name() + " ").substring(0, 4));
         private final Schema schema = schema(name());
 
         private static Schema schema(String of) {
-            String file = switch (of) {
-                case "HEAD" -> "head";
-                case "NEWS" -> "news";
-                case "LINK" -> "links";
-                case "ROUT" -> "route";
-                case "BASE" -> "baseline";
-                case "PODS" -> "pod";
-                default -> "key";
-            };
+            String file =
+                    switch (of) {
+                        case "HEAD" -> "head";
+                        case "NEWS" -> "news";
+                        case "LINK" -> "links";
+                        case "ROUT" -> "route";
+                        case "BASE" -> "baseline";
+                        case "PODS" -> "pod";
+                        default -> "key";
+                    };
             try (InputStream in = Format.class.getResourceAsStream(file + ".avsc")) {
                 return new Schema.Parser().parse(in);
             } catch (IOException e) {
@@ -62,15 +72,19 @@
         }
     }
 
-    private Format() { }
+    private Format() {}
 
     static int kind(String name) {
         return ByteBuffer.wrap(name.getBytes(StandardCharsets.US_ASCII)).getInt();
     }
 
     private static String name(int kind) {
-        String text = new String(ByteBuffer.allocate(4).putInt(kind).array(), StandardCharsets.ISO_8859_1);
-        return text.chars().allMatch(c -> c >= ' ' && c <= '~') ? text.trim() : String.format("%08x", kind);
+        String text =
+                new String(
+                        ByteBuffer.allocate(4).putInt(kind).array(), StandardCharsets.ISO_8859_1);
+        return text.chars().allMatch(c -> c >= ' ' && c <= '~')
+                ? text.trim()
+                : String.format("%08x", kind);
     }
 
     // ---- Writing.
@@ -86,7 +100,12 @@
         section(out, Section.BASE, only(kept, Learned.OfBaseline.class), Format::put);
         section(out, Section.PODS, kept.pods(), Format::put);
         section(out, Section.KEYS, only(kept, Learned.OfKey.class), Format::put);
-        section(out, END, new byte[0], Section.values().length, ByteBuffer.allocate(8).putLong(out.size()).array());
+        section(
+                out,
+                END,
+                new byte[0],
+                Section.values().length,
+                ByteBuffer.allocate(8).putLong(out.size()).array());
         return out.toByteArray();
     }
 
@@ -112,12 +131,22 @@
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
-        section(to, s.kind, s.schema.toString().getBytes(StandardCharsets.UTF_8), all.size(), records.toByteArray());
+        section(
+                to,
+                s.kind,
+                s.schema.toString().getBytes(StandardCharsets.UTF_8),
+                all.size(),
+                records.toByteArray());
     }
 
-    static void section(ByteArrayOutputStream to, int kind, byte[] schema, int count, byte[] records) {
-        ByteBuffer head = ByteBuffer.allocate(HEAD).putInt(kind).putInt(schema.length).putInt(count)
-                .putInt(records.length);
+    static void section(
+            ByteArrayOutputStream to, int kind, byte[] schema, int count, byte[] records) {
+        ByteBuffer head =
+                ByteBuffer.allocate(HEAD)
+                        .putInt(kind)
+                        .putInt(schema.length)
+                        .putInt(count)
+                        .putInt(records.length);
         head.putInt(crc(head.array(), 0, HEAD - 4));
         to.writeBytes(head.array());
         to.writeBytes(schema);
@@ -242,7 +271,10 @@
             need(4, "the version");
             int version = in.getInt();
             if (version > VERSION) {
-                throw fault(StateFault.Kind.NEWER, 8, "format " + version + ", and we know up to " + VERSION);
+                throw fault(
+                        StateFault.Kind.NEWER,
+                        8,
+                        "format " + version + ", and we know up to " + VERSION);
             }
             if (version < 1) {
                 throw fault(StateFault.Kind.CORRUPT, 8, "no such format: " + version);
@@ -251,7 +283,10 @@
                 sections++;
             }
             if (in.hasRemaining()) {
-                throw fault(StateFault.Kind.CORRUPT, in.position(), in.remaining() + " bytes behind the end");
+                throw fault(
+                        StateFault.Kind.CORRUPT,
+                        in.position(),
+                        in.remaining() + " bytes behind the end");
             }
             if (head == null || news == null) {
                 throw fault(StateFault.Kind.CORRUPT, 12, "no head or no news");
@@ -274,34 +309,57 @@
             int count = in.getInt();
             int length = in.getInt();
             if (in.getInt() != crc(in.array(), from, from + HEAD - 4)) {
-                throw fault(StateFault.Kind.CORRUPT, from, "a section's head differs from its checksum");
+                throw fault(
+                        StateFault.Kind.CORRUPT,
+                        from,
+                        "a section's head differs from its checksum");
             }
             String name = name(kind);
-            if (schemaLength < 0 || schemaLength > LONGEST_SCHEMA || length < 0 || count < 0 || count > length) {
-                throw fault(StateFault.Kind.CORRUPT, from, "lengths that can't be in section " + name);
+            if (schemaLength < 0
+                    || schemaLength > LONGEST_SCHEMA
+                    || length < 0
+                    || count < 0
+                    || count > length) {
+                throw fault(
+                        StateFault.Kind.CORRUPT, from, "lengths that can't be in section " + name);
             }
             int body = in.position();
             need(schemaLength + (long) length + 4, "section " + name);
             in.position(body + schemaLength + length);
             if (in.getInt() != crc(in.array(), body, body + schemaLength + length)) {
-                throw fault(StateFault.Kind.CORRUPT, body, "section " + name + " differs from its checksum");
+                throw fault(
+                        StateFault.Kind.CORRUPT,
+                        body,
+                        "section " + name + " differs from its checksum");
             }
             if (kind == END) {
                 if (length != 8 || in.getLong(body) != from || count != sections) {
-                    throw fault(StateFault.Kind.CORRUPT, from, "the end does not fit what comes before it");
+                    throw fault(
+                            StateFault.Kind.CORRUPT,
+                            from,
+                            "the end does not fit what comes before it");
                 }
                 return false;
             }
             try {
-                take(kind, name, new String(in.array(), body, schemaLength, StandardCharsets.UTF_8), count,
-                        body + schemaLength, length);
+                take(
+                        kind,
+                        name,
+                        new String(in.array(), body, schemaLength, StandardCharsets.UTF_8),
+                        count,
+                        body + schemaLength,
+                        length);
             } catch (IOException | RuntimeException e) {
-                throw fault(StateFault.Kind.CORRUPT, body, "section " + name + " makes no sense: " + e.getMessage());
+                throw fault(
+                        StateFault.Kind.CORRUPT,
+                        body,
+                        "section " + name + " makes no sense: " + e.getMessage());
             }
             return true;
         }
 
-        private void take(int kind, String name, String schema, int count, int from, int length) throws IOException {
+        private void take(int kind, String name, String schema, int count, int from, int length)
+                throws IOException {
             Section s = null;
             for (Section known : Section.values()) {
                 s = known.kind == kind ? known : s;
@@ -310,26 +368,58 @@
                 leftOut.accept("section " + name + " of a later writer");
                 return;
             }
-            GenericDatumReader<GenericRecord> reader = new GenericDatumReader<>(
-                    new Schema.Parser().parse(schema), s.schema);
-            BinaryDecoder decoder = DecoderFactory.get().binaryDecoder(in.array(), from, length, null);
+            GenericDatumReader<GenericRecord> reader =
+                    new GenericDatumReader<>(new Schema.Parser().parse(schema), s.schema);
+            BinaryDecoder decoder =
+                    DecoderFactory.get().binaryDecoder(in.array(), from, length, null);
             for (int i = 0; i < count; i++) {
                 GenericRecord r = reader.read(null, decoder);
                 switch (s) {
-                    case HEAD -> head = new Kept.Head(text(r, "writer"), text(r, "instance"), text(r, "machine"),
-                            text(r, "zone"), (Long) r.get("start"), (Long) r.get("sequence"), (Long) r.get("unixMs"),
-                            (Long) r.get("listVersion"));
-                    case NEWS -> news = new News((Integer) r.get("build"), (Integer) r.get("stage"),
-                            News.Phase.valueOf(text(r, "phase")), number(r, "cap"), 0);
-                    case LINK -> learned.add(new Learned.OfLinks(figure(r, "refused", "refusedWeight"),
-                            figure(r, "unanswered", "unansweredWeight")));
-                    case ROUT -> learned.add(new Learned.OfRoute(text(r, "route"), (Integer) r.get("build"),
-                            figure(r, "timesNs", "timesWeight"), figure(r, "usualNs", "usualWeight")));
-                    case BASE -> learned.add(new Learned.OfBaseline((Integer) r.get("build"), text(r, "route"),
-                            (Boolean) r.get("ofLate"), number(r, "mean"), number(r, "deviation"),
-                            number(r, "samples")));
+                    case HEAD ->
+                            head =
+                                    new Kept.Head(
+                                            text(r, "writer"),
+                                            text(r, "instance"),
+                                            text(r, "machine"),
+                                            text(r, "zone"),
+                                            (Long) r.get("start"),
+                                            (Long) r.get("sequence"),
+                                            (Long) r.get("unixMs"),
+                                            (Long) r.get("listVersion"));
+                    case NEWS ->
+                            news =
+                                    new News(
+                                            (Integer) r.get("build"),
+                                            (Integer) r.get("stage"),
+                                            News.Phase.valueOf(text(r, "phase")),
+                                            number(r, "cap"),
+                                            0);
+                    case LINK ->
+                            learned.add(
+                                    new Learned.OfLinks(
+                                            figure(r, "refused", "refusedWeight"),
+                                            figure(r, "unanswered", "unansweredWeight")));
+                    case ROUT ->
+                            learned.add(
+                                    new Learned.OfRoute(
+                                            text(r, "route"),
+                                            (Integer) r.get("build"),
+                                            figure(r, "timesNs", "timesWeight"),
+                                            figure(r, "usualNs", "usualWeight")));
+                    case BASE ->
+                            learned.add(
+                                    new Learned.OfBaseline(
+                                            (Integer) r.get("build"),
+                                            text(r, "route"),
+                                            (Boolean) r.get("ofLate"),
+                                            number(r, "mean"),
+                                            number(r, "deviation"),
+                                            number(r, "samples")));
                     case PODS -> pods.add(pod(r));
-                    default -> learned.add(new Learned.OfKey((Long) r.get("key"), (Integer) r.get("build")));
+                    default ->
+                            learned.add(
+                                    new Learned.OfKey(
+                                            (Long) r.get("key"), (Integer) r.get("build")));
                 }
             }
             if (!decoder.isEnd()) {
@@ -338,11 +428,23 @@
         }
 
         private static Kept.OfPod pod(GenericRecord r) {
-            PodEntry is = new PodEntry(text(r, "id"), text(r, "zone"), text(r, "kind"), (Integer) r.get("cell"),
-                    (Integer) r.get("build"), PodEntry.State.valueOf(text(r, "state")), number(r, "weight"),
-                    (Long) r.get("startedNs"));
-            return new Kept.OfPod(text(r, "address"), new Learned.OfPod(is, figure(r, "slowness", "slownessWeight"),
-                    figure(r, "late", "lateWeight"), (Integer) r.get("strikes")));
+            PodEntry is =
+                    new PodEntry(
+                            text(r, "id"),
+                            text(r, "zone"),
+                            text(r, "kind"),
+                            (Integer) r.get("cell"),
+                            (Integer) r.get("build"),
+                            PodEntry.State.valueOf(text(r, "state")),
+                            number(r, "weight"),
+                            (Long) r.get("startedNs"));
+            return new Kept.OfPod(
+                    text(r, "address"),
+                    new Learned.OfPod(
+                            is,
+                            figure(r, "slowness", "slownessWeight"),
+                            figure(r, "late", "lateWeight"),
+                            (Integer) r.get("strikes")));
         }
 
         private static String text(GenericRecord r, String field) {
--- a/state/src/main/java/mulleinlever/state/Keeper.java
+++ b/state/src/main/java/mulleinlever/state/Keeper.java
@@ -19,23 +19,26 @@
 import mulleinlever.disk.Disk;
 
 /**
- * Keeps one sidecar's state in a folder: reads the newest file that is whole, and writes new ones, each under a
- * name of its own and beside those before it. All of it happens on one thread of its own; whoever hands something
- * over never waits for the disk, and a disk that hangs costs freshness and nothing else.
+ * Keeps one sidecar's state in a folder: reads the newest file that is whole, and writes new ones,
+ * each under a name of its own and beside those before it. All of it happens on one thread of its
+ * own; whoever hands something over never waits for the disk, and a disk that hangs costs freshness
+ * and nothing else.
  *
- * <p>A file is written under another name, forced, renamed, and the folder forced: at each moment the newest file
- * that bears its name and was forced is whole.
+ * <p>A file is written under another name, forced, renamed, and the folder forced: at each moment
+ * the newest file that bears its name and was forced is whole.
  */
 public final class Keeper {
     /** Pieces that a file is written in. */
     private static final int PIECE = 1 << 16;
+
     private static final Pattern NAME = Pattern.compile("state-(\\d{12})\\.mls");
     private static final String UNFINISHED = ".tmp";
+
     /** The file whose lock says that a sidecar uses the folder. */
     public static final String LOCK = "lock";
 
     /** What a read found: null where nothing was whole, and a line for each file passed over. */
-    public record Found(String file, Kept kept, List<String> passedOver) { }
+    public record Found(String file, Kept kept, List<String> passedOver) {}
 
     private final Disk disk;
     private final int keep;
@@ -60,13 +63,22 @@
         this.mostBytes = mostBytes;
         this.instance = instance;
         this.log = log;
-        // One job may wait while one runs: what comes then is newer than what waits, but the next will be newer still.
-        this.thread = new ThreadPoolExecutor(1, 1, 0, TimeUnit.SECONDS, new ArrayBlockingQueue<>(1), job -> {
-            Thread t = new Thread(job, "state");
-            t.setDaemon(true);
-            t.setUncaughtExceptionHandler((at, e) -> log.accept("a job ended: " + e));
-            return t;
-        });
+        // One job may wait while one runs: what comes then is newer than what waits, but the next
+        // will be newer still.
+        this.thread =
+                new ThreadPoolExecutor(
+                        1,
+                        1,
+                        0,
+                        TimeUnit.SECONDS,
+                        new ArrayBlockingQueue<>(1),
+                        job -> {
+                            Thread t = new Thread(job, "state");
+                            t.setDaemon(true);
+                            t.setUncaughtExceptionHandler(
+                                    (at, e) -> log.accept("a job ended: " + e));
+                            return t;
+                        });
     }
 
     /** The file's name for a sequence number. */
@@ -82,7 +94,8 @@
 
     /** Whether a file of that name was being written when its writer ended. */
     public static boolean unfinished(String name) {
-        return name.endsWith(UNFINISHED) && sequence(name.substring(0, name.length() - UNFINISHED.length())) >= 0;
+        return name.endsWith(UNFINISHED)
+                && sequence(name.substring(0, name.length() - UNFINISHED.length())) >= 0;
     }
 
     /** Takes the lock and reads the newest whole file, on the keeper's thread. */
@@ -95,7 +108,12 @@
         try {
             return opening.get(withinNs, TimeUnit.NANOSECONDS);
         } catch (TimeoutException e) {
-            log.accept("nothing taken: reading " + disk + " took longer than " + withinNs / 1_000_000 + " ms");
+            log.accept(
+                    "nothing taken: reading "
+                            + disk
+                            + " took longer than "
+                            + withinNs / 1_000_000
+                            + " ms");
         } catch (ExecutionException e) {
             log.accept("nothing taken: " + e.getCause());
         }
@@ -111,7 +129,10 @@
         }
     }
 
-    /** Whether the folder is ours to write to; what a start before left unfinished is cleared away first. */
+    /**
+     * Whether the folder is ours to write to; what a start before left unfinished is cleared away
+     * first.
+     */
     private boolean holds() throws IOException {
         if (lock != null || off) {
             return !off;
@@ -146,7 +167,8 @@
             try {
                 Kept kept = read(disk, name, mostBytes, passedOver::add);
                 if (instance != null && !kept.head().instance().equals(instance)) {
-                    passedOver.add(name + ": is of " + kept.head().instance() + ", not of " + instance);
+                    passedOver.add(
+                            name + ": is of " + kept.head().instance() + ", not of " + instance);
                 } else {
                     return new Found(name, kept, passedOver);
                 }
@@ -158,7 +180,8 @@
     }
 
     /** One file, whole. */
-    public static Kept read(Disk disk, String name, long mostBytes, Consumer<String> leftOut) throws StateFault {
+    public static Kept read(Disk disk, String name, long mostBytes, Consumer<String> leftOut)
+            throws StateFault {
         byte[] bytes;
         try {
             bytes = disk.read(name, mostBytes);
@@ -171,8 +194,9 @@
     }
 
     /**
-     * Hands over what is to be kept next; its sequence number is the keeper's to give. False where the one before
-     * is still under way and another waits: the disk is slow, and this one is dropped.
+     * Hands over what is to be kept next; its sequence number is the keeper's to give. False where
+     * the one before is still under way and another waits: the disk is slow, and this one is
+     * dropped.
      */
     public boolean offer(Kept next) {
         try {
@@ -188,11 +212,13 @@
         return thread.getActiveCount() == 0 && thread.getQueue().isEmpty();
     }
 
-    /** Waits until all that was handed over is done with; for tests, and for those that have time. */
+    /**
+     * Waits until all that was handed over is done with; for tests, and for those that have time.
+     */
     void drain() throws InterruptedException, ExecutionException {
-        for (boolean queued = false; !queued;) {
+        for (boolean queued = false; !queued; ) {
             try {
-                thread.submit(() -> { }).get();
+                thread.submit(() -> {}).get();
                 queued = true;
             } catch (RejectedExecutionException e) {
                 Thread.sleep(1);
@@ -268,7 +294,10 @@
         }
     }
 
-    /** Once for each kind of trouble, and once when it is over: a line at every write would say no more. */
+    /**
+     * Once for each kind of trouble, and once when it is over: a line at every write would say no
+     * more.
+     */
     private void tell(String now) {
         if (!now.equals(trouble)) {
             trouble = now;
--- a/state/src/main/java/mulleinlever/state/Kept.java
+++ b/state/src/main/java/mulleinlever/state/Kept.java
@@ -24,15 +24,22 @@
      * @param unixMs the machine's wall clock
      * @param listVersion discovery's, of the list; -1 without a list
      */
-    public record Head(String writer, String instance, String machine, String zone, long start, long sequence,
-            long unixMs, long listVersion) {
+    public record Head(
+            String writer,
+            String instance,
+            String machine,
+            String zone,
+            long start,
+            long sequence,
+            long unixMs,
+            long listVersion) {
         Head numbered(long next) {
             return new Head(writer, instance, machine, zone, start, next, unixMs, listVersion);
         }
     }
 
     /** A pod where it listened, as address and port. */
-    public record OfPod(String address, Learned.OfPod learned) { }
+    public record OfPod(String address, Learned.OfPod learned) {}
 
     Kept numbered(long sequence) {
         return new Kept(head.numbered(sequence), news, pods, learned);
--- a/state/src/main/java/mulleinlever/state/StateFault.java
+++ b/state/src/main/java/mulleinlever/state/StateFault.java
@@ -1,6 +1,9 @@
 package mulleinlever.state;
 
-/** A file that is not taken, and why; the message names the file and, where there is one, the place in it. */
+/**
+ * A file that is not taken, and why; the message names the file and, where there is one, the place
+ * in it.
+ */
 public final class StateFault extends Exception {
     private static final long serialVersionUID = 1L;
 
--- a/state/src/main/java/mulleinlever/state/Taking.java
+++ b/state/src/main/java/mulleinlever/state/Taking.java
@@ -11,8 +11,9 @@
 import mulleinlever.PodEntry;
 
 /**
- * Which of what was kept still holds here and now, and why the rest does not. What is taken is a prior and no
- * right: nothing in it lets a restarted sidecar do more than one that starts with nothing.
+ * Which of what was kept still holds here and now, and why the rest does not. What is taken is a
+ * prior and no right: nothing in it lets a restarted sidecar do more than one that starts with
+ * nothing.
  */
 public final class Taking {
     /**
@@ -21,23 +22,39 @@
      * @param pods the list that it starts from, by id
      * @param addresses where each listens, by id, as address and port
      */
-    public record Here(String zone, Set<String> routes, Map<String, PodEntry> pods, Map<String, String> addresses) { }
+    public record Here(
+            String zone,
+            Set<String> routes,
+            Map<String, PodEntry> pods,
+            Map<String, String> addresses) {}
 
     /** What is taken, and how many were left out for each reason, by the reason. */
     public record Taken(List<Learned> learned, Map<String, Integer> leftOut) {
         /** For one line of a log: how many of each sort. */
         @Override
         public String toString() {
-            Map<String, Long> sorts = learned.stream().collect(Collectors.groupingBy(Taking::sort, TreeMap::new,
-                    Collectors.counting()));
-            String taken = sorts.isEmpty() ? "nothing" : sorts.entrySet().stream()
-                    .map(e -> e.getValue() + " " + e.getKey()).collect(Collectors.joining(", "));
-            return leftOut.isEmpty() ? taken : taken + "; left out: " + leftOut.entrySet().stream()
-                    .map(e -> e.getValue() + " " + e.getKey()).collect(Collectors.joining(", "));
+            Map<String, Long> sorts =
+                    learned.stream()
+                            .collect(
+                                    Collectors.groupingBy(
+                                            Taking::sort, TreeMap::new, Collectors.counting()));
+            String taken =
+                    sorts.isEmpty()
+                            ? "nothing"
+                            : sorts.entrySet().stream()
+                                    .map(e -> e.getValue() + " " + e.getKey())
+                                    .collect(Collectors.joining(", "));
+            return leftOut.isEmpty()
+                    ? taken
+                    : taken
+                            + "; left out: "
+                            + leftOut.entrySet().stream()
+                                    .map(e -> e.getValue() + " " + e.getKey())
+                                    .collect(Collectors.joining(", "));
         }
     }
 
-    private Taking() { }
+    private Taking() {}
 
     private static String sort(Learned one) {
         return switch (Ageing.group(one)) {
@@ -62,7 +79,12 @@
         return new Taken(taken, leftOut);
     }
 
-    private static void sift(Learned one, String misfit, long ageNs, List<Learned> taken, Map<String, Integer> leftOut) {
+    private static void sift(
+            Learned one,
+            String misfit,
+            long ageNs,
+            List<Learned> taken,
+            Map<String, Integer> leftOut) {
         Learned aged = misfit == null ? Ageing.aged(one, ageNs) : null;
         if (aged != null) {
             taken.add(aged);
@@ -91,27 +113,35 @@
         if (one instanceof Learned.OfLinks && !kept.head().zone().equals(here.zone())) {
             return "seen from another zone";
         }
-        String route = one instanceof Learned.OfRoute r ? r.route() : one instanceof Learned.OfBaseline b ? b.route() : "";
+        String route =
+                one instanceof Learned.OfRoute r
+                        ? r.route()
+                        : one instanceof Learned.OfBaseline b ? b.route() : "";
         return route.isEmpty() || here.routes().contains(route) ? null : "of no route here";
     }
 
     /**
-     * Whether the list that was kept is to be started from, rather than one of a given version (-1 for none). A
-     * list that names too little or old addresses costs tries, until discovery tells better.
+     * Whether the list that was kept is to be started from, rather than one of a given version (-1
+     * for none). A list that names too little or old addresses costs tries, until discovery tells
+     * better.
      */
     public static boolean listHolds(Kept kept, long ageNs, long otherVersion) {
-        return kept.head().listVersion() > otherVersion && !kept.pods().isEmpty()
+        return kept.head().listVersion() > otherVersion
+                && !kept.pods().isEmpty()
                 && Ageing.left(Ageing.Group.LIST, ageNs) > 0;
     }
 
     /**
-     * The news that was kept where it allows less than what is told at the start, else null. What allows more is
-     * never remembered: a cap that has been lowered meanwhile would be passed.
+     * The news that was kept where it allows less than what is told at the start, else null. What
+     * allows more is never remembered: a cap that has been lowered meanwhile would be passed.
      */
     public static News tighter(News kept, News told) {
         boolean back = kept.phase() == News.Phase.REVERTING || kept.phase() == News.Phase.WITHDRAWN;
-        boolean sooner = kept.build() > told.build() || kept.build() == told.build()
-                && (told.phase() == News.Phase.ON_TRIAL || told.phase() == News.Phase.RELEASED);
+        boolean sooner =
+                kept.build() > told.build()
+                        || kept.build() == told.build()
+                                && (told.phase() == News.Phase.ON_TRIAL
+                                        || told.phase() == News.Phase.RELEASED);
         return back && sooner ? new News(kept.build(), kept.stage(), kept.phase(), 0, 0) : null;
     }
 }
--- a/state/src/test/java/mulleinlever/state/AgeingTest.java
+++ b/state/src/test/java/mulleinlever/state/AgeingTest.java
@@ -30,7 +30,8 @@
     void figuresFadeAsByThePlainModel() {
         SplittableRandom random = new SplittableRandom(4);
         for (int i = 0; i < 300; i++) {
-            Learned.Figure f = new Learned.Figure(random.nextDouble() * 9, random.nextDouble() * 50);
+            Learned.Figure f =
+                    new Learned.Figure(random.nextDouble() * 9, random.nextDouble() * 50);
             long ageNs = random.nextLong(200) * S / 10;
             double pods = plainly(f.weight(), 60, ageNs / 1e9);
             Learned.OfPod p = (Learned.OfPod) Ageing.aged(new Learned.OfPod(pod(), f, f, 6), ageNs);
@@ -41,7 +42,8 @@
             Learned.OfLinks l = (Learned.OfLinks) Ageing.aged(new Learned.OfLinks(f, f), ageNs);
             assertEquals(links < 0.1 ? 0 : links, l == null ? 0 : l.refused().weight(), 1e-2);
             double routes = plainly(f.weight(), 600, ageNs / 1e9);
-            Learned.OfRoute r = (Learned.OfRoute) Ageing.aged(new Learned.OfRoute("r", 1, f, f), ageNs);
+            Learned.OfRoute r =
+                    (Learned.OfRoute) Ageing.aged(new Learned.OfRoute("r", 1, f, f), ageNs);
             assertEquals(routes < 0.1 ? 0 : routes, r == null ? 0 : r.usual().weight(), 1e-2);
         }
     }
@@ -74,7 +76,11 @@
         Learned.Figure f = new Learned.Figure(5, 100);
         assertNull(Ageing.aged(new Learned.OfPod(pod(), f, f, 6), Ageing.UNKNOWN));
         assertNull(Ageing.aged(new Learned.OfLinks(f, f), Ageing.UNKNOWN));
-        assertEquals(50, ((Learned.OfRoute) Ageing.aged(new Learned.OfRoute("r", 1, f, f), Ageing.UNKNOWN)).times().weight());
+        assertEquals(
+                50,
+                ((Learned.OfRoute) Ageing.aged(new Learned.OfRoute("r", 1, f, f), Ageing.UNKNOWN))
+                        .times()
+                        .weight());
         assertEquals(0, Ageing.left(Ageing.Group.LIST, Ageing.UNKNOWN));
         // Captured at a time that this clock has not reached, or at none.
         assertEquals(Ageing.UNKNOWN, Ageing.age(1_000_001, 1_000_000 * 1_000_000L));
--- a/state/src/test/java/mulleinlever/state/FormatTest.java
+++ b/state/src/test/java/mulleinlever/state/FormatTest.java
@@ -24,7 +24,7 @@
 
 class FormatTest {
     private static Kept read(byte[] bytes) throws StateFault {
-        return Format.read("x.mls", bytes, l -> { });
+        return Format.read("x.mls", bytes, l -> {});
     }
 
     private static StateFault.Kind kindOf(byte[] bytes) {
@@ -45,7 +45,8 @@
     @Test
     void filesOfEachEarlierFormatAreRead() throws IOException, StateFault {
         for (int format = 1; format <= Format.VERSION; format++) {
-            try (InputStream in = FormatTest.class.getResourceAsStream("format-" + format + ".mls")) {
+            try (InputStream in =
+                    FormatTest.class.getResourceAsStream("format-" + format + ".mls")) {
                 assertEquals(Sample.kept(format, 12), read(in.readAllBytes()));
             }
         }
@@ -68,9 +69,14 @@
                 byte[] one = whole.clone();
                 one[at] ^= (byte) (1 << bit);
                 StateFault.Kind kind = kindOf(one);
-                assertEquals(at < 8 ? StateFault.Kind.FOREIGN
-                        : at < 12 && bytes(one, 8) > Format.VERSION ? StateFault.Kind.NEWER : StateFault.Kind.CORRUPT,
-                        kind, "at " + at);
+                assertEquals(
+                        at < 8
+                                ? StateFault.Kind.FOREIGN
+                                : at < 12 && bytes(one, 8) > Format.VERSION
+                                        ? StateFault.Kind.NEWER
+                                        : StateFault.Kind.CORRUPT,
+                        kind,
+                        "at " + at);
             }
         }
     }
@@ -86,11 +92,14 @@
             byte[] noise = new byte[random.nextInt(400)];
             random.nextBytes(noise);
             kindOf(noise);
-            byte[] behindMagic = new ByteArrayOutputStream() {{
-                writeBytes(Format.MAGIC);
-                writeBytes(new byte[] {0, 0, 0, 1});
-                writeBytes(noise);
-            }}.toByteArray();
+            byte[] behindMagic =
+                    new ByteArrayOutputStream() {
+                        {
+                            writeBytes(Format.MAGIC);
+                            writeBytes(new byte[] {0, 0, 0, 1});
+                            writeBytes(noise);
+                        }
+                    }.toByteArray();
             kindOf(behindMagic);
         }
     }
@@ -115,14 +124,17 @@
                 crc.update(head.array(), 0, 16);
                 head.putInt(16, (int) crc.getValue());
                 StateFault.Kind kind = kindOf(behindMagic(1, head.array(), new byte[100]));
-                assertEquals(field == 3 && claimed > 0 ? StateFault.Kind.CUT : StateFault.Kind.CORRUPT, kind);
+                assertEquals(
+                        field == 3 && claimed > 0 ? StateFault.Kind.CUT : StateFault.Kind.CORRUPT,
+                        kind);
             }
         }
     }
 
     private static byte[] section(String kind, String schema, int count, byte[] records) {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
-        Format.section(out, Format.kind(kind), schema.getBytes(StandardCharsets.UTF_8), count, records);
+        Format.section(
+                out, Format.kind(kind), schema.getBytes(StandardCharsets.UTF_8), count, records);
         return out.toByteArray();
     }
 
@@ -132,7 +144,12 @@
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         out.write(file, 0, end);
         out.writeBytes(more);
-        Format.section(out, Format.kind("END "), new byte[0], sections, ByteBuffer.allocate(8).putLong(out.size()).array());
+        Format.section(
+                out,
+                Format.kind("END "),
+                new byte[0],
+                sections,
+                ByteBuffer.allocate(8).putLong(out.size()).array());
         return out.toByteArray();
     }
 
@@ -140,9 +157,10 @@
     void aTextOfTwoGigabytesWithinASoundSectionIsRefused() {
         // Avro's own length of the first text: 2^31 - 2 as a zigzag number.
         byte[] records = {(byte) 0xfc, (byte) 0xff, (byte) 0xff, (byte) 0xff, 0x0f, 'x', 'y', 'z'};
-        String schema = "{\"type\":\"record\",\"name\":\"Key\",\"namespace\":\"mulleinlever.state\",\"fields\":"
-                + "[{\"name\":\"t\",\"type\":\"string\"},{\"name\":\"key\",\"type\":\"long\"},"
-                + "{\"name\":\"build\",\"type\":\"int\"}]}";
+        String schema =
+                "{\"type\":\"record\",\"name\":\"Key\",\"namespace\":\"mulleinlever.state\",\"fields\":"
+                        + "[{\"name\":\"t\",\"type\":\"string\"},{\"name\":\"key\",\"type\":\"long\"},"
+                        + "{\"name\":\"build\",\"type\":\"int\"}]}";
         byte[] file = with(Format.write(Sample.kept(1, 1)), 8, section("KEYS", schema, 1, records));
         assertEquals(StateFault.Kind.CORRUPT, kindOf(file));
     }
@@ -150,10 +168,19 @@
     @Test
     void aSectionThatMakesNoSenseIsRefusedThoughItsChecksumHolds() {
         byte[] sound = Format.write(Sample.kept(1, 1));
-        for (String schema : List.of("", "{", "\"int\"", "{\"type\":\"record\",\"name\":\"Key\",\"fields\":[]}")) {
-            assertEquals(StateFault.Kind.CORRUPT, kindOf(with(sound, 8, section("KEYS", schema, 1, new byte[] {1}))));
+        for (String schema :
+                List.of(
+                        "",
+                        "{",
+                        "\"int\"",
+                        "{\"type\":\"record\",\"name\":\"Key\",\"fields\":[]}")) {
+            assertEquals(
+                    StateFault.Kind.CORRUPT,
+                    kindOf(with(sound, 8, section("KEYS", schema, 1, new byte[] {1}))));
         }
-        assertEquals(StateFault.Kind.CORRUPT, kindOf(with(sound, 9, section("KEYS", "{}", 0, new byte[0]))));
+        assertEquals(
+                StateFault.Kind.CORRUPT,
+                kindOf(with(sound, 9, section("KEYS", "{}", 0, new byte[0]))));
     }
 
     @Test
@@ -169,10 +196,13 @@
         assertEquals(kept, Format.read("x", file, leftOut::add));
         assertEquals(List.of("section MORE of a later writer"), leftOut);
         // A field more in a record that we know, and one less that has a default.
-        Schema later = new Schema.Parser().parse("{\"type\":\"record\",\"name\":\"Route\",\"namespace\":"
-                + "\"mulleinlever.state\",\"fields\":[{\"name\":\"route\",\"type\":\"string\"},{\"name\":\"more\","
-                + "\"type\":\"long\"},{\"name\":\"build\",\"type\":\"int\"},{\"name\":\"timesNs\",\"type\":\"double\"},"
-                + "{\"name\":\"timesWeight\",\"type\":\"double\"}]}");
+        Schema later =
+                new Schema.Parser()
+                        .parse(
+                                "{\"type\":\"record\",\"name\":\"Route\",\"namespace\":"
+                                        + "\"mulleinlever.state\",\"fields\":[{\"name\":\"route\",\"type\":\"string\"},{\"name\":\"more\","
+                                        + "\"type\":\"long\"},{\"name\":\"build\",\"type\":\"int\"},{\"name\":\"timesNs\",\"type\":\"double\"},"
+                                        + "{\"name\":\"timesWeight\",\"type\":\"double\"}]}");
         GenericRecord r = new GenericData.Record(later);
         r.put("route", "later");
         r.put("more", 5L);
@@ -183,9 +213,18 @@
         BinaryEncoder encoder = EncoderFactory.get().binaryEncoder(records, null);
         new GenericDatumWriter<GenericRecord>(later).write(r, encoder);
         encoder.flush();
-        Kept got = read(with(Format.write(kept), 8, section("ROUT", later.toString(), 1, records.toByteArray())));
+        Kept got =
+                read(
+                        with(
+                                Format.write(kept),
+                                8,
+                                section("ROUT", later.toString(), 1, records.toByteArray())));
         assertEquals(kept.learned().size() + 1, got.learned().size());
-        assertTrue(got.learned().toString().contains("OfRoute[route=later, build=42, times=Figure[mean=3.0, weight=2.0], "
-                + "usual=Figure[mean=0.0, weight=0.0]]"));
+        assertTrue(
+                got.learned()
+                        .toString()
+                        .contains(
+                                "OfRoute[route=later, build=42, times=Figure[mean=3.0, weight=2.0], "
+                                        + "usual=Figure[mean=0.0, weight=0.0]]"));
     }
 }
--- a/state/src/test/java/mulleinlever/state/KeeperTest.java
+++ b/state/src/test/java/mulleinlever/state/KeeperTest.java
@@ -26,8 +26,7 @@
     private static final long MOST = 1 << 20;
 
     private final List<String> log = new CopyOnWriteArrayList<>();
-    @TempDir
-    Path folder;
+    @TempDir Path folder;
 
     private Keeper keeper(Disk disk) {
         return new Keeper(disk, 2, MOST, "n3", log::add);
@@ -35,7 +34,11 @@
 
     private static Kept state(long unixMs) {
         Kept k = Sample.kept(unixMs, 5);
-        return new Kept(new Kept.Head("w", "n3", "m", "a", 1, 0, unixMs, 41), k.news(), k.pods(), k.learned());
+        return new Kept(
+                new Kept.Head("w", "n3", "m", "a", 1, 0, unixMs, 41),
+                k.news(),
+                k.pods(),
+                k.learned());
     }
 
     /** Hands over states of growing age one after the other; each is written before the next. */
@@ -90,7 +93,9 @@
                 FaultyDisk after = disk.afterCrash(seed);
                 Keeper.Found f = found(after);
                 long at = f.kept() == null ? 0 : f.kept().head().unixMs();
-                assertTrue(at >= forced && at <= forced + 1, "call " + call + ": " + at + " after " + forced);
+                assertTrue(
+                        at >= forced && at <= forced + 1,
+                        "call " + call + ": " + at + " after " + forced);
                 later += at > forced ? 1 : 0;
                 if (at > 0) {
                     assertEquals(state(at).numbered(at), f.kept());
@@ -174,7 +179,8 @@
         write(k, 1, 3);
         disk.put(Keeper.name(3), Format.write(state(3).numbered(3)));
         write(k, 4, 6);
-        assertEquals(List.of("off: another sidecar writes to faulty disk: state-000000000003.mls"), log);
+        assertEquals(
+                List.of("off: another sidecar writes to faulty disk: state-000000000003.mls"), log);
         assertEquals(3, found(disk).kept().head().unixMs());
     }
 
@@ -186,8 +192,14 @@
         corrupt[corrupt.length / 2] ^= 1;
         disk.put(Keeper.name(2), corrupt);
         Kept foreign = state(3);
-        disk.put(Keeper.name(3), Format.write(new Kept(new Kept.Head("w", "n4", "m", "a", 1, 3, 3, 1), foreign.news(),
-                foreign.pods(), foreign.learned())));
+        disk.put(
+                Keeper.name(3),
+                Format.write(
+                        new Kept(
+                                new Kept.Head("w", "n4", "m", "a", 1, 3, 3, 1),
+                                foreign.news(),
+                                foreign.pods(),
+                                foreign.learned())));
         disk.put(Keeper.name(4), new byte[(int) MOST + 1]);
         disk.put(Keeper.name(5), new byte[0]);
         byte[] newer = Format.write(state(6));
@@ -198,7 +210,9 @@
         Keeper.Found f = found(disk);
         assertEquals(Keeper.name(1), f.file());
         assertEquals(5, f.passedOver().size());
-        assertTrue(f.passedOver().get(0).contains("format 2, and we know up to 1"), f.passedOver().get(0));
+        assertTrue(
+                f.passedOver().get(0).contains("format 2, and we know up to 1"),
+                f.passedOver().get(0));
         assertTrue(f.passedOver().get(3).endsWith("is of n4, not of n3"), f.passedOver().get(3));
         // The next one written is newer than all of them.
         Keeper k = keeper(disk);
@@ -214,7 +228,9 @@
         assertNull(k.open().get());
         write(k, 1, 4);
         assertEquals(2, log.size(), log.toString());
-        assertTrue(log.get(0).startsWith("nothing taken: ") && log.get(1).startsWith("not written: "), log.toString());
+        assertTrue(
+                log.get(0).startsWith("nothing taken: ") && log.get(1).startsWith("not written: "),
+                log.toString());
         k.close(SECOND);
         log.clear();
         Path gone = Files.createDirectory(folder.resolve("gone"));
--- a/state/src/test/java/mulleinlever/state/TakingTest.java
+++ b/state/src/test/java/mulleinlever/state/TakingTest.java
@@ -30,11 +30,21 @@
             if (what == 0) {
                 continue;
             }
-            pods.put(is.id(), new PodEntry(is.id(), is.zone(), is.kind(), is.cell(), is.build() + (what == 1 ? 1 : 0),
-                    what == 2 ? PodEntry.State.GONE : PodEntry.State.READY, 1, is.startedNs() + (what == 3 ? 1 : 0)));
+            pods.put(
+                    is.id(),
+                    new PodEntry(
+                            is.id(),
+                            is.zone(),
+                            is.kind(),
+                            is.cell(),
+                            is.build() + (what == 1 ? 1 : 0),
+                            what == 2 ? PodEntry.State.GONE : PodEntry.State.READY,
+                            1,
+                            is.startedNs() + (what == 3 ? 1 : 0)));
             addresses.put(is.id(), what == 4 ? "10.9.9.9:1" : p.address());
         }
-        return new Taking.Here(random.nextInt(5) == 0 ? "b" : "a", Set.of("get", "other"), pods, addresses);
+        return new Taking.Here(
+                random.nextInt(5) == 0 ? "b" : "a", Set.of("get", "other"), pods, addresses);
     }
 
     @Test
@@ -49,9 +59,14 @@
             for (Kept.OfPod p : kept.pods()) {
                 PodEntry then = p.learned().is();
                 PodEntry now = here.pods().get(then.id());
-                boolean same = now != null && now.state() != PodEntry.State.GONE && now.build() == then.build()
-                        && now.startedNs() == then.startedNs() && p.address().equals(here.addresses().get(then.id()));
-                expected.add(same && here.zone().equals("a") ? Ageing.aged(p.learned(), age) : null);
+                boolean same =
+                        now != null
+                                && now.state() != PodEntry.State.GONE
+                                && now.build() == then.build()
+                                && now.startedNs() == then.startedNs()
+                                && p.address().equals(here.addresses().get(then.id()));
+                expected.add(
+                        same && here.zone().equals("a") ? Ageing.aged(p.learned(), age) : null);
             }
             for (Learned l : kept.learned()) {
                 boolean ofPut = l.toString().contains("route=put");
@@ -72,13 +87,20 @@
         Kept kept = Sample.kept(1, 3);
         Map<String, PodEntry> pods = new HashMap<>();
         Map<String, String> addresses = new HashMap<>();
-        kept.pods().subList(0, 2).forEach(p -> {
-            pods.put(p.learned().is().id(), p.learned().is());
-            addresses.put(p.learned().is().id(), p.address());
-        });
-        String line = Taking.of(kept, 0, new Taking.Here("a", Set.of("put"), pods, addresses)).toString();
-        assertTrue(line.matches("(\\d baselines, )(\\d keys, )?1 links, 2 pods, 1 routes; left out: 1 baselines of no route "
-                + "here, 1 pods gone, 1 routes of no route here"), line);
+        kept.pods()
+                .subList(0, 2)
+                .forEach(
+                        p -> {
+                            pods.put(p.learned().is().id(), p.learned().is());
+                            addresses.put(p.learned().is().id(), p.address());
+                        });
+        String line =
+                Taking.of(kept, 0, new Taking.Here("a", Set.of("put"), pods, addresses)).toString();
+        assertTrue(
+                line.matches(
+                        "(\\d baselines, )(\\d keys, )?1 links, 2 pods, 1 routes; left out: 1 baselines of no route "
+                                + "here, 1 pods gone, 1 routes of no route here"),
+                line);
     }
 
     @Test
@@ -86,8 +108,11 @@
         Kept kept = Sample.kept(1, 3);
         assertTrue(Taking.listHolds(kept, 0, 40));
         assertTrue(Taking.listHolds(kept, 3600 * S, -1));
-        assertTrue(!Taking.listHolds(kept, 3601 * S, -1) && !Taking.listHolds(kept, 0, 41)
-                && !Taking.listHolds(kept, Ageing.UNKNOWN, 40) && !Taking.listHolds(Sample.kept(1, 0), 0, 40));
+        assertTrue(
+                !Taking.listHolds(kept, 3601 * S, -1)
+                        && !Taking.listHolds(kept, 0, 41)
+                        && !Taking.listHolds(kept, Ageing.UNKNOWN, 40)
+                        && !Taking.listHolds(Sample.kept(1, 0), 0, 40));
     }
 
     @Test
