--- a/cli/src/main/java/mulleinlever/cli/Commands.java
+++ b/cli/src/main/java/mulleinlever/cli/Commands.java
@@ -18,7 +18,7 @@
 
     /** What a file refuses is told in one line; any other fault is ours, and told whole. */
     static CommandLine line() {
-        return new CommandLine(new Root())
+        return new CommandLine(new RootCommand())
                 .setExecutionExceptionHandler(
                         (e, at, parsed) -> {
                             if (!(e instanceof IOException)) {
--- a/cli/src/main/java/mulleinlever/cli/DrillCommand.java
+++ b/cli/src/main/java/mulleinlever/cli/DrillCommand.java
@@ -2,8 +2,8 @@
 
 import java.io.IOException;
 import java.util.concurrent.Callable;
-import mulleinlever.drill.BadInput;
-import mulleinlever.drill.Drill;
+import mulleinlever.drill.DrillInputException;
+import mulleinlever.drill.DrillSession;
 import picocli.CommandLine.Command;
 
 /** The decisions alone, on the bench's wire. */
@@ -16,9 +16,9 @@
     @Override
     public Integer call() throws IOException {
         try {
-            new Drill(System.in, System.out).run();
+            new DrillSession(System.in, System.out).run();
             return 0;
-        } catch (BadInput e) {
+        } catch (DrillInputException e) {
             System.err.println(e.getMessage());
             return 2;
         }
--- a/cli/src/main/java/mulleinlever/cli/Main.java
+++ b/cli/src/main/java/mulleinlever/cli/Main.java
@@ -13,7 +13,7 @@
 import java.util.List;
 import java.util.Set;
 import java.util.TreeSet;
-import mulleinlever.sidecar.Serve;
+import mulleinlever.sidecar.SidecarServer;
 
 /**
  * Where the program starts. A bare "serve" runs on the class path alone, which holds what the
@@ -31,7 +31,7 @@
 
     public static void main(String[] args) throws Exception {
         boolean bare = args.length == 1 && args[0].equals("serve");
-        System.exit(bare ? Serve.run(System.getenv(), List.of()) : commands(args));
+        System.exit(bare ? SidecarServer.run(System.getenv(), List.of()) : commands(args));
     }
 
     private static int commands(String[] args) throws Exception {
--- a/cli/src/main/java/mulleinlever/cli/Root.java
+++ b/cli/src/main/java/mulleinlever/cli/RootCommand.java
@@ -11,10 +11,10 @@
 @Command(
         name = "mulleinlever",
         mixinStandardHelpOptions = true,
-        versionProvider = Root.Given.class,
+        versionProvider = RootCommand.VersionProvider.class,
         description = "Routes reqs to pods and votes on staged releases.",
         subcommands = {ServeCommand.class, DrillCommand.class, StateCommand.class})
-final class Root implements Runnable {
+final class RootCommand implements Runnable {
     @Spec private CommandSpec spec;
 
     @Override
@@ -23,7 +23,7 @@
     }
 
     /** The version that the build gave. */
-    static final class Given implements IVersionProvider {
+    static final class VersionProvider implements IVersionProvider {
         @Override
         public String[] getVersion() {
             return new String[] {"mulleinlever " + Version.TEXT};
--- a/cli/src/main/java/mulleinlever/cli/ServeCommand.java
+++ b/cli/src/main/java/mulleinlever/cli/ServeCommand.java
@@ -3,7 +3,7 @@
 import java.nio.file.Path;
 import java.util.List;
 import java.util.concurrent.Callable;
-import mulleinlever.sidecar.Serve;
+import mulleinlever.sidecar.SidecarServer;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
@@ -23,6 +23,6 @@
 
     @Override
     public Integer call() throws InterruptedException {
-        return Serve.run(System.getenv(), with);
+        return SidecarServer.run(System.getenv(), with);
     }
 }
--- a/cli/src/main/java/mulleinlever/cli/StateCommand.java
+++ b/cli/src/main/java/mulleinlever/cli/StateCommand.java
@@ -16,13 +16,13 @@
 import java.util.Locale;
 import java.util.Map;
 import java.util.concurrent.Callable;
-import mulleinlever.Learned;
+import mulleinlever.LearnedState;
 import mulleinlever.PodEntry;
-import mulleinlever.disk.FolderDisk;
-import mulleinlever.state.Ageing;
-import mulleinlever.state.Keeper;
-import mulleinlever.state.Kept;
-import mulleinlever.state.StateFault;
+import mulleinlever.disk.FileSystemDirectory;
+import mulleinlever.state.StateDecay;
+import mulleinlever.state.StateFileException;
+import mulleinlever.state.StateSnapshot;
+import mulleinlever.state.StateStore;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Option;
@@ -46,10 +46,10 @@
         throw new ParameterException(spec.commandLine(), "one of show, check and prune is missing");
     }
 
-    private static Kept read(Path file, List<String> leftOut) throws StateFault {
+    private static StateSnapshot read(Path file, List<String> leftOut) throws StateFileException {
         Path whole = file.toAbsolutePath();
-        return Keeper.read(
-                new FolderDisk(whole.getParent()),
+        return StateStore.read(
+                new FileSystemDirectory(whole.getParent()),
                 whole.getFileName().toString(),
                 MOST_BYTES,
                 leftOut::add);
@@ -81,13 +81,14 @@
             List<String> notes = new ArrayList<>();
             PrintWriter err = spec.commandLine().getErr();
             try {
-                Kept kept;
+                StateSnapshot kept;
                 if (Files.isDirectory(file)) {
-                    Keeper.Found found = Keeper.newest(new FolderDisk(file), MOST_BYTES, null);
+                    StateStore.LoadResult found =
+                            StateStore.newest(new FileSystemDirectory(file), MOST_BYTES, null);
                     found.passedOver().forEach(l -> err.println(file + "/" + l));
                     if (found.kept() == null) {
                         err.println(file + ": no whole file of state");
-                        return StateFault.Kind.UNREADABLE.exitCode;
+                        return StateFileException.Kind.UNREADABLE.exitCode;
                     }
                     kept = found.kept();
                 } else {
@@ -96,13 +97,13 @@
                 notes.forEach(n -> err.println(located(file, n)));
                 spec.commandLine().getOut().println(json ? json(kept) : table(kept));
                 return 0;
-            } catch (StateFault e) {
+            } catch (StateFileException e) {
                 err.println(located(file, e.getMessage()));
                 return e.kind.exitCode;
             }
         }
 
-        private static String json(Kept kept) throws JsonProcessingException {
+        private static String json(StateSnapshot kept) throws JsonProcessingException {
             Map<String, Object> all = new LinkedHashMap<>();
             all.put("head", kept.head());
             Map<String, Object> news = new LinkedHashMap<>();
@@ -111,23 +112,23 @@
             news.put("phase", kept.news().phase());
             news.put("cap", kept.news().cap());
             all.put("news", news);
-            all.put("links", only(kept, Learned.OfLinks.class));
-            all.put("routes", only(kept, Learned.OfRoute.class));
-            all.put("baselines", only(kept, Learned.OfBaseline.class));
+            all.put("links", only(kept, LearnedState.ConnectionStats.class));
+            all.put("routes", only(kept, LearnedState.RouteStats.class));
+            all.put("baselines", only(kept, LearnedState.DetectorBaseline.class));
             all.put("pods", kept.pods());
-            all.put("keys", only(kept, Learned.OfKey.class));
+            all.put("keys", only(kept, LearnedState.KeyBuild.class));
             return new ObjectMapper()
                     .enable(SerializationFeature.INDENT_OUTPUT)
                     .writeValueAsString(all);
         }
 
-        private static <T> List<T> only(Kept kept, Class<T> type) {
+        private static <T> List<T> only(StateSnapshot kept, Class<T> type) {
             return kept.learned().stream().filter(type::isInstance).map(type::cast).toList();
         }
 
-        private static String table(Kept kept) {
-            Kept.Head h = kept.head();
-            long ageNs = Ageing.age(h.unixMs(), System.currentTimeMillis() * 1_000_000L);
+        private static String table(StateSnapshot kept) {
+            StateSnapshot.Header h = kept.head();
+            long ageNs = StateDecay.age(h.unixMs(), System.currentTimeMillis() * 1_000_000L);
             StringBuilder s = new StringBuilder();
             line(
                     s,
@@ -141,7 +142,9 @@
                     "number %d, captured %s, %s",
                     h.sequence(),
                     Instant.ofEpochMilli(h.unixMs()),
-                    ageNs == Ageing.UNKNOWN ? "later than now" : ageNs / 1_000_000_000L + " s ago");
+                    ageNs == StateDecay.UNKNOWN
+                            ? "later than now"
+                            : ageNs / 1_000_000_000L + " s ago");
             line(
                     s,
                     "build %d stage %d %s, cap %.2f; list %d",
@@ -150,7 +153,7 @@
                     kept.news().phase(),
                     kept.news().cap(),
                     h.listVersion());
-            for (Learned.OfLinks l : only(kept, Learned.OfLinks.class)) {
+            for (LearnedState.ConnectionStats l : only(kept, LearnedState.ConnectionStats.class)) {
                 line(
                         s,
                         "links refused %s, tries unanswered %s",
@@ -158,7 +161,7 @@
                         share(l.unanswered()));
             }
             line(s, "%n%-20s %6s %16s %16s", "route", "build", "takes ms", "usually ms");
-            for (Learned.OfRoute r : only(kept, Learned.OfRoute.class)) {
+            for (LearnedState.RouteStats r : only(kept, LearnedState.RouteStats.class)) {
                 line(s, "%-20s %6d %16s %16s", r.route(), r.build(), ms(r.times()), ms(r.usual()));
             }
             line(
@@ -170,7 +173,8 @@
                     "mean",
                     "deviation",
                     "seconds");
-            for (Learned.OfBaseline b : only(kept, Learned.OfBaseline.class)) {
+            for (LearnedState.DetectorBaseline b :
+                    only(kept, LearnedState.DetectorBaseline.class)) {
                 line(
                         s,
                         "%-20s %6d %-16s %8.3f %10.3f %8.0f",
@@ -192,7 +196,7 @@
                     "slowness",
                     "late",
                     "strikes");
-            for (Kept.OfPod p : kept.pods()) {
+            for (StateSnapshot.PodSnapshot p : kept.pods()) {
                 PodEntry is = p.learned().is();
                 line(
                         s,
@@ -206,7 +210,7 @@
                         share(p.learned().late()),
                         p.learned().strikes());
             }
-            line(s, "%n%d keys that can't go back", only(kept, Learned.OfKey.class).size());
+            line(s, "%n%d keys that can't go back", only(kept, LearnedState.KeyBuild.class).size());
             return s.toString().stripTrailing();
         }
 
@@ -218,13 +222,13 @@
             return text.isEmpty() ? "unknown" : text;
         }
 
-        private static String share(Learned.Figure f) {
+        private static String share(LearnedState.WeightedMean f) {
             return f.weight() == 0
                     ? "-"
                     : String.format(Locale.ROOT, "%.2f of %.1f", f.mean(), f.weight());
         }
 
-        private static String ms(Learned.Figure f) {
+        private static String ms(LearnedState.WeightedMean f) {
             return f.weight() == 0
                     ? "-"
                     : String.format(Locale.ROOT, "%.1f of %.1f", f.mean() / 1e6, f.weight());
@@ -253,7 +257,7 @@
             for (Path file : files) {
                 List<String> notes = new ArrayList<>();
                 try {
-                    Kept kept = read(file, notes);
+                    StateSnapshot kept = read(file, notes);
                     spec.commandLine()
                             .getOut()
                             .println(
@@ -265,7 +269,7 @@
                                             + ", "
                                             + kept.pods().size()
                                             + " pods");
-                } catch (StateFault e) {
+                } catch (StateFileException e) {
                     notes.add(e.getMessage());
                     code = code == 0 ? e.kind.exitCode : code;
                 }
@@ -303,10 +307,10 @@
             if (keep < 0) {
                 throw new ParameterException(spec.commandLine(), "--keep needs 0 or more");
             }
-            FolderDisk disk = new FolderDisk(folder);
+            FileSystemDirectory disk = new FileSystemDirectory(folder);
             List<String> names = new ArrayList<>(disk.list());
             Collections.reverse(names);
-            try (Closeable lock = disk.lock(Keeper.LOCK)) {
+            try (Closeable lock = disk.lock(StateStore.LOCK)) {
                 if (lock == null) {
                     spec.commandLine()
                             .getErr()
@@ -315,15 +319,15 @@
                 }
                 int whole = 0;
                 for (String name : names) {
-                    String why = Keeper.unfinished(name) ? "unfinished" : null;
-                    if (Keeper.sequence(name) >= 0) {
+                    String why = StateStore.unfinished(name) ? "unfinished" : null;
+                    if (StateStore.sequence(name) >= 0) {
                         try {
-                            Keeper.read(disk, name, MOST_BYTES, l -> {});
+                            StateStore.read(disk, name, MOST_BYTES, l -> {});
                             why = whole++ < keep ? null : "older";
-                        } catch (StateFault e) {
+                        } catch (StateFileException e) {
                             // What a later program wrote is sound to that one.
                             why =
-                                    e.kind == StateFault.Kind.NEWER
+                                    e.kind == StateFileException.Kind.NEWER
                                             ? null
                                             : "not whole: " + e.getMessage();
                         }
--- a/cli/src/test/java/mulleinlever/cli/LayersTest.java
+++ b/cli/src/test/java/mulleinlever/cli/ArchitectureTest.java
@@ -10,7 +10,7 @@
 
 /** Arrows point down only, and what decides touches nothing outside. */
 @AnalyzeClasses(packages = "mulleinlever", importOptions = ImportOption.DoNotIncludeTests.class)
-class LayersTest {
+class ArchitectureTest {
     private static final String[] JDK = {"java.lang..", "java.util..", "java.math.."};
 
     /** Neither files, sockets, threads nor a clock: time and chance are arguments. */
@@ -62,11 +62,11 @@
     static final ArchRule SUBSYSTEMS_DECIDE_PURELY =
             classes()
                     .that()
-                    .haveFullyQualifiedName("mulleinlever.state.Ageing")
+                    .haveFullyQualifiedName("mulleinlever.state.StateDecay")
                     .or()
-                    .haveFullyQualifiedName("mulleinlever.state.Taking")
+                    .haveFullyQualifiedName("mulleinlever.state.SnapshotFilter")
                     .or()
-                    .haveFullyQualifiedName("mulleinlever.state.Capture")
+                    .haveFullyQualifiedName("mulleinlever.state.SnapshotBuilder")
                     .should()
                     .onlyDependOnClassesThat()
                     .resideInAnyPackage(
--- a/cli/src/test/java/mulleinlever/cli/MainTest.java
+++ b/cli/src/test/java/mulleinlever/cli/MainTest.java
@@ -20,9 +20,10 @@
 class MainTest {
     @TempDir Path folder;
 
-    private record Run(int code, String out, String err) {}
+    private record ProcessResult(int code, String out, String err) {}
 
-    private Run run(String input, String... args) throws IOException, InterruptedException {
+    private ProcessResult run(String input, String... args)
+            throws IOException, InterruptedException {
         List<String> command =
                 new ArrayList<>(
                         List.of(
@@ -41,7 +42,7 @@
         b.environment().remove("LB_CONFIG");
         Process p = b.start();
         assertTrue(p.waitFor(30, TimeUnit.SECONDS));
-        return new Run(
+        return new ProcessResult(
                 p.exitValue(),
                 Files.readString(folder.resolve("out"), StandardCharsets.UTF_8),
                 Files.readString(folder.resolve("err"), StandardCharsets.UTF_8));
@@ -59,7 +60,7 @@
         "serve --with gone.toml, 2, config: LB_CONFIG needs"
     })
     void helpGoesOutAndFaultsGoToTheErrors(String line, int code, String says) throws Exception {
-        Run r = run("", line.isEmpty() ? new String[0] : line.split(" "));
+        ProcessResult r = run("", line.isEmpty() ? new String[0] : line.split(" "));
         assertEquals(code, r.code, r.err);
         String shown = code == 0 ? r.out : r.err;
         assertTrue(shown.contains(says), shown);
@@ -68,18 +69,18 @@
 
     @Test
     void versionIsTheBuilds() throws Exception {
-        Run r = run("", "--version");
+        ProcessResult r = run("", "--version");
         assertTrue(r.out.matches("mulleinlever \\d+\\.\\d+\\.\\d+(-SNAPSHOT)?\\R"), r.out);
     }
 
     @Test
     void todaysLinesKeepWorking() throws Exception {
-        Run drill = run("TICK\ttimeNs=1\tframe=7\nEND\n", "drill");
-        assertEquals(new Run(0, "EOR\tframe=7\n", ""), drill);
-        Run bad = run("HELLO\n", "drill");
+        ProcessResult drill = run("TICK\ttimeNs=1\tframe=7\nEND\n", "drill");
+        assertEquals(new ProcessResult(0, "EOR\tframe=7\n", ""), drill);
+        ProcessResult bad = run("HELLO\n", "drill");
         assertEquals(2, bad.code);
         assertEquals("line 1: expected TICK, found HELLO\n", bad.err);
-        Run serve = run("", "serve");
+        ProcessResult serve = run("", "serve");
         assertEquals(2, serve.code);
         assertTrue(
                 serve.err.endsWith("config: LB_CONFIG needs the path of the configuration\n"),
--- a/cli/src/test/java/mulleinlever/cli/StateCommandTest.java
+++ b/cli/src/test/java/mulleinlever/cli/StateCommandTest.java
@@ -11,12 +11,12 @@
 import java.nio.file.Path;
 import java.util.Arrays;
 import java.util.List;
-import mulleinlever.Learned;
-import mulleinlever.News;
+import mulleinlever.LearnedState;
 import mulleinlever.PodEntry;
-import mulleinlever.disk.FolderDisk;
-import mulleinlever.state.Keeper;
-import mulleinlever.state.Kept;
+import mulleinlever.RolloutStatus;
+import mulleinlever.disk.FileSystemDirectory;
+import mulleinlever.state.StateSnapshot;
+import mulleinlever.state.StateStore;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
@@ -41,7 +41,7 @@
 
     @BeforeEach
     void threeFiles() throws Exception {
-        Keeper k = new Keeper(new FolderDisk(folder), 9, 1 << 20, "n3", l -> {});
+        StateStore k = new StateStore(new FileSystemDirectory(folder), 9, 1 << 20, "n3", l -> {});
         k.open().get();
         for (int i = 0; i < 3; i++) {
             while (!k.idle()) {
@@ -52,18 +52,21 @@
         k.close(SECOND);
     }
 
-    private static Kept kept(long unixMs) {
-        Learned.Figure f = new Learned.Figure(2.5, 4);
+    private static StateSnapshot kept(long unixMs) {
+        LearnedState.WeightedMean f = new LearnedState.WeightedMean(2.5, 4);
         PodEntry is = new PodEntry("s-1", "a", "m", 0, 42, PodEntry.State.READY, 1, 0);
-        return new Kept(
-                new Kept.Head("1.2.3", "n3", "m1", "a", 9, 0, unixMs, 41),
-                new News(42, 1, News.Phase.ON_TRIAL, 0.25, 0),
-                List.of(new Kept.OfPod("10.0.0.1:6543", new Learned.OfPod(is, f, f, 3))),
+        return new StateSnapshot(
+                new StateSnapshot.Header("1.2.3", "n3", "m1", "a", 9, 0, unixMs, 41),
+                new RolloutStatus(42, 1, RolloutStatus.Phase.ON_TRIAL, 0.25, 0),
                 List.of(
-                        new Learned.OfLinks(f, f),
-                                new Learned.OfRoute("get", 42, new Learned.Figure(5e6, 3), f),
-                        new Learned.OfBaseline(42, "", true, 0.2, 0.05, 50),
-                                new Learned.OfKey(77, 42)));
+                        new StateSnapshot.PodSnapshot(
+                                "10.0.0.1:6543", new LearnedState.PodStats(is, f, f, 3))),
+                List.of(
+                        new LearnedState.ConnectionStats(f, f),
+                                new LearnedState.RouteStats(
+                                        "get", 42, new LearnedState.WeightedMean(5e6, 3), f),
+                        new LearnedState.DetectorBaseline(42, "", true, 0.2, 0.05, 50),
+                                new LearnedState.KeyBuild(77, 42)));
     }
 
     @Test
@@ -81,7 +84,7 @@
                         "1 keys that can't go back")) {
             assertTrue(out.contains(part), part + " in " + out);
         }
-        assertEquals(0, run("state", "show", "--json", folder.resolve(Keeper.name(2))));
+        assertEquals(0, run("state", "show", "--json", folder.resolve(StateStore.name(2))));
         JsonNode all = new ObjectMapper().readTree(out);
         assertEquals(2, all.at("/head/sequence").asInt());
         assertEquals("10.0.0.1:6543", all.at("/pods/0/address").asText());
@@ -95,9 +98,9 @@
 
     @Test
     void checkTellsEachFaultByItsExitCode() throws Exception {
-        Path sound = folder.resolve(Keeper.name(1));
+        Path sound = folder.resolve(StateStore.name(1));
         byte[] bytes = Files.readAllBytes(sound);
-        assertEquals(0, run("state", "check", sound, folder.resolve(Keeper.name(3))));
+        assertEquals(0, run("state", "check", sound, folder.resolve(StateStore.name(3))));
         assertTrue(out.contains("state-000000000001.mls: sound, number 1 of n3, 1 pods"), out);
         assertEquals(3, run("state", "check", folder.resolve("none")));
         assertEquals(
@@ -127,16 +130,16 @@
 
     @Test
     void pruneLeavesTheNewestWholeOnes() throws Exception {
-        Files.writeString(folder.resolve(Keeper.name(4)), "not whole");
-        Files.writeString(folder.resolve(Keeper.name(5) + ".tmp"), "unfinished");
+        Files.writeString(folder.resolve(StateStore.name(4)), "not whole");
+        Files.writeString(folder.resolve(StateStore.name(5) + ".tmp"), "unfinished");
         Files.writeString(folder.resolve("notes.tmp"), "not ours");
         assertEquals(0, run("state", "prune", "--dry-run", folder));
         assertEquals(4, out.lines().filter(l -> l.startsWith("would delete state-")).count());
         assertEquals(0, run("state", "prune", "--keep", 2, folder));
         assertEquals(
-                List.of("lock", "notes.tmp", Keeper.name(2), Keeper.name(3)),
-                new FolderDisk(folder).list());
-        try (var lock = new FolderDisk(folder).lock(Keeper.LOCK)) {
+                List.of("lock", "notes.tmp", StateStore.name(2), StateStore.name(3)),
+                new FileSystemDirectory(folder).list());
+        try (var lock = new FileSystemDirectory(folder).lock(StateStore.LOCK)) {
             assertEquals(1, run("state", "prune", folder));
             assertTrue(err.contains("a sidecar that runs holds it") && lock != null, err);
         }
@@ -148,7 +151,7 @@
 
     @Test
     void showOfAFolderSaysWhatItPassedOver() throws Exception {
-        Files.writeString(folder.resolve(Keeper.name(4)), "not whole");
+        Files.writeString(folder.resolve(StateStore.name(4)), "not whole");
         assertEquals(0, run("state", "show", folder));
         assertEquals(folder + "/state-000000000004.mls: at byte 0: not a file of state\n", err);
         assertEquals(3, run("state", "show", Files.createDirectory(folder.resolve("empty"))));
--- a/core/src/main/java/mulleinlever/Keys.java
+++ b/core/src/main/java/mulleinlever/BuildByKey.java
@@ -7,7 +7,7 @@
 import java.util.stream.Stream;
 
 /** The newest build that has answered each key; 0 for keys that none has. */
-final class Keys {
+final class BuildByKey {
     private final Map<Long, Integer> builds = new HashMap<>();
 
     /**
@@ -29,8 +29,8 @@
         }
     }
 
-    Stream<Learned> learned() {
+    Stream<LearnedState> learned() {
         return IntStream.range(0, builds.size())
-                .mapToObj(i -> new Learned.OfKey(keys[i], of(keys[i])));
+                .mapToObj(i -> new LearnedState.KeyBuild(keys[i], of(keys[i])));
     }
 }
--- a/core/src/main/java/mulleinlever/Side.java
+++ b/core/src/main/java/mulleinlever/BuildOutcomes.java
@@ -3,16 +3,16 @@
 import java.util.Arrays;
 
 /** What one side, the build on trial or the earlier one, has shown: by route, and last over all. */
-final class Side {
+final class BuildOutcomes {
     /** Tries of which a share went wrong. */
-    private static final class Share {
-        final Decay of;
-        final Decay wrong;
+    private static final class FailureShare {
+        final DecayingSum of;
+        final DecayingSum wrong;
         double ever;
 
-        Share(long halfLifeNs) {
-            of = new Decay(halfLifeNs);
-            wrong = new Decay(halfLifeNs);
+        FailureShare(long halfLifeNs) {
+            of = new DecayingSum(halfLifeNs);
+            wrong = new DecayingSum(halfLifeNs);
         }
 
         void add(long nowNs, double n, double k) {
@@ -26,23 +26,23 @@
         }
     }
 
-    private final Share[] failed;
-    private final Share[] late;
-    private final Share[] flagged;
+    private final FailureShare[] failed;
+    private final FailureShare[] late;
+    private final FailureShare[] flagged;
 
-    Side(int routes, long halfLifeNs, long flagHalfLifeNs) {
+    BuildOutcomes(int routes, long halfLifeNs, long flagHalfLifeNs) {
         failed = places(routes, halfLifeNs);
         late = places(routes, halfLifeNs);
         flagged = places(routes, flagHalfLifeNs);
     }
 
-    private static Share[] places(int routes, long halfLifeNs) {
-        Share[] places = new Share[routes + 1];
-        Arrays.setAll(places, i -> new Share(halfLifeNs));
+    private static FailureShare[] places(int routes, long halfLifeNs) {
+        FailureShare[] places = new FailureShare[routes + 1];
+        Arrays.setAll(places, i -> new FailureShare(halfLifeNs));
         return places;
     }
 
-    private static void add(Share[] places, long nowNs, int route, double n, double k) {
+    private static void add(FailureShare[] places, long nowNs, int route, double n, double k) {
         places[route].add(nowNs, n, k);
         places[places.length - 1].add(nowNs, n, k);
     }
--- a/core/src/main/java/mulleinlever/Room.java
+++ b/core/src/main/java/mulleinlever/ConcurrencyLimiter.java
@@ -4,7 +4,7 @@
  * Decides how many tries one sidecar may have open at all pods together. The longer answers take,
  * the fewer: what waits at the sidecar can be shed or go elsewhere, what waits at a pod can't.
  */
-final class Room {
+final class ConcurrencyLimiter {
     private static final long HALF_LIFE = 1_000_000_000L;
 
     /**
@@ -22,18 +22,18 @@
     private static final long RATE_HALF_LIFE = 5_000_000_000L;
 
     private final int sidecars;
-    private final Mean ease = new Mean(HALF_LIFE);
+    private final DecayingMean ease = new DecayingMean(HALF_LIFE);
 
     /**
      * Seconds that the reqs that came want at pods at ease: a second's worth of it is what they
      * keep open.
      */
-    private final Decay wanted = new Decay(RATE_HALF_LIFE);
+    private final DecayingSum wanted = new DecayingSum(RATE_HALF_LIFE);
 
     private double most;
     private int open;
 
-    Room(int sidecars) {
+    ConcurrencyLimiter(int sidecars) {
         this.sidecars = sidecars;
     }
 
--- a/core/src/main/java/mulleinlever/Mean.java
+++ b/core/src/main/java/mulleinlever/DecayingMean.java
@@ -1,13 +1,13 @@
 package mulleinlever;
 
 /** A decaying mean, which leans to a given value while it has seen little. */
-final class Mean {
-    private final Decay sum;
-    private final Decay count;
+final class DecayingMean {
+    private final DecayingSum sum;
+    private final DecayingSum count;
 
-    Mean(long halfLifeNs) {
-        sum = new Decay(halfLifeNs);
-        count = new Decay(halfLifeNs);
+    DecayingMean(long halfLifeNs) {
+        sum = new DecayingSum(halfLifeNs);
+        count = new DecayingSum(halfLifeNs);
     }
 
     void add(long nowNs, double x) {
@@ -19,13 +19,13 @@
         count.add(nowNs, n);
     }
 
-    Learned.Figure figure(long nowNs) {
+    LearnedState.WeightedMean figure(long nowNs) {
         double n = count.read(nowNs);
-        return new Learned.Figure(n > 0 ? sum.read(nowNs) / n : 0, n);
+        return new LearnedState.WeightedMean(n > 0 ? sum.read(nowNs) / n : 0, n);
     }
 
     /** Takes a remembered mean, for so many outcomes at most. */
-    void recall(long nowNs, Learned.Figure f, double most) {
+    void recall(long nowNs, LearnedState.WeightedMean f, double most) {
         add(nowNs, f.mean(), Math.min(f.weight(), most));
     }
 
--- a/core/src/main/java/mulleinlever/Decay.java
+++ b/core/src/main/java/mulleinlever/DecayingSum.java
@@ -1,7 +1,7 @@
 package mulleinlever;
 
 /** A sum that halves every half-life; it is brought up to date when it is read. */
-public final class Decay {
+public final class DecayingSum {
     private static final double LN_2 = Math.log(2);
 
     private final double halfLifeNs;
@@ -9,7 +9,7 @@
     private long atNs;
     private long firstNs = Long.MIN_VALUE;
 
-    public Decay(long halfLifeNs) {
+    public DecayingSum(long halfLifeNs) {
         this.halfLifeNs = halfLifeNs;
     }
 
--- a/core/src/main/java/mulleinlever/Exposure.java
+++ b/core/src/main/java/mulleinlever/ExposureBudget.java
@@ -7,12 +7,12 @@
  * What may still be sent to builds on trial. Each req earns its share and only the free number is
  * saved, so that no window whatever its length exceeds the rule.
  */
-final class Exposure {
-    private final Settings.Rollout rollout;
+final class ExposureBudget {
+    private final Settings.RolloutSettings rollout;
     private final int routes;
     private final Map<Integer, double[]> left = new HashMap<>();
 
-    Exposure(Settings.Rollout rollout, int routes) {
+    ExposureBudget(Settings.RolloutSettings rollout, int routes) {
         this.rollout = rollout;
         this.routes = routes;
     }
@@ -21,7 +21,7 @@
         return left.computeIfAbsent(build, b -> new double[routes]);
     }
 
-    void earn(News news, int route) {
+    void earn(RolloutStatus news, int route) {
         left.forEach(
                 (build, saved) ->
                         saved[lane(route)] =
--- a/core/src/main/java/mulleinlever/Learned.java
+++ b/core/src/main/java/mulleinlever/LearnedState.java
@@ -4,9 +4,9 @@
  * One thing that a {@link Policy} learned, as plain values: {@link Policy#learned} gives them out,
  * {@link Policy#recall} takes them in. Times are nanoseconds.
  */
-public sealed interface Learned {
+public sealed interface LearnedState {
     /** A mean and the number of outcomes, faded, that it stands for. */
-    record Figure(double mean, double weight) {}
+    record WeightedMean(double mean, double weight) {}
 
     /**
      * What a pod's tries have shown.
@@ -16,7 +16,8 @@
      * @param late the share of its tries that were late, as evidence on builds counts it
      * @param strikes how badly it failed of late; 0 where it did not
      */
-    record OfPod(PodEntry is, Figure slowness, Figure late, int strikes) implements Learned {}
+    record PodStats(PodEntry is, WeightedMean slowness, WeightedMean late, int strikes)
+            implements LearnedState {}
 
     /**
      * What a route's tries take.
@@ -25,10 +26,11 @@
      * @param times its tries of late, in nanoseconds
      * @param usual its tries before the trial, by which a try counts as late, in nanoseconds
      */
-    record OfRoute(String route, int build, Figure times, Figure usual) implements Learned {}
+    record RouteStats(String route, int build, WeightedMean times, WeightedMean usual)
+            implements LearnedState {}
 
     /** The share of new connections refused, and of tries never answered. */
-    record OfLinks(Figure refused, Figure unanswered) implements Learned {}
+    record ConnectionStats(WeightedMean refused, WeightedMean unanswered) implements LearnedState {}
 
     /**
      * The long-term pair of one detector.
@@ -37,10 +39,10 @@
      * @param route empty for all routes together
      * @param samples how many seconds it was learned from
      */
-    record OfBaseline(
+    record DetectorBaseline(
             int build, String route, boolean ofLate, double mean, double deviation, double samples)
-            implements Learned {}
+            implements LearnedState {}
 
     /** The newest build that has answered a key which can't go back. */
-    record OfKey(long key, int build) implements Learned {}
+    record KeyBuild(long key, int build) implements LearnedState {}
 }
--- a/core/src/main/java/mulleinlever/Averages.java
+++ b/core/src/main/java/mulleinlever/MovingAverages.java
@@ -1,23 +1,23 @@
 package mulleinlever;
 
 /** The design's moving averages: the long-term one with its deviation, and the short-term one. */
-class Averages {
+class MovingAverages {
     double mean;
     double deviation;
     double recent;
     double samples;
 
-    Averages(double mean, double samples) {
+    MovingAverages(double mean, double samples) {
         this.mean = mean;
         this.samples = samples;
     }
 
-    Learned.OfBaseline learned(int build, String route, boolean ofLate) {
-        return new Learned.OfBaseline(build, route, ofLate, mean, deviation, samples);
+    LearnedState.DetectorBaseline learned(int build, String route, boolean ofLate) {
+        return new LearnedState.DetectorBaseline(build, route, ofLate, mean, deviation, samples);
     }
 
     /** Takes a remembered pair, as learned from so many samples at most, or as many as before. */
-    void recall(Learned.OfBaseline was, double most) {
+    void recall(LearnedState.DetectorBaseline was, double most) {
         mean = was.mean();
         deviation = was.deviation();
         recent = mean;
--- a/core/src/main/java/mulleinlever/Doubt.java
+++ b/core/src/main/java/mulleinlever/OpenTryLatenessDetector.java
@@ -8,7 +8,7 @@
  * under load, and the platform's count shows it later still; what is open tells at once. It may be
  * mistaken, so it costs the trial no more than some seconds of its share.
  */
-final class Doubt {
+final class OpenTryLatenessDetector {
     /**
      * So many of its open tries late already, being such a part of them: chance alone seldom makes
      * that.
@@ -20,7 +20,7 @@
     private final long lastsNs;
     private long untilNs = Long.MIN_VALUE;
 
-    Doubt(long lastsNs) {
+    OpenTryLatenessDetector(long lastsNs) {
         this.lastsNs = lastsNs;
     }
 
@@ -29,10 +29,10 @@
     }
 
     /** Where the earlier build's open tries are as late, its pods would do no better. */
-    void look(long nowNs, Collection<Rq> held, News news) {
+    void look(long nowNs, Collection<ReqState> held, RolloutStatus news) {
         int[] out = new int[2];
         int[] late = new int[2];
-        for (Rq rq : held) {
+        for (ReqState rq : held) {
             for (int no = rq.out.nextSetBit(0); no >= 0; no = rq.out.nextSetBit(no + 1)) {
                 int of = news.onTrial(rq.tries.get(no).build()) ? 1 : 0;
                 out[of]++;
--- a/core/src/main/java/mulleinlever/Pod.java
+++ b/core/src/main/java/mulleinlever/Pod.java
@@ -11,7 +11,7 @@
     long startedNs;
 
     /** One for all pods that lie there. */
-    Zone zone;
+    ZoneReachability zone;
 
     int open;
     long owesSinceNs;
@@ -25,8 +25,8 @@
     long brokeNs = Long.MIN_VALUE / 2;
     int strikes;
     long sickUntilNs;
-    final Mean slowness;
-    final Mean late;
+    final DecayingMean slowness;
+    final DecayingMean late;
     double coldLeft;
     private long coldAtNs;
     private long goneSinceNs;
@@ -35,8 +35,8 @@
         this.id = is.id();
         this.is = is;
         this.startedNs = is.startedNs();
-        this.slowness = new Mean(halfLifeNs);
-        this.late = new Mean(2 * halfLifeNs);
+        this.slowness = new DecayingMean(halfLifeNs);
+        this.late = new DecayingMean(2 * halfLifeNs);
     }
 
     /** It owes answers and has given none for long. */
@@ -51,12 +51,12 @@
         }
     }
 
-    Learned.OfPod learned(long nowNs) {
-        return new Learned.OfPod(is, slowness.figure(nowNs), late.figure(nowNs), strikes);
+    LearnedState.PodStats learned(long nowNs) {
+        return new LearnedState.PodStats(is, slowness.figure(nowNs), late.figure(nowNs), strikes);
     }
 
     /** Takes what was remembered of it; false where that was of another machine under its id. */
-    boolean recall(long nowNs, Learned.OfPod was, double most, int mostStrikes) {
+    boolean recall(long nowNs, LearnedState.PodStats was, double most, int mostStrikes) {
         if (isThatOf(was.is())) {
             slowness.recall(nowNs, was.slowness(), most);
             late.recall(nowNs, was.late(), most);
@@ -100,7 +100,12 @@
      * Takes a new line of the list. An id may come back as another machine: its past counts for
      * nothing.
      */
-    void take(PodEntry entry, Zone in, StartTimes starts, long listTrueNs, long nowNs) {
+    void take(
+            PodEntry entry,
+            ZoneReachability in,
+            PodStartEstimator starts,
+            long listTrueNs,
+            long nowNs) {
         if (zone == null || !isThatOf(entry)) {
             startedNs = starts.startedNs(entry.startedNs(), listTrueNs, nowNs);
         }
--- a/core/src/main/java/mulleinlever/ListLease.java
+++ b/core/src/main/java/mulleinlever/PodListLease.java
@@ -6,7 +6,7 @@
  * may therefore be used for that long only; afterwards only those that have shown since, by serving
  * a request, that they had not left when it was sent. Times are nanoseconds of the monotonic clock.
  */
-final class ListLease {
+final class PodListLease {
     /** From a change to when it counts as told at the latest. */
     private static final long TOLD_AFTER_NS = 6_000_000_000L;
 
@@ -32,7 +32,7 @@
      * @param graceNs from when a change counts as told until sending has to stop
      * @param connectNs how long an attempt may wait for its connection before it is written
      */
-    ListLease(long askWithinNs, long graceNs, long connectNs) {
+    PodListLease(long askWithinNs, long graceNs, long connectNs) {
         this.toldAfterNs = Math.min(TOLD_AFTER_NS, askWithinNs);
         this.slackNs = graceNs - connectNs - HELD_UP_NS;
     }
--- a/core/src/main/java/mulleinlever/Fleet.java
+++ b/core/src/main/java/mulleinlever/PodSet.java
@@ -5,17 +5,17 @@
 import java.util.function.Predicate;
 
 /** Pods that a req may be sent among, those of them that are near, and the weight of all. */
-record Fleet(List<Pod> all, List<Pod> near, double weight) {
-    private Fleet(List<Pod> all, List<Pod> near) {
+record PodSet(List<Pod> all, List<Pod> near, double weight) {
+    private PodSet(List<Pod> all, List<Pod> near) {
         this(all, near, all.stream().mapToDouble(p -> p.is.weight()).sum());
     }
 
-    Fleet(List<Pod> all, String zone) {
+    PodSet(List<Pod> all, String zone) {
         this(all, all.stream().filter(p -> p.is.zone().equals(zone)).toList());
     }
 
-    Fleet only(Predicate<Pod> some) {
-        return new Fleet(all.stream().filter(some).toList(), near.stream().filter(some).toList());
+    PodSet only(Predicate<Pod> some) {
+        return new PodSet(all.stream().filter(some).toList(), near.stream().filter(some).toList());
     }
 
     /**
--- a/core/src/main/java/mulleinlever/StartTimes.java
+++ b/core/src/main/java/mulleinlever/PodStartEstimator.java
@@ -5,7 +5,7 @@
  * our machine or on the server's, and slow start must neither be left out for that nor last for as
  * long as the step. Times are nanoseconds.
  */
-final class StartTimes {
+final class PodStartEstimator {
     /** A server that is new on the list can't have run for longer without being listed. */
     private static final long UNLISTED_NS = 30_000_000_000L;
 
--- a/core/src/main/java/mulleinlever/Policy.java
+++ b/core/src/main/java/mulleinlever/Policy.java
@@ -15,8 +15,8 @@
 /**
  * Every decision of one sidecar: where a req goes, when it is tried again or given up, how the
  * sidecar votes. Whoever hosts it calls one method for each thing that happens, with the time; it
- * acts only by calling the {@link Host} it was handed. docs/design.md explains the mechanism and
- * when each exception to it acts.
+ * acts only by calling the {@link PolicyActions} it was handed. docs/design.md explains the
+ * mechanism and when each exception to it acts.
  */
 public final class Policy {
     private static final long MS = 1_000_000L;
@@ -174,66 +174,66 @@
     /** What was remembered counts for so many outcomes at most: a few fresh ones prove it wrong. */
     private static final double PRIOR = 4;
 
-    enum State {
+    enum DetectorState {
         NORMAL,
         SUSPECT,
         ALARM
     }
 
     /** The design's detector, for one route and one symptom. */
-    static final class Detector extends Averages {
-        State state = State.NORMAL;
+    static final class DegradationDetector extends MovingAverages {
+        DetectorState state = DetectorState.NORMAL;
 
-        Detector(double mean, double samples) {
+        DegradationDetector(double mean, double samples) {
             super(mean, samples);
         }
 
         void judge(double sample, double n, boolean sure) {
             follow(sample, SHORT_WEIGHT);
             double above = above(Math.max(DEVIATION_FLOOR, Math.sqrt(sample * (1 - sample) / n)));
-            boolean held = state == State.ALARM && above >= ALARM_CLEARS_AT;
-            State open = above > SUSPECT_AT ? State.SUSPECT : State.NORMAL;
-            state = above > ALARM_AT && sure || held ? State.ALARM : open;
+            boolean held = state == DetectorState.ALARM && above >= ALARM_CLEARS_AT;
+            DetectorState open = above > SUSPECT_AT ? DetectorState.SUSPECT : DetectorState.NORMAL;
+            state = above > ALARM_AT && sure || held ? DetectorState.ALARM : open;
         }
     }
 
     private final Settings set;
-    private final Settings.Rollout rollout;
-    private final Host host;
+    private final Settings.RolloutSettings rollout;
+    private final PolicyActions host;
     private final SplittableRandom random;
-    private final Map<String, Row> rows = new LinkedHashMap<>();
+    private final Map<String, RouteState> rows = new LinkedHashMap<>();
 
     /** By their place in the table; the last stands for all together. */
     private final List<String> routes = new ArrayList<>();
 
     private final Map<String, Pod> pods = new LinkedHashMap<>();
-    private final Map<String, Zone> zones = new HashMap<>();
-    private final ListLease lease;
-    private final StartTimes starts = new StartTimes();
+    private final Map<String, ZoneReachability> zones = new HashMap<>();
+    private final PodListLease lease;
+    private final PodStartEstimator starts = new PodStartEstimator();
     // Surveyed at each change and tick, so that no req costs more on a larger fleet.
-    private Fleet listed = new Fleet(List.of(), "");
+    private PodSet listed = new PodSet(List.of(), "");
 
     /** Those of the listed that may be sent to: all while discovery confirms the list. */
-    private Fleet whole = listed;
+    private PodSet whole = listed;
 
-    private Fleet onTrial = whole;
-    private Fleet notOnTrial = whole;
+    private PodSet onTrial = whole;
+    private PodSet notOnTrial = whole;
     private int places;
     private double trialPods;
     private long shakenUntilNs;
-    private final Doubt doubt = new Doubt(MEASURE_HALF_LIFE);
+    private final OpenTryLatenessDetector doubt = new OpenTryLatenessDetector(MEASURE_HALF_LIFE);
     private double silentAfterNs;
     private boolean panic;
     private boolean linksScarce;
-    private final Mean lost = new Mean(4 * MEASURE_HALF_LIFE);
-    private final Mean refused = new Mean(2 * MEASURE_HALF_LIFE);
+    private final DecayingMean lost = new DecayingMean(4 * MEASURE_HALF_LIFE);
+    private final DecayingMean refused = new DecayingMean(2 * MEASURE_HALF_LIFE);
 
-    private final Map<String, Rq> held = new LinkedHashMap<>();
-    private final ArrayDeque<Rq> firstTries = new ArrayDeque<>();
-    private final ArrayDeque<Rq> furtherTries = new ArrayDeque<>();
-    private final Room room;
-    private final Decay taken = new Decay(MEASURE_HALF_LIFE);
-    private final Decay completed = new Decay(MEASURE_HALF_LIFE);
+    private final Map<String, ReqState> held = new LinkedHashMap<>();
+    private final ArrayDeque<ReqState> firstTries = new ArrayDeque<>();
+    private final ArrayDeque<ReqState> furtherTries = new ArrayDeque<>();
+    private final ConcurrencyLimiter room;
+    private final DecayingSum taken = new DecayingSum(MEASURE_HALF_LIFE);
+    private final DecayingSum completed = new DecayingSum(MEASURE_HALF_LIFE);
 
     private boolean watching;
 
@@ -246,47 +246,47 @@
     private long askAgainNs;
     private int asksFailed;
 
-    private final Exposure exposure;
-    private final Keys answeredBy = new Keys();
+    private final ExposureBudget exposure;
+    private final BuildByKey answeredBy = new BuildByKey();
 
     private boolean told;
-    private News news = new News(0, 0, News.Phase.RELEASED, 1, 0);
+    private RolloutStatus news = new RolloutStatus(0, 0, RolloutStatus.Phase.RELEASED, 1, 0);
     private long stageSinceNs;
     private double everBefore;
-    private Side earlier;
-    private Side trial;
-    private final Detector[] detectors;
-    private State state = State.NORMAL;
+    private BuildOutcomes earlier;
+    private BuildOutcomes trial;
+    private final DegradationDetector[] detectors;
+    private DetectorState state = DetectorState.NORMAL;
 
-    private final Ballot ballot = new Ballot();
+    private final VoteTracker ballot = new VoteTracker();
 
-    public Policy(Settings set, long seed, long now, Host host) {
+    public Policy(Settings set, long seed, long now, PolicyActions host) {
         this.set = set;
         this.rollout = set.rollout();
         this.host = host;
         this.random = new SplittableRandom(seed);
-        this.room = new Room(set.sidecars());
+        this.room = new ConcurrencyLimiter(set.sidecars());
         this.lease =
-                new ListLease(
+                new PodListLease(
                         set.rules().askWithinNs(),
                         set.rules().stopSendingWithinNs(),
                         set.limits().connectTimeoutNs());
-        this.exposure = new Exposure(rollout, set.routes().size());
-        for (Settings.Route r : set.routes()) {
-            rows.put(r.name(), new Row(r, rows.size(), 2 * MEASURE_HALF_LIFE, FIRST_MEAN));
+        this.exposure = new ExposureBudget(rollout, set.routes().size());
+        for (Settings.RouteSettings r : set.routes()) {
+            rows.put(r.name(), new RouteState(r, rows.size(), 2 * MEASURE_HALF_LIFE, FIRST_MEAN));
         }
         routes.addAll(rows.keySet());
         routes.add("");
-        earlier = new Side(rows.size(), SAMPLE_HALF_LIFE, FLAG_HALF_LIFE);
-        trial = new Side(rows.size(), SAMPLE_HALF_LIFE, FLAG_HALF_LIFE);
-        detectors = new Detector[2 * rows.size() + 2];
+        earlier = new BuildOutcomes(rows.size(), SAMPLE_HALF_LIFE, FLAG_HALF_LIFE);
+        trial = new BuildOutcomes(rows.size(), SAMPLE_HALF_LIFE, FLAG_HALF_LIFE);
+        detectors = new DegradationDetector[2 * rows.size() + 2];
         // What is late is so defined that the earlier build's share is known before any is seen.
         Arrays.setAll(
                 detectors,
                 i ->
                         i % 2 == 0
-                                ? new Detector(0, 0)
-                                : new Detector(1 - LATE_QUANTILE, 1 / LONG_WEIGHT));
+                                ? new DegradationDetector(0, 0)
+                                : new DegradationDetector(1 - LATE_QUANTILE, 1 / LONG_WEIGHT));
         host.timer(now + SECOND, "sample");
         host.timer(now + TICK, "tick");
         if (set.listMustBeAsked()) {
@@ -307,14 +307,14 @@
         long beforeNs = lease.confirmedNs();
         listConfirmed(now);
         for (PodEntry e : entries) {
-            Zone in = zones.computeIfAbsent(e.zone(), z -> new Zone());
+            ZoneReachability in = zones.computeIfAbsent(e.zone(), z -> new ZoneReachability());
             Pod p = pods.computeIfAbsent(e.id(), id -> new Pod(e, MEASURE_HALF_LIFE));
             p.take(e, in, starts, beforeNs, now);
         }
         if (!told) {
             // Until there is news, all but the lowest build counts as on trial.
             int lowest = pods.values().stream().mapToInt(p -> p.is.build()).min().orElse(0);
-            news = new News(lowest, 0, News.Phase.RELEASED, 1, 0);
+            news = new RolloutStatus(lowest, 0, RolloutStatus.Phase.RELEASED, 1, 0);
         }
         survey(now);
         serveLines(now);
@@ -360,7 +360,7 @@
 
     private void survey(long now) {
         pods.values().removeIf(p -> p.goneFor(now) > FORGET_AFTER);
-        listed = new Fleet(pods.values().stream().filter(Pod::ready).toList(), set.zone());
+        listed = new PodSet(pods.values().stream().filter(Pod::ready).toList(), set.zone());
         whole = listed.only(p -> lease.covers(now, p));
         onTrial = whole.only(p -> news.onTrial(p.is.build()));
         notOnTrial = whole.only(p -> !news.onTrial(p.is.build()));
@@ -406,7 +406,7 @@
     // ---- Reqs.
 
     public void req(long now, Req req) {
-        Rq rq = new Rq(req, rows.get(req.route()), now);
+        ReqState rq = new ReqState(req, rows.get(req.route()), now);
         held.put(req.id(), rq);
         taken.add(now, 1);
         room.wanted(now, rq.row.meanNs(now), rq.row.is.objectiveNs());
@@ -422,7 +422,7 @@
      * By chance, the cheaper the more often: a full line would turn away the dear ones just as
      * well.
      */
-    private double shedChance(long now, Rq rq) {
+    private double shedChance(long now, ReqState rq) {
         double waitNs =
                 room.waitNs(firstTries.size(), completed.perSecond(now), rq.row.meanNs(now));
         double pressure = waitNs / rq.row.is.objectiveNs() / LINE_WAIT - 0.25;
@@ -432,7 +432,7 @@
                 0.95, pressure * Math.min(CHEAPEST, Math.pow(mean / rq.row.earningsPerNs(now), 2)));
     }
 
-    private void join(long now, Rq rq) {
+    private void join(long now, ReqState rq) {
         if (now >= lastChance(now, rq) && !send(now, rq)) {
             giveUp(now, rq);
         } else if (now < lastChance(now, rq) && !send(now, rq)) {
@@ -443,7 +443,7 @@
     /**
      * When waiting stops making sense: the answer would come after the latency objective, or never.
      */
-    private long lastChance(long now, Rq rq) {
+    private long lastChance(long now, ReqState rq) {
         double objective = rq.row.is.objectiveNs();
         double wait = rq.tries.isEmpty() ? LINE_WAIT * objective : objective - rq.row.meanNs(now);
         return Math.min(rq.arrivedNs + (long) wait, rq.lastRelayNs() - TICK - 2 * set.stepNs());
@@ -454,11 +454,11 @@
         serve(now, furtherTries);
     }
 
-    private void serve(long now, ArrayDeque<Rq> line) {
+    private void serve(long now, ArrayDeque<ReqState> line) {
         // What finds no pod for one first try finds none for the next of its route: a long line
         // costs little.
         boolean[] stuck = new boolean[rows.size()];
-        for (Rq rq : List.copyOf(line)) {
+        for (ReqState rq : List.copyOf(line)) {
             if (now >= lastChance(now, rq) && !rq.answered) {
                 giveUp(now, rq);
             }
@@ -470,7 +470,7 @@
         }
     }
 
-    private boolean send(long now, Rq rq) {
+    private boolean send(long now, ReqState rq) {
         Pod pod = room.free() ? pick(now, rq) : null;
         if (pod == null) {
             return false;
@@ -499,15 +499,15 @@
     }
 
     public void streamBegan(long now, String id) {
-        Rq rq = held.get(id);
+        ReqState rq = held.get(id);
         if (rq != null) {
             rq.streaming = true;
         }
     }
 
     public void tryEnded(
-            long now, String id, int tryNo, Ending ending, long tookNs, boolean complete) {
-        Rq rq = held.get(id);
+            long now, String id, int tryNo, TryOutcome ending, long tookNs, boolean complete) {
+        ReqState rq = held.get(id);
         if (rq == null || tryNo < 0 || tryNo >= rq.tries.size()) {
             return;
         }
@@ -515,20 +515,21 @@
         t.pod().open--;
         rq.end(tryNo, ending);
         room.ended();
-        if (ending != Ending.MOOT) {
+        if (ending != TryOutcome.MOOT) {
             measure(now, rq.row, t, ending, tookNs);
         }
-        if (ending == Ending.OK) {
+        if (ending == TryOutcome.OK) {
             lease.served(t.pod(), t.sentNs());
-        } else if (ending == Ending.CONNECT_FAILED || ending == Ending.RESET) {
+        } else if (ending == TryOutcome.CONNECT_FAILED || ending == TryOutcome.RESET) {
             lease.broke(t.pod(), now);
         }
         // A try called back late was late: else a slow build would hide behind the rescue of its
         // reqs.
-        if (ending != Ending.MOOT && (ending != Ending.CANCELLED || tookNs > rq.row.lateNs)) {
+        if (ending != TryOutcome.MOOT
+                && (ending != TryOutcome.CANCELLED || tookNs > rq.row.lateNs)) {
             weigh(now, rq.row, t, ending, tookNs);
         }
-        if (ending == Ending.OK && rollout.oneWay() && rq.is.key() >= 0) {
+        if (ending == TryOutcome.OK && rollout.oneWay() && rq.is.key() >= 0) {
             answeredBy.answered(rq.is.key(), t.build());
         }
         rq.answered |= complete || rq.streaming;
@@ -541,7 +542,7 @@
         serveLines(now);
     }
 
-    private boolean mayGoAgain(long now, Rq rq) {
+    private boolean mayGoAgain(long now, ReqState rq) {
         return now < lastChance(now, rq)
                 && rq.tries.size() < set.limits().maxTries()
                 && rq.errors < OWN_FAULT
@@ -552,7 +553,7 @@
      * The answer goes out at once: a shed reply where a repeat is harmless, so the client may
      * return.
      */
-    private void giveUp(long now, Rq rq) {
+    private void giveUp(long now, ReqState rq) {
         rq.answered = true;
         if (rq.harmlessToShed()) {
             long backoff = Math.min(set.limits().maxRetryAfterNs(), rq.row.is.objectiveNs() / 4);
@@ -564,14 +565,14 @@
     }
 
     public void clientGone(long now, String id) {
-        Rq rq = held.get(id);
+        ReqState rq = held.get(id);
         if (rq != null) {
             rq.answered = true;
             settle(rq);
         }
     }
 
-    private void settle(Rq rq) {
+    private void settle(ReqState rq) {
         if (rq.answered && set.limits().cancel() && !rq.streaming) {
             rq.out.stream().forEach(no -> host.cancel(rq.is.id(), no));
         }
@@ -584,14 +585,16 @@
      * Two random choices by load among the pods the req may go to, the first a near one if there is
      * any.
      */
-    private Pod pick(long now, Rq rq) {
+    private Pod pick(long now, ReqState rq) {
         double part = trialPart(now);
         Pod pod =
                 part == 0
                         ? null
                         : twoChoices(now, rq, random.nextDouble() < part ? onTrial : notOnTrial);
         pod = pod == null ? twoChoices(now, rq, whole) : pod;
-        return pod == null ? Fleet.draw(whole.all(), random, DRAWS, p -> allowed(now, rq, p)) : pod;
+        return pod == null
+                ? PodSet.draw(whole.all(), random, DRAWS, p -> allowed(now, rq, p))
+                : pod;
     }
 
     /**
@@ -605,20 +608,20 @@
                 ? 1
                 : Math.min(
                         trialPods,
-                        state == State.NORMAL && !doubt.holds(now) ? 1 - KEPT : IN_DOUBT);
+                        state == DetectorState.NORMAL && !doubt.holds(now) ? 1 - KEPT : IN_DOUBT);
     }
 
-    private Pod twoChoices(long now, Rq rq, Fleet of) {
+    private Pod twoChoices(long now, ReqState rq, PodSet of) {
         Predicate<Pod> fits = p -> suits(now, rq, p) && allowed(now, rq, p);
-        Pod a = Fleet.draw(of.near(), random, DRAWS, fits);
-        Pod b = Fleet.draw(of.all(), random, DRAWS, fits);
+        Pod a = PodSet.draw(of.near(), random, DRAWS, fits);
+        Pod b = PodSet.draw(of.all(), random, DRAWS, fits);
         return a == null || b != null && load(now, b) < load(now, a) ? b : a;
     }
 
     /**
      * Where most pods fail, resting them would jam the few: then they are no worse than the rest.
      */
-    private boolean suits(long now, Rq rq, Pod p) {
+    private boolean suits(long now, ReqState rq, Pod p) {
         return (panic || fit(now, p))
                 && (!linksScarce || linked(now, p))
                 && rq.tries.stream().noneMatch(t -> t.pod() == p);
@@ -633,7 +636,7 @@
         return far * (p.open + 1) * p.slowness.read(now, 1, 2) / Math.max(0.01, p.is.weight());
     }
 
-    private boolean allowed(long now, Rq rq, Pod p) {
+    private boolean allowed(long now, ReqState rq, Pod p) {
         return p.ready()
                 && lease.covers(now, p)
                 && rq.mayGoTo(p.is)
@@ -641,32 +644,32 @@
                 && coldRoom(now, p);
     }
 
-    private void measure(long now, Row row, Try t, Ending ending, long tookNs) {
+    private void measure(long now, RouteState row, Try t, TryOutcome ending, long tookNs) {
         Pod p = t.pod();
-        boolean unanswered = ending == Ending.TIMEOUT || ending == Ending.CANCELLED;
+        boolean unanswered = ending == TryOutcome.TIMEOUT || ending == TryOutcome.CANCELLED;
         room.took(now, tookNs / (double) row.is.objectiveNs(), unanswered);
         lost.add(now, unanswered && tookNs > silentAfterNs ? 1 : 0);
-        if (ending == Ending.CANCELLED) {
+        if (ending == TryOutcome.CANCELLED) {
             return;
         }
         if (!t.linked()) {
-            refused.add(now, ending == Ending.CONNECT_FAILED ? 1 : 0);
+            refused.add(now, ending == TryOutcome.CONNECT_FAILED ? 1 : 0);
         }
-        p.hear(now, unanswered, ending == Ending.CONNECT_FAILED);
-        if (unanswered || ending == Ending.CONNECT_FAILED) {
+        p.hear(now, unanswered, ending == TryOutcome.CONNECT_FAILED);
+        if (unanswered || ending == TryOutcome.CONNECT_FAILED) {
             p.zone.missed(now, p, DARK_PODS);
         } else {
             p.zone.heard();
         }
-        if (ending == Ending.OK || unanswered) {
+        if (ending == TryOutcome.OK || unanswered) {
             p.slowness.add(now, tookNs / row.meanNs(now));
             row.times.add(now, tookNs);
         }
-        if (ending == Ending.OK) {
+        if (ending == TryOutcome.OK) {
             completed.add(now, 1);
             // A pod that fails half of its tries must not be cleared by one lucky answer.
             p.strikes = Math.max(0, p.strikes - 1);
-        } else if (ending != Ending.FULL) {
+        } else if (ending != TryOutcome.FULL) {
             p.strikes = Math.min(MOST_STRIKES, p.strikes + 2);
             p.sickUntilNs = now + (SICK_FOR << p.strikes - 2);
         }
@@ -693,7 +696,7 @@
      * twice.
      */
     private void rescue(long now) {
-        for (Rq rq : held.values()) {
+        for (ReqState rq : held.values()) {
             if (!rq.waitsForOne() || !mayGoAgain(now, rq)) {
                 continue;
             }
@@ -716,7 +719,7 @@
      * When one more try would just come in time: against answers lost on the way and pods that
      * stall.
      */
-    private long secondCopyAt(long now, Rq rq) {
+    private long secondCopyAt(long now, ReqState rq) {
         double mean = rq.row.meanNs(now);
         double end = Math.min(rq.arrivedNs + rq.row.is.objectiveNs(), rq.dueNs);
         double at = Math.max(rq.last().sentNs() + COPY_AFTER * mean, end - COPY_LEAVES * mean);
@@ -747,14 +750,14 @@
         return p.saveCold(now, rate, most, random) >= 1;
     }
 
-    private boolean exposureRoom(long now, Rq rq, Pod p) {
+    private boolean exposureRoom(long now, ReqState rq, Pod p) {
         int build = p.is.build();
         if (news.stands() && build < answeredBy.of(rq.is.key())) {
             return false;
         }
         boolean shielded =
                 news.stageOf(build) < rollout.shieldedStages()
-                        && rq.row.is.repeat() != Settings.Repeat.RETRIABLE;
+                        && rq.row.is.repeat() != Settings.RetrySafety.RETRIABLE;
         return !news.onTrial(build)
                 || news.capOf(build, rollout) > 0
                         && !shielded
@@ -766,7 +769,7 @@
      * Where a key can't go back, the trial keeps to a part of the keys: their later reqs need room
      * too.
      */
-    private boolean oneWayKey(long now, Rq rq, int build) {
+    private boolean oneWayKey(long now, ReqState rq, int build) {
         double part = Math.min(ONE_WAY_PART * news.capOf(build, rollout), trialPods);
         return answeredBy.of(rq.is.key()) == build
                 || new SplittableRandom(rq.is.key()).nextDouble() < part;
@@ -777,18 +780,18 @@
     /**
      * An outcome as evidence; pods not yet warm when it was sent, or out of reach, are left out.
      */
-    private void weigh(long now, Row row, Try t, Ending ending, long tookNs) {
+    private void weigh(long now, RouteState row, Try t, TryOutcome ending, long tookNs) {
         if (!t.warm()
                 || t.build() > news.build()
-                || ending == Ending.CONNECT_FAILED
+                || ending == TryOutcome.CONNECT_FAILED
                 || dark(t.pod())) {
             return;
         }
         boolean late = tookNs > row.lateNs;
-        boolean failed = ending == Ending.ERROR || ending == Ending.RESET;
+        boolean failed = ending == TryOutcome.ERROR || ending == TryOutcome.RESET;
         t.pod().late.add(now, late ? 1 : 0);
         side(t.build()).own(now, row.at, failed, late);
-        if (ending == Ending.OK) {
+        if (ending == TryOutcome.OK) {
             learnLate(now, row, t.build(), tookNs, 1);
         }
     }
@@ -797,7 +800,7 @@
      * Not learned while a trial is on: a build that slows down its neighbours too would be
      * forgiven.
      */
-    private void learnLate(long now, Row row, int build, long tookNs, double n) {
+    private void learnLate(long now, RouteState row, int build, long tookNs, double n) {
         if (!news.onTrial() && (build == news.build()) == news.released()) {
             row.usual.add(now, tookNs, n);
             row.lateNs = LATE_MEANS * row.usual.read(now, 0, 1e-9);
@@ -811,7 +814,7 @@
      */
     public void tally(
             long now, String route, int build, double n, double failed, long meanNs, long ageNs) {
-        Row row = rows.get(route);
+        RouteState row = rows.get(route);
         if (row == null || build > news.build() || !(n > 0) || meanNs <= 0) {
             return;
         }
@@ -834,7 +837,7 @@
         side(build).tallied(now, row.at, n, failed, fresh ? 0 : n, slow);
     }
 
-    private Side side(int build) {
+    private BuildOutcomes side(int build) {
         return build == news.build() ? trial : earlier;
     }
 
@@ -843,7 +846,7 @@
      * doing. But where that is late beyond what a minor part of its pods, hung, slow or pausing,
      * can do, it slows all; unless so many pods are out that the rest must be late.
      */
-    private double sample(long now, int place, boolean ofLate, Detector d) {
+    private double sample(long now, int place, boolean ofLate, DegradationDetector d) {
         double share = share(now, trial, place, ofLate);
         boolean reference = earlier.ever(place, ofLate) >= OUTCOME_FLOOR;
         double shift = reference ? share(now, earlier, place, ofLate) - d.mean : 0;
@@ -868,13 +871,13 @@
 
     public void flagged(long now, String podId, String route) {
         Pod p = pods.get(podId);
-        Row row = rows.get(route);
+        RouteState row = rows.get(route);
         if (p != null && row != null && p.is.build() <= news.build()) {
             side(p.is.build()).flag(now, row.at);
         }
     }
 
-    private double share(long now, Side side, int place, boolean ofLate) {
+    private double share(long now, BuildOutcomes side, int place, boolean ofLate) {
         if (ofLate) {
             return side.late(now, place);
         }
@@ -885,7 +888,7 @@
     }
 
     /** One report stands for all the wrong answers that nobody reported. */
-    private double wrong(long now, Side side, int place) {
+    private double wrong(long now, BuildOutcomes side, int place) {
         double flags = side.flags(now, place);
         return flags == 0
                 ? 0
@@ -893,16 +896,18 @@
     }
 
     private void judge(long now) {
-        State worst = State.NORMAL;
+        DetectorState worst = DetectorState.NORMAL;
         String why = "";
         // Below the outcome floor all looks normal, so no trial is learned from: a build that slows
         // its
         // neighbours would be forgiven. Nor a release's: its faults would be their own measure.
-        Side steady = news.released() && earlier.ever(rows.size(), true) == 0 ? trial : earlier;
+        BuildOutcomes steady =
+                news.released() && earlier.ever(rows.size(), true) == 0 ? trial : earlier;
         boolean learns =
-                state == State.NORMAL && (steady == trial || !news.onTrial() && !news.released());
+                state == DetectorState.NORMAL
+                        && (steady == trial || !news.onTrial() && !news.released());
         for (int i = 0; i < detectors.length; i++) {
-            Detector d = detectors[i];
+            DegradationDetector d = detectors[i];
             int place = i / 2;
             boolean ofLate = i % 2 == 1;
             if (learns && steady.seen(now, place, ofLate) >= REFERENCE_FLOOR) {
@@ -936,14 +941,14 @@
 
     // ---- News and votes.
 
-    public void news(long now, News n) {
+    public void news(long now, RolloutStatus n) {
         boolean other = news.build() != n.build();
         if (other) {
             earlier = news.released() ? trial : earlier;
-            trial = new Side(rows.size(), SAMPLE_HALF_LIFE, FLAG_HALF_LIFE);
-            state = State.NORMAL;
-            for (Detector d : detectors) {
-                d.state = State.NORMAL;
+            trial = new BuildOutcomes(rows.size(), SAMPLE_HALF_LIFE, FLAG_HALF_LIFE);
+            state = DetectorState.NORMAL;
+            for (DegradationDetector d : detectors) {
+                d.state = DetectorState.NORMAL;
                 d.recent = d.mean;
             }
         }
@@ -968,12 +973,14 @@
         ballot.answered(counts, rollout.voteStandsNs(), now + SECOND / 2 + random.nextLong(SECOND));
     }
 
-    private Verdict verdict(long now) {
-        if (state == State.ALARM && (news.onTrial() || news.released())) {
-            return Verdict.BACK;
+    private RolloutVote verdict(long now) {
+        if (state == DetectorState.ALARM && (news.onTrial() || news.released())) {
+            return RolloutVote.BACK;
         }
-        if (!news.onTrial() || rollout.control() == Settings.Control.CLOCKED) {
-            return news.onTrial() && state == State.SUSPECT ? Verdict.HOLD : Verdict.NONE;
+        if (!news.onTrial() || rollout.control() == Settings.VoteControl.CLOCKED) {
+            return news.onTrial() && state == DetectorState.SUSPECT
+                    ? RolloutVote.HOLD
+                    : RolloutVote.NONE;
         }
         long age = now - stageSinceNs;
         // The last 'on' takes the earlier pods away: it waits for what the build shows under all
@@ -982,9 +989,9 @@
                 news.stage() < rollout.shares().size() - 1
                         || age > rollout.bakeNs() + PROOF_WAIT
                         || trial.ever(rows.size(), true) >= everBefore + proof();
-        return state == State.NORMAL && age >= rollout.bakeNs() && proven
-                ? Verdict.ON
-                : Verdict.NONE;
+        return state == DetectorState.NORMAL && age >= rollout.bakeNs() && proven
+                ? RolloutVote.ON
+                : RolloutVote.NONE;
     }
 
     private double proof() {
@@ -993,7 +1000,7 @@
     }
 
     private void vote(long now) {
-        Verdict v = verdict(now);
+        RolloutVote v = verdict(now);
         ballot.want(now, v);
         boolean waits =
                 ballot.asked != null && now < ballot.askedNs + rollout.voteWaitNs() + SECOND
@@ -1002,7 +1009,7 @@
                 ballot.standsAt(now) == v && ballot.standsAt(now + rollout.voteStandsNs() / 4) == v;
         if (!waits
                 && !stands
-                && (v == Verdict.NONE || now >= ballot.wantedSinceNs + standInAfter(now, v))) {
+                && (v == RolloutVote.NONE || now >= ballot.wantedSinceNs + standInAfter(now, v))) {
             ballot.ask(now);
             host.vote(news.build(), news.stage(), v);
         }
@@ -1015,17 +1022,17 @@
      * enough, any one's mistake would count. For 'on' the many would outvote those who doubt: only
      * who saw the trial well comes sooner.
      */
-    private long standInAfter(long now, Verdict v) {
+    private long standInAfter(long now, RolloutVote v) {
         int needed =
-                v == Verdict.ON
+                v == RolloutVote.ON
                         ? rollout.onVotes()
-                        : v == Verdict.HOLD ? rollout.holdVotes() : rollout.backVotes();
-        int voters = rollout.control() == Settings.Control.SINGLE ? VOTERS : needed;
+                        : v == RolloutVote.HOLD ? rollout.holdVotes() : rollout.backVotes();
+        int voters = rollout.control() == Settings.VoteControl.SINGLE ? VOTERS : needed;
         int before = news.ranked(set.rank(), set.sidecars());
         double seen = trial.relayed(now, rows.size());
         double step =
-                v == Verdict.BACK ? STAND_IN_BACK : STAND_IN_ON * PROOF / Math.max(PROOF, seen);
-        if (v == Verdict.BACK && rollout.control() != Settings.Control.SINGLE) {
+                v == RolloutVote.BACK ? STAND_IN_BACK : STAND_IN_ON * PROOF / Math.max(PROOF, seen);
+        if (v == RolloutVote.BACK && rollout.control() != Settings.VoteControl.SINGLE) {
             double least = SECOND / (CALLS_PART * Math.max(1, rollout.votesPerSecond()));
             step = Math.min(step, Math.max(least, step * STAND_INS / (set.sidecars() - voters)));
         }
@@ -1033,7 +1040,7 @@
     }
 
     /** What it goes by just now, for a log. */
-    public record Sight(
+    public record Stats(
             double room,
             int open,
             int firstTries,
@@ -1045,8 +1052,8 @@
             long cold,
             long dark) {}
 
-    public Sight sight(long now) {
-        return new Sight(
+    public Stats sight(long now) {
+        return new Stats(
                 room.most(),
                 room.open(),
                 firstTries.size(),
@@ -1066,37 +1073,37 @@
      * must earn anew is not among it: saved exposure, what cold pods were sent, rates, votes,
      * evidence on the trial.
      */
-    public Iterator<Learned> learned(long now) {
-        List<Learned> few = new ArrayList<>();
-        few.add(new Learned.OfLinks(refused.figure(now), lost.figure(now)));
+    public Iterator<LearnedState> learned(long now) {
+        List<LearnedState> few = new ArrayList<>();
+        few.add(new LearnedState.ConnectionStats(refused.figure(now), lost.figure(now)));
         rows.values().forEach(r -> few.add(r.learned(now, news.build())));
         for (int i = 0; i < detectors.length; i++) {
             few.add(detectors[i].learned(news.build(), routes.get(i / 2), i % 2 == 1));
         }
-        Stream<Learned> ofPods = List.copyOf(pods.values()).stream().map(p -> p.learned(now));
+        Stream<LearnedState> ofPods = List.copyOf(pods.values()).stream().map(p -> p.learned(now));
         return Stream.concat(few.stream(), Stream.concat(ofPods, answeredBy.learned())).iterator();
     }
 
     /** Takes in, after list and news and before the first req, what an earlier start gave out. */
-    public void recall(long now, Learned one) {
-        if (one instanceof Learned.OfLinks l) {
+    public void recall(long now, LearnedState one) {
+        if (one instanceof LearnedState.ConnectionStats l) {
             refused.recall(now, l.refused(), PRIOR);
             lost.recall(now, l.unanswered(), PRIOR);
-        } else if (one instanceof Learned.OfPod l) {
+        } else if (one instanceof LearnedState.PodStats l) {
             Pod p = pods.get(l.is().id());
             if (p != null && p.recall(now, l, PRIOR, SICK_STRIKES)) {
                 // The first tries of all the sidecars that started together must not meet at a sick
                 // pod.
                 p.sickUntilNs = now + random.nextLong(SICK_FOR << p.strikes);
             }
-        } else if (one instanceof Learned.OfRoute l && rows.containsKey(l.route())) {
-            Row row = rows.get(l.route());
+        } else if (one instanceof LearnedState.RouteStats l && rows.containsKey(l.route())) {
+            RouteState row = rows.get(l.route());
             row.recall(now, l, PRIOR, standsFor(l.build()) ? LATE_MEANS : 0);
-        } else if (one instanceof Learned.OfBaseline l
+        } else if (one instanceof LearnedState.DetectorBaseline l
                 && routes.contains(l.route())
                 && standsFor(l.build())) {
             detectors[2 * routes.indexOf(l.route()) + (l.ofLate() ? 1 : 0)].recall(l, PRIOR);
-        } else if (one instanceof Learned.OfKey l && rollout.oneWay()) {
+        } else if (one instanceof LearnedState.KeyBuild l && rollout.oneWay()) {
             answeredBy.answered(l.key(), l.build());
         }
     }
--- a/core/src/main/java/mulleinlever/Host.java
+++ b/core/src/main/java/mulleinlever/PolicyActions.java
@@ -3,7 +3,7 @@
 /**
  * What a {@link Policy} may ask of the program it lives in. Calls take effect in the order made.
  */
-public interface Host {
+public interface PolicyActions {
     /**
      * Starts the next upstream try of a req.
      *
@@ -22,7 +22,7 @@
     /** Stops waiting for one upstream try. */
     void cancel(String rq, int tryNo);
 
-    void vote(int build, int stage, Verdict verdict);
+    void vote(int build, int stage, RolloutVote verdict);
 
     /** Asks for changes to the list of pods from now on. */
     void watchList();
--- a/core/src/main/java/mulleinlever/Rq.java
+++ b/core/src/main/java/mulleinlever/ReqState.java
@@ -5,9 +5,9 @@
 import java.util.List;
 
 /** A req in hand, kept until it has its answer and all its tries have ended. */
-final class Rq {
+final class ReqState {
     final Req is;
-    final Row row;
+    final RouteState row;
     final long arrivedNs;
     final long dueNs;
     final List<Try> tries = new ArrayList<>(2);
@@ -21,7 +21,7 @@
     boolean streaming;
     boolean calledBack;
 
-    Rq(Req is, Row row, long nowNs) {
+    ReqState(Req is, RouteState row, long nowNs) {
         this.is = is;
         this.row = row;
         this.arrivedNs = nowNs;
@@ -33,10 +33,10 @@
         tries.add(t);
     }
 
-    void end(int no, Ending ending) {
+    void end(int no, TryOutcome ending) {
         out.clear(no);
         neverRan.set(no, ending.neverRan());
-        errors += ending == Ending.ERROR ? 1 : 0;
+        errors += ending == TryOutcome.ERROR ? 1 : 0;
     }
 
     /** The first try that may have run, or may yet, if any. */
@@ -59,15 +59,15 @@
     }
 
     boolean mayRepeat() {
-        return row.is.repeat() != Settings.Repeat.NON_RETRIABLE || mayHaveRun() == null;
+        return row.is.repeat() != Settings.RetrySafety.NON_RETRIABLE || mayHaveRun() == null;
     }
 
     /** Whether a client told to try again can do no harm. */
     boolean harmlessToShed() {
         return mayHaveRun() == null
-                || row.is.repeat() == Settings.Repeat.RETRIABLE
-                || row.is.repeat() == Settings.Repeat.DEDUPED
-                        && row.is.scope() == Settings.Scope.ALL;
+                || row.is.repeat() == Settings.RetrySafety.RETRIABLE
+                || row.is.repeat() == Settings.RetrySafety.DEDUPED
+                        && row.is.scope() == Settings.DedupScope.ALL;
     }
 
     /** Once it may have run, a deduped req stays with the pods that drop its repeats. */
@@ -77,7 +77,7 @@
 
     /** Whether a repeat has to reach the pods that drop it before they forget the first. */
     boolean repeatIsBound() {
-        return row.is.repeat() == Settings.Repeat.DEDUPED && mayHaveRun() != null;
+        return row.is.repeat() == Settings.RetrySafety.DEDUPED && mayHaveRun() != null;
     }
 
     /** When its client leaves, or the pods that drop its repeats begin to forget it. */
--- a/core/src/main/java/mulleinlever/News.java
+++ b/core/src/main/java/mulleinlever/RolloutStatus.java
@@ -4,7 +4,7 @@
 import java.util.stream.IntStream;
 
 /** Where the newest build stands, as the platform knew a short while before. */
-public record News(int build, int stage, Phase phase, double cap, long ageNs) {
+public record RolloutStatus(int build, int stage, Phase phase, double cap, long ageNs) {
     public enum Phase {
         ON_TRIAL,
         REVERTING,
@@ -25,7 +25,7 @@
         return other > build || other == build && !released();
     }
 
-    double capOf(int other, Settings.Rollout rollout) {
+    double capOf(int other, Settings.RolloutSettings rollout) {
         return other == build ? cap : rollout.caps().get(0);
     }
 
--- a/core/src/main/java/mulleinlever/Verdict.java
+++ b/core/src/main/java/mulleinlever/RolloutVote.java
@@ -1,7 +1,7 @@
 package mulleinlever;
 
 /** A sidecar's vote on a build. */
-public enum Verdict {
+public enum RolloutVote {
     NONE,
     ON,
     HOLD,
--- a/core/src/main/java/mulleinlever/Settings.java
+++ b/core/src/main/java/mulleinlever/Settings.java
@@ -11,23 +11,23 @@
         boolean listMustBeAsked,
         long stepNs,
         double overShareEarnings,
-        List<Route> routes,
-        List<Tenant> tenants,
-        Rollout rollout,
-        Rules rules,
-        Limits limits,
-        Prices prices,
+        List<RouteSettings> routes,
+        List<TenantSettings> tenants,
+        RolloutSettings rollout,
+        Contract rules,
+        PolicyLimits limits,
+        CostWeights prices,
         ReportSource reports,
         boolean sizesGiven) {
 
-    public enum Repeat {
+    public enum RetrySafety {
         RETRIABLE,
         DEDUPED,
         NON_RETRIABLE
     }
 
     /** The pods that know a repeat for one. */
-    public enum Scope {
+    public enum DedupScope {
         ALL,
         ZONE,
         CELL;
@@ -41,7 +41,7 @@
         }
     }
 
-    public enum Control {
+    public enum VoteControl {
         SINGLE,
         MAJORITY,
         CLOCKED
@@ -53,22 +53,22 @@
         OFF
     }
 
-    public record Route(
+    public record RouteSettings(
             String name,
             long objectiveNs,
             double objectiveStretch,
             long timeoutNs,
-            Repeat repeat,
-            Scope scope,
+            RetrySafety repeat,
+            DedupScope scope,
             long dedupNs,
             boolean streamed,
             double lateEarnings,
             double earnings) {}
 
-    public record Tenant(String name, double quotaPerSecond, double share) {}
+    public record TenantSettings(String name, double quotaPerSecond, double share) {}
 
-    public record Rollout(
-            Control control,
+    public record RolloutSettings(
+            VoteControl control,
             boolean rolling,
             int onVotes,
             int backVotes,
@@ -93,7 +93,7 @@
             double staleBuildPrice,
             double damagePrice) {}
 
-    public record Rules(
+    public record Contract(
             long answerSlackNs,
             long stopSendingWithinNs,
             double coldShare,
@@ -102,7 +102,7 @@
             long fallNs,
             long askWithinNs) {}
 
-    public record Limits(
+    public record PolicyLimits(
             int maxTries,
             int maxOpen,
             boolean cancel,
@@ -114,5 +114,5 @@
             long connectTimeoutNs,
             long connectionIdleNs) {}
 
-    public record Prices(double crossZone, double waste, double probe, double lateFail) {}
+    public record CostWeights(double crossZone, double waste, double probe, double lateFail) {}
 }
--- a/core/src/main/java/mulleinlever/Ending.java
+++ b/core/src/main/java/mulleinlever/TryOutcome.java
@@ -1,7 +1,7 @@
 package mulleinlever;
 
 /** How an upstream try or a call ended. */
-public enum Ending {
+public enum TryOutcome {
     OK,
     ERROR,
     FULL,
--- a/core/src/main/java/mulleinlever/Ballot.java
+++ b/core/src/main/java/mulleinlever/VoteTracker.java
@@ -1,16 +1,16 @@
 package mulleinlever;
 
 /** What a sidecar wants to vote, has asked for, and stands for. */
-final class Ballot {
-    Verdict wanted = Verdict.NONE;
+final class VoteTracker {
+    RolloutVote wanted = RolloutVote.NONE;
     long wantedSinceNs;
-    Verdict asked;
+    RolloutVote asked;
     long askedNs;
     long againNs;
-    private Verdict standing = Verdict.NONE;
+    private RolloutVote standing = RolloutVote.NONE;
     private long standsUntilNs;
 
-    void want(long nowNs, Verdict verdict) {
+    void want(long nowNs, RolloutVote verdict) {
         wantedSinceNs = verdict == wanted ? wantedSinceNs : nowNs;
         wanted = verdict;
     }
@@ -31,11 +31,11 @@
 
     /** A vote is for one build and stage: on any other nothing stands. */
     void clear() {
-        standing = Verdict.NONE;
-        wanted = Verdict.NONE;
+        standing = RolloutVote.NONE;
+        wanted = RolloutVote.NONE;
     }
 
-    Verdict standsAt(long nowNs) {
-        return nowNs < standsUntilNs ? standing : Verdict.NONE;
+    RolloutVote standsAt(long nowNs) {
+        return nowNs < standsUntilNs ? standing : RolloutVote.NONE;
     }
 }
--- a/core/src/main/java/mulleinlever/Zone.java
+++ b/core/src/main/java/mulleinlever/ZoneReachability.java
@@ -8,7 +8,7 @@
  * A zone as this sidecar's tries know it: which of its pods gave nothing since any of them last
  * did.
  */
-final class Zone {
+final class ZoneReachability {
     private final Set<String> missed = new HashSet<>();
     private long darkSinceNs = Long.MIN_VALUE;
     private long askNs;
--- a/core/src/test/java/mulleinlever/ClockStepTest.java
+++ b/core/src/test/java/mulleinlever/ClockStepTest.java
@@ -9,30 +9,33 @@
 
 /** Starts of servers are told by a wall clock that may be ahead of or behind ours. */
 class ClockStepTest {
-    private static final long MS = Bench.MS;
+    private static final long MS = PolicyHarness.MS;
     private static final int WARM = 4;
-    private static final PodEntry STARTED = Bench.pod(WARM, 1, 0);
+    private static final PodEntry STARTED = PolicyHarness.pod(WARM, 1, 0);
 
     /**
      * The part of 200 requests a second that goes to the server that has started, for some seconds.
      */
-    private static double part(Bench b, int seconds) {
+    private static double part(PolicyHarness b, int seconds) {
         int before = b.sent.size();
         for (int i = 0; i < 200 * seconds; i++) {
             b.policy.listConfirmed(b.now);
             String id = "r" + b.sent.size();
-            b.req(id, "get", 2 * Bench.S);
+            b.req(id, "get", 2 * PolicyHarness.S);
             b.pass(5 * MS);
-            b.end(id, 0, Ending.OK, 5 * MS);
+            b.end(id, 0, TryOutcome.OK, 5 * MS);
         }
-        List<Bench.Sent> sent = b.sent.subList(before, b.sent.size());
+        List<PolicyHarness.SentTry> sent = b.sent.subList(before, b.sent.size());
         return sent.stream().filter(s -> s.pod().equals(STARTED.id())).count()
                 / (double) sent.size();
     }
 
     /** The part that the server gets in its first second, and long after it is warm. */
     private static double[] parts(long stepMs) {
-        Bench b = Bench.plain(1, false, false, 1).pods(WARM, 1).news(1, 2, News.Phase.RELEASED, 1);
+        PolicyHarness b =
+                PolicyHarness.plain(1, false, false, 1)
+                        .pods(WARM, 1)
+                        .news(1, 2, RolloutStatus.Phase.RELEASED, 1);
         part(b, 3);
         PodEntry started =
                 new PodEntry(
@@ -57,7 +60,7 @@
     @ParameterizedTest
     @ValueSource(longs = {-3_600_000, 5_000, 3_600_000})
     void aClockThatWasWrongFromTheStartShowsInTheList(long stepMs) {
-        var starts = new StartTimes();
+        var starts = new PodStartEstimator();
         long nowNs = 10_000_000 * MS;
         long startedNs = starts.startedNs(nowNs + (stepMs - 200) * MS, nowNs - 100 * MS, nowNs);
         assertTrue(
--- a/core/src/test/java/mulleinlever/RoomTest.java
+++ b/core/src/test/java/mulleinlever/ConcurrencyLimiterTest.java
@@ -1,14 +1,14 @@
 package mulleinlever;
 
-import static mulleinlever.Bench.MS;
-import static mulleinlever.Bench.S;
+import static mulleinlever.PolicyHarness.MS;
+import static mulleinlever.PolicyHarness.S;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-class RoomTest {
+class ConcurrencyLimiterTest {
     private static final double OBJECTIVE = 600 * MS;
 
     /**
@@ -16,7 +16,7 @@
      * many times 240 ms, by chance.
      */
     private static double turnedAway(double perSecond, double times, long seed) {
-        Room room = new Room(100);
+        ConcurrencyLimiter room = new ConcurrencyLimiter(100);
         SplittableRandom random = new SplittableRandom(seed);
         double mean = times * 240 * MS;
         int[] reqs = new int[2];
@@ -61,7 +61,7 @@
 
     /**
      * The rule said plainly, on drawn inputs, beside the class; the fading sums are those that
-     * PatienceTest says plainly.
+     * AdaptiveConnectTimeoutTest says plainly.
      */
     @Test
     void keepsToThePlainModel() {
@@ -69,9 +69,9 @@
         for (int run = 0; run < 5; run++) {
             int pods = 1 + random.nextInt(150);
             int sidecars = 1 + random.nextInt(100);
-            Room room = new Room(sidecars);
-            Decay wanted = new Decay(5 * S);
-            Mean took = new Mean(S);
+            ConcurrencyLimiter room = new ConcurrencyLimiter(sidecars);
+            DecayingSum wanted = new DecayingSum(5 * S);
+            DecayingMean took = new DecayingMean(S);
             double most = 0;
             long now = 7 * S;
             for (int step = 0; step < 2_000; step++) {
--- a/core/src/test/java/mulleinlever/DetectorTest.java
+++ b/core/src/test/java/mulleinlever/DetectorTest.java
@@ -7,7 +7,7 @@
 class DetectorTest {
     @Test
     void longTermPairFollowsThePagesFormula() {
-        var d = new Policy.Detector(0, 0);
+        var d = new Policy.DegradationDetector(0, 0);
         d.learn(0.1, 0.02);
         assertEquals(0.1, d.mean, 1e-12);
         assertEquals(0, d.deviation, 1e-12);
@@ -18,19 +18,19 @@
 
     @Test
     void thresholdsStandAtTheirDeviations() {
-        var d = new Policy.Detector(0, 0);
+        var d = new Policy.DegradationDetector(0, 0);
         d.learn(0.0, 0.02);
         // With the floor of 0.02: suspect above 0.05, alarm above 0.09, clear below 0.01.
         d.judge(0.12, 10_000, true);
-        assertEquals(Policy.State.SUSPECT, d.state);
+        assertEquals(Policy.DetectorState.SUSPECT, d.state);
         d.judge(0.16, 10_000, true);
         assertEquals(0.11, d.recent, 1e-12);
-        assertEquals(Policy.State.ALARM, d.state);
+        assertEquals(Policy.DetectorState.ALARM, d.state);
         d.judge(0.0, 10_000, true);
         d.judge(0.0, 10_000, true);
-        assertEquals(Policy.State.ALARM, d.state);
+        assertEquals(Policy.DetectorState.ALARM, d.state);
         d.judge(0.0, 10_000, true);
         d.judge(0.0, 10_000, true);
-        assertEquals(Policy.State.NORMAL, d.state);
+        assertEquals(Policy.DetectorState.NORMAL, d.state);
     }
 }
--- a/core/src/test/java/mulleinlever/DoubtTest.java
+++ b/core/src/test/java/mulleinlever/OpenTryLatenessDetectorTest.java
@@ -1,7 +1,7 @@
 package mulleinlever;
 
-import static mulleinlever.Bench.MS;
-import static mulleinlever.Bench.S;
+import static mulleinlever.PolicyHarness.MS;
+import static mulleinlever.PolicyHarness.S;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -10,29 +10,34 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-class DoubtTest {
+class OpenTryLatenessDetectorTest {
     /** The rule said plainly, on drawn reqs and tries, beside the class. */
     @Test
     void keepsToThePlainModel() {
         SplittableRandom random = new SplittableRandom(1);
         var row =
-                new Row(
-                        Bench.route("get", Settings.Repeat.RETRIABLE, Settings.Scope.ALL),
+                new RouteState(
+                        PolicyHarness.route(
+                                "get", Settings.RetrySafety.RETRIABLE, Settings.DedupScope.ALL),
                         0,
                         S,
                         0.25);
-        Doubt doubt = new Doubt(S);
+        OpenTryLatenessDetector doubt = new OpenTryLatenessDetector(S);
         long until = 0;
         for (long now = 10 * S; now < 260 * S; now += random.nextLong(400 * MS)) {
-            List<Rq> held = new ArrayList<>();
+            List<ReqState> held = new ArrayList<>();
             int[][] out = new int[3][2];
             double lean = random.nextDouble();
             for (int i = random.nextInt(24); i > 0; i--) {
                 int build = random.nextInt(1, 3);
                 int late = random.nextDouble() < lean ? 1 : 0;
-                Rq rq = new Rq(new Req("r" + i, "get", false, false, 2 * S, 0, -1, null), row, now);
+                ReqState rq =
+                        new ReqState(
+                                new Req("r" + i, "get", false, false, 2 * S, 0, -1, null),
+                                row,
+                                now);
                 rq.start(new Try(null, now - S, true, build, true));
-                rq.end(0, Ending.ERROR);
+                rq.end(0, TryOutcome.ERROR);
                 rq.start(
                         new Try(
                                 null,
@@ -43,7 +48,7 @@
                 held.add(rq);
                 out[build][late]++;
             }
-            doubt.look(now, held, new News(2, 1, News.Phase.ON_TRIAL, 1, 0));
+            doubt.look(now, held, new RolloutStatus(2, 1, RolloutStatus.Phase.ON_TRIAL, 1, 0));
             boolean doubtful =
                     out[2][1] >= 4 && out[2][1] > 2 * out[2][0] && out[1][1] <= 2 * out[1][0];
             until = doubtful ? now + S : until;
--- a/core/src/test/java/mulleinlever/ListLeaseTest.java
+++ b/core/src/test/java/mulleinlever/PodListLeaseTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.Test;
 
 /** The lease of the list against a model that goes through all that happened to one server. */
-class ListLeaseTest {
+class PodListLeaseTest {
     private static final long MS = 1_000_000L;
     private static final long LENGTH_MS = 6_000 + 1_000 - 250 - 150;
     private static final long MOVED_LENGTH_MS = LENGTH_MS - 2_000;
@@ -18,8 +18,8 @@
     void aServerIsUsedOnlyWhileItCantCountAsToldThatItLeft() {
         for (int seed = 0; seed < 200; seed++) {
             SplittableRandom random = new SplittableRandom(seed);
-            var lease = new ListLease(10_000 * MS, 1_000 * MS, 250 * MS);
-            Pod server = new Pod(Bench.pod(0, 1, 0), MS);
+            var lease = new PodListLease(10_000 * MS, 1_000 * MS, 250 * MS);
+            Pod server = new Pod(PolicyHarness.pod(0, 1, 0), MS);
             lease.confirmed(0);
             boolean confirmed = true;
             boolean moved = false;
@@ -72,8 +72,8 @@
 
     @Test
     void itDoesNotRunOutWhileDiscoveryCantBeReached() {
-        var lease = new ListLease(10_000 * MS, 1_000 * MS, 250 * MS);
-        Pod server = new Pod(Bench.pod(0, 1, 0), MS);
+        var lease = new PodListLease(10_000 * MS, 1_000 * MS, 250 * MS);
+        Pod server = new Pod(PolicyHarness.pod(0, 1, 0), MS);
         lease.neverConfirmed();
         assertFalse(lease.covers(0, server));
         for (long ms = 0; ms < 60_000; ms += 3_000) {
--- a/core/src/test/java/mulleinlever/Bench.java
+++ b/core/src/test/java/mulleinlever/PolicyHarness.java
@@ -10,38 +10,40 @@
  * The tests' one helper: settings by route, and a host that keeps what is asked for and runs
  * timers.
  */
-final class Bench implements Host {
+final class PolicyHarness implements PolicyActions {
     static final long MS = 1_000_000L;
     static final long S = 1_000 * MS;
 
-    record Sent(String rq, String pod, long atNs, long limitNs) {}
+    record SentTry(String rq, String pod, long atNs, long limitNs) {}
 
-    record Vote(long atNs, int build, int stage, Verdict verdict) {}
+    record CastVote(long atNs, int build, int stage, RolloutVote verdict) {}
 
-    final List<Sent> sent = new ArrayList<>();
+    final List<SentTry> sent = new ArrayList<>();
     final Map<String, String> answers = new LinkedHashMap<>();
-    final List<Vote> votes = new ArrayList<>();
+    final List<CastVote> votes = new ArrayList<>();
     final List<String> cancelled = new ArrayList<>();
     final TreeMap<Long, List<String>> timers = new TreeMap<>();
     long now = 100 * S;
     Policy policy;
 
-    static Settings.Route route(String name, Settings.Repeat repeat, Settings.Scope scope) {
-        return new Settings.Route(name, 500 * MS, 0, 2 * S, repeat, scope, 250 * MS, false, 0.2, 1);
+    static Settings.RouteSettings route(
+            String name, Settings.RetrySafety repeat, Settings.DedupScope scope) {
+        return new Settings.RouteSettings(
+                name, 500 * MS, 0, 2 * S, repeat, scope, 250 * MS, false, 0.2, 1);
     }
 
     static Settings settings(
-            Settings.Control control,
+            Settings.VoteControl control,
             boolean byRoute,
             int shielded,
             boolean oneWay,
             boolean ask,
-            List<Settings.Route> routes,
+            List<Settings.RouteSettings> routes,
             int sidecars,
             boolean copies) {
-        int holds = control == Settings.Control.CLOCKED ? 1 : 0;
+        int holds = control == Settings.VoteControl.CLOCKED ? 1 : 0;
         var rollout =
-                new Settings.Rollout(
+                new Settings.RolloutSettings(
                         control,
                         false,
                         1,
@@ -66,9 +68,10 @@
                         false,
                         0.3,
                         4);
-        var rules = new Settings.Rules(20 * MS, 500 * MS, 0.3, 4 * S, 2, S, 10 * S);
+        var rules = new Settings.Contract(20 * MS, 500 * MS, 0.3, 4 * S, 2, S, 10 * S);
         var limits =
-                new Settings.Limits(4, 20_000, true, true, copies, true, S, 100, 250 * MS, 15 * S);
+                new Settings.PolicyLimits(
+                        4, 20_000, true, true, copies, true, S, 100, 250 * MS, 15 * S);
         return new Settings(
                 0,
                 sidecars,
@@ -82,7 +85,7 @@
                 rollout,
                 rules,
                 limits,
-                new Settings.Prices(0.02, 0.05, 0.01, 0.05),
+                new Settings.CostWeights(0.02, 0.05, 0.01, 0.05),
                 Settings.ReportSource.OFF,
                 true);
     }
@@ -91,20 +94,24 @@
      * One of a fleet whose platform wants so many votes; the pods lie in two zones, neither of them
      * its own.
      */
-    static Bench ofMany(int rank, int sidecars, int onVotes, int backVotes) {
+    static PolicyHarness ofMany(int rank, int sidecars, int onVotes, int backVotes) {
         Settings s =
                 settings(
-                        Settings.Control.MAJORITY,
+                        Settings.VoteControl.MAJORITY,
                         false,
                         0,
                         false,
                         false,
-                        List.of(route("get", Settings.Repeat.RETRIABLE, Settings.Scope.ALL)),
+                        List.of(
+                                route(
+                                        "get",
+                                        Settings.RetrySafety.RETRIABLE,
+                                        Settings.DedupScope.ALL)),
                         sidecars,
                         false);
-        Settings.Rollout r = s.rollout();
+        Settings.RolloutSettings r = s.rollout();
         var rollout =
-                new Settings.Rollout(
+                new Settings.RolloutSettings(
                         r.control(),
                         false,
                         onVotes,
@@ -149,19 +156,19 @@
                 rank);
     }
 
-    static Bench start(Settings s, long seed) {
-        Bench b = new Bench();
+    static PolicyHarness start(Settings s, long seed) {
+        PolicyHarness b = new PolicyHarness();
         b.policy = new Policy(s, seed, b.now, b);
         return b;
     }
 
-    static Bench plain() {
+    static PolicyHarness plain() {
         return plain(3, false, false, 1);
     }
 
-    static Bench plain(int sidecars, boolean copies, boolean oneWay, long seed) {
-        var get = route("get", Settings.Repeat.RETRIABLE, Settings.Scope.ALL);
-        var control = Settings.Control.SINGLE;
+    static PolicyHarness plain(int sidecars, boolean copies, boolean oneWay, long seed) {
+        var get = route("get", Settings.RetrySafety.RETRIABLE, Settings.DedupScope.ALL);
+        var control = Settings.VoteControl.SINGLE;
         return start(
                 settings(control, false, 0, oneWay, false, List.of(get), sidecars, copies), seed);
     }
@@ -178,15 +185,15 @@
                 startedNs);
     }
 
-    Bench pods(int count, int build) {
+    PolicyHarness pods(int count, int build) {
         for (int i = 0; i < count; i++) {
             policy.listChanged(now, List.of(pod(i, build, 0)));
         }
         return this;
     }
 
-    Bench news(int build, int stage, News.Phase phase, double cap) {
-        policy.news(now, new News(build, stage, phase, cap, 0));
+    PolicyHarness news(int build, int stage, RolloutStatus.Phase phase, double cap) {
+        policy.news(now, new RolloutStatus(build, stage, phase, cap, 0));
         return this;
     }
 
@@ -194,8 +201,8 @@
         policy.req(now, new Req(id, route, false, false, expiresInNs, 0, -1, null));
     }
 
-    void end(String id, int tryNo, Ending ending, long tookNs) {
-        policy.tryEnded(now, id, tryNo, ending, tookNs, ending == Ending.OK);
+    void end(String id, int tryNo, TryOutcome ending, long tookNs) {
+        policy.tryEnded(now, id, tryNo, ending, tookNs, ending == TryOutcome.OK);
     }
 
     void pass(long ns) {
@@ -212,13 +219,13 @@
         return Integer.parseInt(pod.substring(3));
     }
 
-    Sent last() {
+    SentTry last() {
         return sent.get(sent.size() - 1);
     }
 
     @Override
     public void relay(String rq, String pod, long writeWithinNs, long limitNs) {
-        sent.add(new Sent(rq, pod, now, limitNs));
+        sent.add(new SentTry(rq, pod, now, limitNs));
     }
 
     @Override
@@ -243,8 +250,8 @@
     }
 
     @Override
-    public void vote(int build, int stage, Verdict verdict) {
-        votes.add(new Vote(now, build, stage, verdict));
+    public void vote(int build, int stage, RolloutVote verdict) {
+        votes.add(new CastVote(now, build, stage, verdict));
     }
 
     @Override
--- a/core/src/test/java/mulleinlever/FailuresTest.java
+++ b/core/src/test/java/mulleinlever/PolicyRegressionTest.java
@@ -1,7 +1,7 @@
 package mulleinlever;
 
-import static mulleinlever.Bench.MS;
-import static mulleinlever.Bench.S;
+import static mulleinlever.PolicyHarness.MS;
+import static mulleinlever.PolicyHarness.S;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -13,16 +13,17 @@
 import org.junit.jupiter.api.Test;
 
 /** One small test for each failure that was found. */
-class FailuresTest {
+class PolicyRegressionTest {
     /**
      * Answers reqs at a steady pace; {@code tookMs} says how long each takes, or nothing for a
      * failure.
      */
-    private interface Answers {
+    private interface AnswerTimes {
         long tookMs(PodEntry pod, int i);
     }
 
-    private static void serve(Bench b, int seconds, Answers answers, List<PodEntry> pods) {
+    private static void serve(
+            PolicyHarness b, int seconds, AnswerTimes answers, List<PodEntry> pods) {
         for (int i = 0; i < seconds * 50; i++) {
             String id = b.now + "";
             b.req(id, "get", 2 * S);
@@ -31,27 +32,27 @@
                 long took =
                         answers.tookMs(
                                 pods.stream().filter(p -> p.id().equals(at)).findFirst().get(), i);
-                b.end(id, 0, took > 0 ? Ending.OK : Ending.ERROR, Math.max(20, took) * MS);
+                b.end(id, 0, took > 0 ? TryOutcome.OK : TryOutcome.ERROR, Math.max(20, took) * MS);
             }
             b.pass(20 * MS);
         }
     }
 
-    private static List<PodEntry> fleet(Bench b, int old, int young) {
+    private static List<PodEntry> fleet(PolicyHarness b, int old, int young) {
         List<PodEntry> all =
                 IntStream.range(0, old + young)
-                        .mapToObj(i -> Bench.pod(i, i < old ? 1 : 2, 0))
+                        .mapToObj(i -> PolicyHarness.pod(i, i < old ? 1 : 2, 0))
                         .toList();
         b.policy.listWhole(b.now, all);
         return all;
     }
 
-    private static Verdict verdict(Answers before, Answers during) {
-        Bench b = Bench.plain().news(1, 2, News.Phase.RELEASED, 1);
+    private static RolloutVote verdict(AnswerTimes before, AnswerTimes during) {
+        PolicyHarness b = PolicyHarness.plain().news(1, 2, RolloutStatus.Phase.RELEASED, 1);
         List<PodEntry> pods = fleet(b, 8, 0);
         serve(b, 8, before, pods);
         pods = fleet(b, 8, 4);
-        b.news(2, 1, News.Phase.ON_TRIAL, 0.7);
+        b.news(2, 1, RolloutStatus.Phase.ON_TRIAL, 0.7);
         serve(b, 12, during, pods);
         return b.votes.get(b.votes.size() - 1).verdict();
     }
@@ -62,97 +63,99 @@
 
     @Test
     void alarmVotesBackOnErrorsAndOnLateness() {
-        assertEquals(Verdict.ON, verdict((p, i) -> usual(i), (p, i) -> usual(i)));
+        assertEquals(RolloutVote.ON, verdict((p, i) -> usual(i), (p, i) -> usual(i)));
         assertEquals(
-                Verdict.BACK,
+                RolloutVote.BACK,
                 verdict((p, i) -> usual(i), (p, i) -> p.build() == 2 && i % 3 == 0 ? 0 : usual(i)));
         assertEquals(
-                Verdict.BACK,
+                RolloutVote.BACK,
                 verdict((p, i) -> usual(i), (p, i) -> usual(i) * (p.build() == 2 ? 3 : 1)));
     }
 
     @Test
     void buildThatSlowsOldAndNewAlikeGoesBack() {
-        assertEquals(Verdict.BACK, verdict((p, i) -> usual(i), (p, i) -> 3 * usual(i)));
+        assertEquals(RolloutVote.BACK, verdict((p, i) -> usual(i), (p, i) -> 3 * usual(i)));
     }
 
     @Test
     void earlierPodsThatFailAlikeAreNotTheBuildsDoing() {
-        assertEquals(Verdict.ON, verdict((p, i) -> usual(i), (p, i) -> i % 5 == 0 ? 0 : usual(i)));
+        assertEquals(
+                RolloutVote.ON, verdict((p, i) -> usual(i), (p, i) -> i % 5 == 0 ? 0 : usual(i)));
     }
 
     @Test
     void whatSlowsTheFleetAfterAReleaseSendsNothingBack() {
-        Bench b = Bench.plain().news(1, 2, News.Phase.RELEASED, 1);
+        PolicyHarness b = PolicyHarness.plain().news(1, 2, RolloutStatus.Phase.RELEASED, 1);
         serve(b, 8, (p, i) -> usual(i), fleet(b, 8, 0));
         List<PodEntry> pods = fleet(b, 8, 4);
-        b.news(2, 2, News.Phase.ON_TRIAL, 1);
+        b.news(2, 2, RolloutStatus.Phase.ON_TRIAL, 1);
         serve(b, 5, (p, i) -> usual(i), pods);
-        b.news(2, 2, News.Phase.RELEASED, 1);
+        b.news(2, 2, RolloutStatus.Phase.RELEASED, 1);
         pods = pods.subList(8, 12);
         b.policy.listWhole(b.now, pods);
         serve(b, 9, (p, i) -> 3 * usual(i), pods);
-        assertTrue(b.votes.stream().noneMatch(v -> v.verdict() == Verdict.BACK));
+        assertTrue(b.votes.stream().noneMatch(v -> v.verdict() == RolloutVote.BACK));
     }
 
     @Test
     void twoMistakenReportsSendNothingBack() {
-        Bench b = Bench.plain().news(1, 2, News.Phase.RELEASED, 1);
+        PolicyHarness b = PolicyHarness.plain().news(1, 2, RolloutStatus.Phase.RELEASED, 1);
         serve(b, 8, (p, i) -> usual(i), fleet(b, 8, 0));
         List<PodEntry> pods = fleet(b, 8, 4);
-        b.news(2, 1, News.Phase.ON_TRIAL, 0.7);
+        b.news(2, 1, RolloutStatus.Phase.ON_TRIAL, 0.7);
         serve(b, 2, (p, i) -> usual(i), pods);
         b.policy.flagged(b.now, "pod9", "get");
         b.policy.flagged(b.now, "pod10", "get");
         serve(b, 4, (p, i) -> usual(i), pods);
-        assertTrue(b.votes.stream().noneMatch(v -> v.verdict() == Verdict.BACK));
+        assertTrue(b.votes.stream().noneMatch(v -> v.verdict() == RolloutVote.BACK));
     }
 
     @Test
     void lastOnWaitsForProofButNotForEver() {
-        Bench b = Bench.plain().pods(4, 1);
-        b.news(1, 2, News.Phase.RELEASED, 1).news(2, 2, News.Phase.ON_TRIAL, 1);
+        PolicyHarness b = PolicyHarness.plain().pods(4, 1);
+        b.news(1, 2, RolloutStatus.Phase.RELEASED, 1).news(2, 2, RolloutStatus.Phase.ON_TRIAL, 1);
         b.pass(5 * S);
         assertTrue(b.votes.isEmpty());
         b.pass(15 * S);
-        assertEquals(Verdict.ON, b.votes.get(0).verdict());
+        assertEquals(RolloutVote.ON, b.votes.get(0).verdict());
     }
 
     @Test
     void keysAreFreeAgainWhenTheirBuildIsTakenOff() {
-        Bench b = Bench.plain(3, false, true, 1);
-        b.policy.listWhole(b.now, List.of(Bench.pod(0, 2, 0)));
-        b.news(2, 2, News.Phase.RELEASED, 1);
+        PolicyHarness b = PolicyHarness.plain(3, false, true, 1);
+        b.policy.listWhole(b.now, List.of(PolicyHarness.pod(0, 2, 0)));
+        b.news(2, 2, RolloutStatus.Phase.RELEASED, 1);
         b.policy.req(b.now, new Req("a", "get", false, false, S, 0, 7, null));
-        b.end("a", 0, Ending.OK, 50 * MS);
-        b.policy.listWhole(b.now, List.of(Bench.pod(1, 1, 0)));
+        b.end("a", 0, TryOutcome.OK, 50 * MS);
+        b.policy.listWhole(b.now, List.of(PolicyHarness.pod(1, 1, 0)));
         b.policy.req(b.now, new Req("b", "get", false, false, S, 0, 7, null));
         assertEquals(1, b.sent.size());
-        b.news(2, 2, News.Phase.WITHDRAWN, 0);
+        b.news(2, 2, RolloutStatus.Phase.WITHDRAWN, 0);
         assertEquals("pod1", b.last().pod());
     }
 
     @Test
     void silentPodIsLeftAndItsReqRescued() {
-        Bench b = Bench.plain().pods(2, 1).news(1, 2, News.Phase.RELEASED, 1);
-        serve(b, 2, (p, i) -> 20, List.of(Bench.pod(0, 1, 0), Bench.pod(1, 1, 0)));
+        PolicyHarness b =
+                PolicyHarness.plain().pods(2, 1).news(1, 2, RolloutStatus.Phase.RELEASED, 1);
+        serve(b, 2, (p, i) -> 20, List.of(PolicyHarness.pod(0, 1, 0), PolicyHarness.pod(1, 1, 0)));
         b.req("a", "get", 2 * S);
         String hung = b.last().pod();
         b.pass(300 * MS);
         assertEquals(List.of("a"), b.cancelled);
-        b.end("a", 0, Ending.CANCELLED, 300 * MS);
+        b.end("a", 0, TryOutcome.CANCELLED, 300 * MS);
         assertFalse(b.last().pod().equals(hung));
-        b.end("a", 1, Ending.OK, 20 * MS);
+        b.end("a", 1, TryOutcome.OK, 20 * MS);
         for (int i = 0; i < 10; i++) {
             b.req("more" + i, "get", 2 * S);
             assertFalse(b.last().pod().equals(hung));
-            b.end("more" + i, 0, Ending.OK, 20 * MS);
+            b.end("more" + i, 0, TryOutcome.OK, 20 * MS);
         }
     }
 
     @Test
     void mostPodsFailingAlikeDoNotLeaveTheLoadToTheFew() {
-        Bench b = Bench.plain().news(1, 2, News.Phase.RELEASED, 1);
+        PolicyHarness b = PolicyHarness.plain().news(1, 2, RolloutStatus.Phase.RELEASED, 1);
         List<PodEntry> pods = fleet(b, 12, 0);
         serve(b, 10, (p, i) -> !p.id().equals("pod0") && i % 3 == 0 ? 0 : 100, pods);
         int from = b.sent.size();
@@ -164,17 +167,18 @@
 
     @Test
     void reqThatTwoPodsErroredIsGivenUp() {
-        Bench b = Bench.plain().pods(6, 1).news(1, 2, News.Phase.RELEASED, 1);
+        PolicyHarness b =
+                PolicyHarness.plain().pods(6, 1).news(1, 2, RolloutStatus.Phase.RELEASED, 1);
         b.req("poison", "get", 2 * S);
-        b.end("poison", 0, Ending.ERROR, 5 * MS);
-        b.end("poison", 1, Ending.ERROR, 5 * MS);
+        b.end("poison", 0, TryOutcome.ERROR, 5 * MS);
+        b.end("poison", 1, TryOutcome.ERROR, 5 * MS);
         assertEquals("shed", b.answers.get("poison"));
         assertEquals(2, b.sent.size());
     }
 
     @Test
     void reqInLineIsAnsweredBeforeItsClientLeaves() {
-        Bench b = Bench.plain().news(1, 2, News.Phase.RELEASED, 1);
+        PolicyHarness b = PolicyHarness.plain().news(1, 2, RolloutStatus.Phase.RELEASED, 1);
         b.req("a", "get", 100 * MS);
         b.pass(12 * MS);
         b.req("b", "get", 33 * MS);
@@ -186,10 +190,10 @@
     void hundredsToldOfAColdPodDoNotAllSendToItAtOnce() {
         int toCold = 0;
         for (int i = 0; i < 300; i++) {
-            Bench b = Bench.plain(300, false, false, i);
-            b.pods(4, 1).news(1, 2, News.Phase.RELEASED, 1);
+            PolicyHarness b = PolicyHarness.plain(300, false, false, i);
+            b.pods(4, 1).news(1, 2, RolloutStatus.Phase.RELEASED, 1);
             serve(b, 2, (p, n) -> 100, fleet(b, 4, 0));
-            PodEntry cold = Bench.pod(4, 1, b.now);
+            PodEntry cold = PolicyHarness.pod(4, 1, b.now);
             b.policy.listChanged(b.now, List.of(cold));
             b.req("first", "get", 2 * S);
             toCold += b.last().pod().equals(cold.id()) ? 1 : 0;
@@ -200,35 +204,36 @@
     @Test
     void tallySpeaksWhereOneSidecarSeesTooLittle() {
         for (int failed : new int[] {0, 30}) {
-            Bench b = Bench.plain().news(1, 2, News.Phase.RELEASED, 1);
+            PolicyHarness b = PolicyHarness.plain().news(1, 2, RolloutStatus.Phase.RELEASED, 1);
             serve(b, 3, (p, i) -> usual(i), fleet(b, 8, 4));
-            b.news(2, 1, News.Phase.ON_TRIAL, 0);
+            b.news(2, 1, RolloutStatus.Phase.ON_TRIAL, 0);
             for (int i = 0; i < 5; i++) {
                 b.policy.tally(b.now, "get", 1, 100, 0, 100 * MS, S);
                 b.policy.tally(b.now, "get", 2, 100, failed, 100 * MS, S);
                 b.pass(2 * S);
             }
             assertEquals(
-                    failed > 0 ? Verdict.BACK : Verdict.ON,
+                    failed > 0 ? RolloutVote.BACK : RolloutVote.ON,
                     b.votes.get(b.votes.size() - 1).verdict());
         }
     }
 
     @Test
     void failuresLongAfterTheReleaseAreNotTheBuilds() {
-        Bench b = Bench.plain().news(1, 2, News.Phase.RELEASED, 1);
+        PolicyHarness b = PolicyHarness.plain().news(1, 2, RolloutStatus.Phase.RELEASED, 1);
         serve(b, 4, (p, i) -> usual(i), fleet(b, 8, 4));
-        b.news(2, 2, News.Phase.ON_TRIAL, 1);
+        b.news(2, 2, RolloutStatus.Phase.ON_TRIAL, 1);
         serve(b, 4, (p, i) -> usual(i), fleet(b, 8, 8));
-        b.news(2, 2, News.Phase.RELEASED, 1);
+        b.news(2, 2, RolloutStatus.Phase.RELEASED, 1);
         b.pass(12 * S);
         serve(b, 8, (p, i) -> i % 2 == 0 ? 0 : usual(i), fleet(b, 0, 8));
-        assertTrue(b.votes.stream().noneMatch(v -> v.verdict() == Verdict.BACK));
+        assertTrue(b.votes.stream().noneMatch(v -> v.verdict() == RolloutVote.BACK));
     }
 
     @Test
     void secondCopyGoesOutInTimeForALostAnswer() {
-        Bench b = Bench.plain(3, true, false, 1).news(1, 2, News.Phase.RELEASED, 1);
+        PolicyHarness b =
+                PolicyHarness.plain(3, true, false, 1).news(1, 2, RolloutStatus.Phase.RELEASED, 1);
         serve(b, 1, (p, i) -> 50, fleet(b, 8, 0));
         b.req("lost", "get", 2 * S);
         for (int i = 0; i < 20; i++) {
@@ -236,7 +241,7 @@
             b.end(
                     "quick" + i,
                     0,
-                    i % 4 == 0 ? Ending.TIMEOUT : Ending.OK,
+                    i % 4 == 0 ? TryOutcome.TIMEOUT : TryOutcome.OK,
                     i % 4 == 0 ? 900 * MS : 50 * MS);
         }
         b.pass(450 * MS);
@@ -245,21 +250,22 @@
 
     @Test
     void trialCarriesTheLoadOfAReleaseUntilItIsSuspect() {
-        Bench b = Bench.plain().news(1, 2, News.Phase.RELEASED, 1);
+        PolicyHarness b = PolicyHarness.plain().news(1, 2, RolloutStatus.Phase.RELEASED, 1);
         serve(b, 4, (p, i) -> usual(i), fleet(b, 8, 0));
         List<PodEntry> pods = fleet(b, 8, 8);
-        b.news(2, 2, News.Phase.ON_TRIAL, 1);
+        b.news(2, 2, RolloutStatus.Phase.ON_TRIAL, 1);
         int from = b.sent.size();
         serve(b, 2, (p, i) -> usual(i), pods);
-        List<Bench.Sent> calm = b.sent.subList(from, b.sent.size());
+        List<PolicyHarness.SentTry> calm = b.sent.subList(from, b.sent.size());
         assertTrue(
-                calm.stream().filter(s -> Bench.number(s.pod()) >= 8).count() > 0.8 * calm.size());
+                calm.stream().filter(s -> PolicyHarness.number(s.pod()) >= 8).count()
+                        > 0.8 * calm.size());
         serve(b, 3, (p, i) -> p.build() == 2 ? 4 * usual(i) : usual(i), pods);
         int then = b.sent.size();
         serve(b, 2, (p, i) -> usual(i), pods);
         var doubted = b.sent.subList(then, b.sent.size());
         assertTrue(
-                doubted.stream().filter(s -> Bench.number(s.pod()) >= 8).count()
+                doubted.stream().filter(s -> PolicyHarness.number(s.pod()) >= 8).count()
                         < 0.4 * doubted.size());
     }
 
@@ -271,8 +277,8 @@
 
     @Test
     void podsThatCameAndWentAreForgottenInTime() throws ReflectiveOperationException {
-        Bench b = Bench.plain().pods(2, 1);
-        Pod p = new Pod(Bench.pod(1, 1, 0).gone(), S);
+        PolicyHarness b = PolicyHarness.plain().pods(2, 1);
+        Pod p = new Pod(PolicyHarness.pod(1, 1, 0).gone(), S);
         assertEquals(0, p.goneFor(b.now));
         p.open = 1;
         assertEquals(0, p.goneFor(b.now + S));
@@ -280,7 +286,8 @@
         assertEquals(2 * S, p.goneFor(b.now + 3 * S));
         // The module goes through all pods it knows: a thousand gone ones must not stay among them.
         for (int i = 10; i < 1010; i++) {
-            b.policy.listChanged(b.now, List.of(Bench.pod(i, 1, 0), Bench.pod(i, 1, 0).gone()));
+            b.policy.listChanged(
+                    b.now, List.of(PolicyHarness.pod(i, 1, 0), PolicyHarness.pod(i, 1, 0).gone()));
         }
         assertEquals(1002, podsKnown(b.policy));
         b.pass(50 * S);
@@ -292,19 +299,22 @@
     /**
      * Sends reqs for so long, of which those at pods of the zone that is out find no connection.
      */
-    private static void serveWithout(Bench b, String zone, int millis) {
+    private static void serveWithout(PolicyHarness b, String zone, int millis) {
         for (int i = 0; i < millis / 20; i++) {
             String id = "z" + b.now;
             b.req(id, "get", 2 * S);
             for (int no = 0;
                     b.last().rq().equals(id) && !b.answers.containsKey(id) && no < 4;
                     no++) {
-                boolean out = Bench.pod(Bench.number(b.last().pod()), 1, 0).zone().equals(zone);
+                boolean out =
+                        PolicyHarness.pod(PolicyHarness.number(b.last().pod()), 1, 0)
+                                .zone()
+                                .equals(zone);
                 int tries = b.sent.size();
                 b.end(
                         id,
                         no,
-                        out ? Ending.CONNECT_FAILED : Ending.OK,
+                        out ? TryOutcome.CONNECT_FAILED : TryOutcome.OK,
                         out ? 250 * MS : usual(i) * MS);
                 if (!out || b.sent.size() == tries) {
                     break;
@@ -314,15 +324,20 @@
         }
     }
 
-    private static long triesIn(Bench b, int from, String zone) {
+    private static long triesIn(PolicyHarness b, int from, String zone) {
         return b.sent.subList(from, b.sent.size()).stream()
-                .filter(s -> Bench.pod(Bench.number(s.pod()), 1, 0).zone().equals(zone))
+                .filter(
+                        s ->
+                                PolicyHarness.pod(PolicyHarness.number(s.pod()), 1, 0)
+                                        .zone()
+                                        .equals(zone))
                 .count();
     }
 
     @Test
     void lostZoneIsLeftAfterAFewOfManyPodsAndUsedAgainWhenItAnswers() {
-        Bench b = Bench.ofMany(0, 14, 6, 4).news(1, 2, News.Phase.RELEASED, 1);
+        PolicyHarness b =
+                PolicyHarness.ofMany(0, 14, 6, 4).news(1, 2, RolloutStatus.Phase.RELEASED, 1);
         fleet(b, 60, 0);
         serveWithout(b, "none", 4000);
         int lost = b.sent.size();
@@ -338,31 +353,33 @@
 
     @Test
     void whatLiesInADarkZoneIsCalledBackSoonAndItsLoadIsShared() {
-        Bench b = Bench.ofMany(voter(2, 0), 14, 6, 4).news(1, 2, News.Phase.RELEASED, 1);
+        PolicyHarness b =
+                PolicyHarness.ofMany(voter(2, 0), 14, 6, 4)
+                        .news(1, 2, RolloutStatus.Phase.RELEASED, 1);
         serve(b, 8, (p, i) -> usual(i), fleet(b, 30, 0));
-        b.news(2, 2, News.Phase.ON_TRIAL, 1);
+        b.news(2, 2, RolloutStatus.Phase.ON_TRIAL, 1);
         serve(b, 3, (p, i) -> usual(i), fleet(b, 30, 30));
         List<String> lying = new ArrayList<>();
         for (int i = 0; i < 45; i++) {
             b.req("lies" + i, "get", 2 * S);
-            if (Bench.number(b.last().pod()) % 2 == 1) {
+            if (PolicyHarness.number(b.last().pod()) % 2 == 1) {
                 lying.add("lies" + i);
             } else {
-                b.end("lies" + i, 0, Ending.OK, 60 * MS);
+                b.end("lies" + i, 0, TryOutcome.OK, 60 * MS);
             }
         }
         int from = b.sent.size();
         serveWithout(b, "b", 300);
         assertTrue(
                 lying.size() > 3 && b.cancelled.containsAll(lying), b.cancelled + " of " + lying);
-        lying.forEach(id -> b.end(id, 0, Ending.CANCELLED, S));
-        lying.forEach(id -> b.end(id, 1, Ending.OK, 60 * MS));
+        lying.forEach(id -> b.end(id, 0, TryOutcome.CANCELLED, S));
+        lying.forEach(id -> b.end(id, 1, TryOutcome.OK, 60 * MS));
         serveWithout(b, "b", 3000);
         // The half of the trial that is left gets the half of what the earlier pods had, not all of
         // it.
         var lit =
                 b.sent.subList(from, b.sent.size()).stream()
-                        .map(t -> Bench.number(t.pod()))
+                        .map(t -> PolicyHarness.number(t.pod()))
                         .filter(n -> n % 2 == 0)
                         .toList();
         long onTrial = lit.stream().filter(n -> n >= 30).count();
@@ -371,17 +388,19 @@
 
     @Test
     void podsThatStartAnewInADarkZoneAreUsedAtOnce() {
-        Bench b = Bench.ofMany(0, 14, 6, 4).news(1, 2, News.Phase.RELEASED, 1);
+        PolicyHarness b =
+                PolicyHarness.ofMany(0, 14, 6, 4).news(1, 2, RolloutStatus.Phase.RELEASED, 1);
         fleet(b, 12, 0);
         serveWithout(b, "none", 2000);
         serveWithout(b, "b", 2000);
         int from = b.sent.size();
-        b.policy.listChanged(b.now, List.of(Bench.pod(1, 1, b.now), Bench.pod(3, 1, b.now)));
+        b.policy.listChanged(
+                b.now, List.of(PolicyHarness.pod(1, 1, b.now), PolicyHarness.pod(3, 1, b.now)));
         // They answer nothing yet, so that nothing lights the zone again.
         serveWithout(b, "b", 2000);
         long anew =
                 b.sent.subList(from, b.sent.size()).stream()
-                        .filter(s -> List.of(1, 3).contains(Bench.number(s.pod())))
+                        .filter(s -> List.of(1, 3).contains(PolicyHarness.number(s.pod())))
                         .count();
         assertTrue(anew >= 2, "tries at pods that started anew: " + anew);
     }
@@ -390,20 +409,21 @@
      * A zone is lost for two seconds, so long into a trial, and all is slow after it; nothing is
      * sent back.
      */
-    private static Bench afterLoss(int rank, int calmSeconds, int slowReqs) {
-        Bench b = Bench.ofMany(rank, 14, 6, 4).news(1, 2, News.Phase.RELEASED, 1);
+    private static PolicyHarness afterLoss(int rank, int calmSeconds, int slowReqs) {
+        PolicyHarness b =
+                PolicyHarness.ofMany(rank, 14, 6, 4).news(1, 2, RolloutStatus.Phase.RELEASED, 1);
         serve(b, 8, (p, i) -> usual(i), fleet(b, 30, 0));
-        b.news(2, 1, News.Phase.ON_TRIAL, 0.7);
+        b.news(2, 1, RolloutStatus.Phase.ON_TRIAL, 0.7);
         serve(b, calmSeconds, (p, i) -> usual(i), fleet(b, 30, 30));
         serveWithout(b, "b", 2000);
         serve(b, slowReqs / 50, (p, i) -> 3 * usual(i), fleet(b, 30, 30));
-        assertTrue(b.votes.stream().noneMatch(v -> v.verdict() == Verdict.BACK));
+        assertTrue(b.votes.stream().noneMatch(v -> v.verdict() == RolloutVote.BACK));
         return b;
     }
 
     @Test
     void whatALostZoneSlowsIsNotTheBuildsDoing() {
-        Bench b = afterLoss(voter(1, 0), 20, 700);
+        PolicyHarness b = afterLoss(voter(1, 0), 20, 700);
         assertTrue(b.votes.get(b.votes.size() - 1).atNs() > b.now - 4 * S, "'on' was held");
         // A trial that is young still has the loss weigh more on its side: lateness alone may hold
         // it only.
@@ -415,19 +435,19 @@
      * dead.
      */
     private static long backAfter(int sidecars, int needed, int dead) {
-        News trial = new News(2, 1, News.Phase.ON_TRIAL, 0, 0);
+        RolloutStatus trial = new RolloutStatus(2, 1, RolloutStatus.Phase.ON_TRIAL, 0, 0);
         long[] at =
                 IntStream.range(0, sidecars)
                         .filter(i -> trial.ranked(i, sidecars) >= dead)
                         .mapToLong(
                                 i -> {
-                                    Bench b = Bench.ofMany(i, sidecars, 2, needed);
+                                    PolicyHarness b = PolicyHarness.ofMany(i, sidecars, 2, needed);
                                     fleet(b, 8, 4);
-                                    b.news(1, 2, News.Phase.RELEASED, 1)
-                                            .news(2, 1, News.Phase.ON_TRIAL, 0);
+                                    b.news(1, 2, RolloutStatus.Phase.RELEASED, 1)
+                                            .news(2, 1, RolloutStatus.Phase.ON_TRIAL, 0);
                                     long from = b.now;
                                     while (b.votes.stream()
-                                                    .noneMatch(v -> v.verdict() == Verdict.BACK)
+                                                    .noneMatch(v -> v.verdict() == RolloutVote.BACK)
                                             && b.now < from + 60 * S) {
                                         b.policy.tally(b.now, "get", 1, 100, 0, 100 * MS, S);
                                         b.policy.tally(b.now, "get", 2, 100, 30, 100 * MS, S);
@@ -454,7 +474,7 @@
 
     /** The number of that one of 14 sidecars whose place among the voters this is. */
     private static int voter(int stage, int place) {
-        News trial = new News(2, stage, News.Phase.ON_TRIAL, 1, 0);
+        RolloutStatus trial = new RolloutStatus(2, stage, RolloutStatus.Phase.ON_TRIAL, 1, 0);
         return IntStream.range(0, 14)
                 .filter(i -> trial.ranked(i, 14) == place)
                 .findFirst()
@@ -462,13 +482,15 @@
     }
 
     private static long firstOn(int seen) {
-        Bench b = Bench.ofMany(voter(0, 9), 14, 6, 4).news(1, 2, News.Phase.RELEASED, 1);
+        PolicyHarness b =
+                PolicyHarness.ofMany(voter(0, 9), 14, 6, 4)
+                        .news(1, 2, RolloutStatus.Phase.RELEASED, 1);
         fleet(b, 1, 40);
-        b.news(2, 0, News.Phase.ON_TRIAL, 1);
+        b.news(2, 0, RolloutStatus.Phase.ON_TRIAL, 1);
         long from = b.now;
         for (int i = 0; i < seen; i++) {
             b.req("r" + i, "get", 2 * S);
-            b.end("r" + i, 0, Ending.OK, 50 * MS);
+            b.end("r" + i, 0, TryOutcome.OK, 50 * MS);
         }
         b.pass(30 * S);
         return b.votes.get(0).atNs() - from;
@@ -483,17 +505,19 @@
     @Test
     void whoVotesWithManyNeedsLessProofOfItsOwn() {
         for (int needed : new int[] {2, 6}) {
-            Bench b = Bench.ofMany(voter(2, 0), 14, needed, 4).news(1, 2, News.Phase.RELEASED, 1);
+            PolicyHarness b =
+                    PolicyHarness.ofMany(voter(2, 0), 14, needed, 4)
+                            .news(1, 2, RolloutStatus.Phase.RELEASED, 1);
             fleet(b, 4, 4);
-            b.news(2, 2, News.Phase.ON_TRIAL, 1);
+            b.news(2, 2, RolloutStatus.Phase.ON_TRIAL, 1);
             for (int i = 0; i < 45; i++) {
                 b.req("r" + i, "get", 2 * S);
-                b.end("r" + i, 0, Ending.OK, 50 * MS);
+                b.end("r" + i, 0, TryOutcome.OK, 50 * MS);
             }
             b.pass(8 * S);
             assertEquals(
                     needed == 6,
-                    b.votes.stream().anyMatch(v -> v.verdict() == Verdict.ON),
+                    b.votes.stream().anyMatch(v -> v.verdict() == RolloutVote.ON),
                     "needed " + needed);
         }
     }
@@ -501,16 +525,18 @@
     /** Its reqs' clients wait for two seconds, and no verdict could say so before. */
     @Test
     void trialThatStopsAnsweringGetsLessBeforeAnyTryEnds() {
-        Bench b = Bench.plain(10, false, false, 1).news(1, 2, News.Phase.RELEASED, 1);
+        PolicyHarness b =
+                PolicyHarness.plain(10, false, false, 1)
+                        .news(1, 2, RolloutStatus.Phase.RELEASED, 1);
         fleet(b, 80, 80);
-        b.news(2, 2, News.Phase.ON_TRIAL, 1);
+        b.news(2, 2, RolloutStatus.Phase.ON_TRIAL, 1);
         int[] toTrial = new int[2];
         for (int i = 0; i < 60; i++) {
             b.req("r" + i, "get", 2 * S);
-            if (b.last().rq().equals("r" + i) && Bench.number(b.last().pod()) >= 80) {
+            if (b.last().rq().equals("r" + i) && PolicyHarness.number(b.last().pod()) >= 80) {
                 toTrial[i / 30]++;
             } else if (b.last().rq().equals("r" + i)) {
-                b.end("r" + i, 0, Ending.OK, 20 * MS);
+                b.end("r" + i, 0, TryOutcome.OK, 20 * MS);
             }
             b.pass(100 * MS / 3);
         }
--- a/core/src/test/java/mulleinlever/RecallTest.java
+++ b/core/src/test/java/mulleinlever/PolicyRestoreTest.java
@@ -1,7 +1,7 @@
 package mulleinlever;
 
-import static mulleinlever.Bench.MS;
-import static mulleinlever.Bench.S;
+import static mulleinlever.PolicyHarness.MS;
+import static mulleinlever.PolicyHarness.S;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -13,37 +13,40 @@
 import org.junit.jupiter.api.Test;
 
 /** What one start learned, given to the next. */
-class RecallTest {
-    private static final News OLD = new News(1, 2, News.Phase.RELEASED, 1, 0);
+class PolicyRestoreTest {
+    private static final RolloutStatus OLD =
+            new RolloutStatus(1, 2, RolloutStatus.Phase.RELEASED, 1, 0);
 
-    private static Bench fresh(long seed, PodEntry... pods) {
-        Bench b = Bench.plain(3, false, true, seed);
+    private static PolicyHarness fresh(long seed, PodEntry... pods) {
+        PolicyHarness b = PolicyHarness.plain(3, false, true, seed);
         b.policy.listWhole(b.now, List.of(pods));
         b.policy.news(b.now, OLD);
         return b;
     }
 
     private static PodEntry[] pods(int n) {
-        return IntStream.range(0, n).mapToObj(i -> Bench.pod(i, 1, 0)).toArray(PodEntry[]::new);
+        return IntStream.range(0, n)
+                .mapToObj(i -> PolicyHarness.pod(i, 1, 0))
+                .toArray(PodEntry[]::new);
     }
 
     /**
      * One req after the other; how long each pod takes is told by its number, 0 for one that
      * errors.
      */
-    private static int[] serve(Bench b, int reqs, long... tookMs) {
+    private static int[] serve(PolicyHarness b, int reqs, long... tookMs) {
         int[] at = new int[tookMs.length];
         for (int i = 0; i < reqs; i++) {
             String id = "q" + b.now;
             b.policy.req(b.now, new Req(id, "get", false, false, 2 * S, 0, i, null));
             for (int no = 0; !b.sent.isEmpty() && b.last().rq().equals(id) && no < 2; no++) {
-                int pod = Bench.number(b.last().pod());
+                int pod = PolicyHarness.number(b.last().pod());
                 at[pod]++;
                 b.pass(Math.max(5, tookMs[pod]) * MS);
                 b.end(
                         id,
                         no,
-                        tookMs[pod] > 0 ? Ending.OK : Ending.ERROR,
+                        tookMs[pod] > 0 ? TryOutcome.OK : TryOutcome.ERROR,
                         Math.max(5, tookMs[pod]) * MS);
             }
             b.pass(2 * MS);
@@ -51,26 +54,26 @@
         return at;
     }
 
-    private static List<Learned> learnedBy(Bench b) {
-        List<Learned> all = new ArrayList<>();
+    private static List<LearnedState> learnedBy(PolicyHarness b) {
+        List<LearnedState> all = new ArrayList<>();
         b.policy.learned(b.now).forEachRemaining(all::add);
         return all;
     }
 
-    private static void recall(Bench b, List<Learned> all) {
+    private static void recall(PolicyHarness b, List<LearnedState> all) {
         all.forEach(l -> b.policy.recall(b.now, l));
     }
 
     @Test
     void slowAndFailingPodsGetLittleFromTheFirstReqOn() {
-        Bench before = fresh(1, pods(4));
+        PolicyHarness before = fresh(1, pods(4));
         serve(before, 60, 20, 20, 200, 0);
-        List<Learned> learned = learnedBy(before);
+        List<LearnedState> learned = learnedBy(before);
         int[] cold = new int[4];
         int[] warm = new int[4];
         for (int seed = 2; seed < 60; seed++) {
             int[] c = serve(fresh(seed, pods(4)), 4, 20, 20, 200, 0);
-            Bench b = fresh(seed, pods(4));
+            PolicyHarness b = fresh(seed, pods(4));
             recall(b, learned);
             int[] w = serve(b, 4, 20, 20, 200, 0);
             for (int i = 0; i < 4; i++) {
@@ -84,14 +87,14 @@
 
     @Test
     void oneGoodAnswerForgivesAndAFewOutweigh() {
-        Bench b = fresh(1, pods(2));
+        PolicyHarness b = fresh(1, pods(2));
         recall(
                 b,
                 List.of(
-                        new Learned.OfPod(
-                                Bench.pod(0, 1, 0),
-                                new Learned.Figure(50, 1e6),
-                                new Learned.Figure(1, 1e6),
+                        new LearnedState.PodStats(
+                                PolicyHarness.pod(0, 1, 0),
+                                new LearnedState.WeightedMean(50, 1e6),
+                                new LearnedState.WeightedMean(1, 1e6),
                                 6)));
         b.pass(5 * S);
         // Rested, it gets one try at a time while the other is busy.
@@ -104,20 +107,20 @@
                         .findFirst()
                         .orElseThrow();
         assertEquals(1, b.sent.stream().filter(s -> s.pod().equals("pod0")).count());
-        b.end(b.sent.get(first).rq(), 0, Ending.OK, 20 * MS);
+        b.end(b.sent.get(first).rq(), 0, TryOutcome.OK, 20 * MS);
         for (int i = 0; i < 40; i++) {
             b.req("b" + i, "get", 2 * S);
         }
         assertTrue(b.sent.stream().filter(s -> s.pod().equals("pod0")).count() > 1);
         int[] at = serve(fresh(2, pods(2)), 100, 20, 20);
-        Bench wrong = fresh(2, pods(2));
+        PolicyHarness wrong = fresh(2, pods(2));
         recall(
                 wrong,
                 List.of(
-                        new Learned.OfPod(
-                                Bench.pod(0, 1, 0),
-                                new Learned.Figure(5, 1e6),
-                                new Learned.Figure(1, 1e6),
+                        new LearnedState.PodStats(
+                                PolicyHarness.pod(0, 1, 0),
+                                new LearnedState.WeightedMean(5, 1e6),
+                                new LearnedState.WeightedMean(1, 1e6),
                                 0)));
         serve(wrong, 60, 20, 20);
         int[] then = serve(wrong, 100, 20, 20);
@@ -126,29 +129,29 @@
 
     @Test
     void whatCameBackAsAnotherMachineIsAnotherPod() {
-        Learned.OfPod sick =
-                new Learned.OfPod(
-                        Bench.pod(0, 1, 50 * S),
-                        new Learned.Figure(9, 100),
-                        new Learned.Figure(1, 100),
+        LearnedState.PodStats sick =
+                new LearnedState.PodStats(
+                        PolicyHarness.pod(0, 1, 50 * S),
+                        new LearnedState.WeightedMean(9, 100),
+                        new LearnedState.WeightedMean(1, 100),
                         6);
         for (PodEntry now :
                 List.of(
-                        Bench.pod(0, 1, 51 * S),
-                        Bench.pod(0, 2, 50 * S),
-                        Bench.pod(0, 1, 50 * S))) {
-            Bench b = fresh(1, now);
-            b.policy.news(b.now, new News(2, 2, News.Phase.RELEASED, 1, 0));
+                        PolicyHarness.pod(0, 1, 51 * S),
+                        PolicyHarness.pod(0, 2, 50 * S),
+                        PolicyHarness.pod(0, 1, 50 * S))) {
+            PolicyHarness b = fresh(1, now);
+            b.policy.news(b.now, new RolloutStatus(2, 2, RolloutStatus.Phase.RELEASED, 1, 0));
             recall(
                     b,
                     List.of(
                             sick,
-                            new Learned.OfPod(
-                                    Bench.pod(7, 1, 0), sick.slowness(), sick.late(), 6)));
-            Learned.OfPod got =
+                            new LearnedState.PodStats(
+                                    PolicyHarness.pod(7, 1, 0), sick.slowness(), sick.late(), 6)));
+            LearnedState.PodStats got =
                     learnedBy(b).stream()
-                            .filter(Learned.OfPod.class::isInstance)
-                            .map(Learned.OfPod.class::cast)
+                            .filter(LearnedState.PodStats.class::isInstance)
+                            .map(LearnedState.PodStats.class::cast)
                             .findAny()
                             .orElseThrow();
             boolean same = now.equals(sick.is());
@@ -159,34 +162,40 @@
 
     @Test
     void aKeyDoesNotGoBackOverARestart() {
-        Bench before = fresh(1, Bench.pod(0, 1, 0), Bench.pod(1, 2, 0));
-        before.policy.news(before.now, new News(2, 2, News.Phase.RELEASED, 1, 0));
-        before.policy.listWhole(before.now, List.of(Bench.pod(1, 2, 0)));
+        PolicyHarness before = fresh(1, PolicyHarness.pod(0, 1, 0), PolicyHarness.pod(1, 2, 0));
+        before.policy.news(before.now, new RolloutStatus(2, 2, RolloutStatus.Phase.RELEASED, 1, 0));
+        before.policy.listWhole(before.now, List.of(PolicyHarness.pod(1, 2, 0)));
         before.policy.req(before.now, new Req("a", "get", false, false, S, 0, 7, null));
-        before.end("a", 0, Ending.OK, 20 * MS);
-        Bench after = fresh(2, Bench.pod(0, 1, 0));
-        after.policy.news(after.now, new News(2, 2, News.Phase.RELEASED, 1, 0));
+        before.end("a", 0, TryOutcome.OK, 20 * MS);
+        PolicyHarness after = fresh(2, PolicyHarness.pod(0, 1, 0));
+        after.policy.news(after.now, new RolloutStatus(2, 2, RolloutStatus.Phase.RELEASED, 1, 0));
         recall(after, learnedBy(before));
         after.policy.req(after.now, new Req("c", "get", false, false, S, 0, 8, null));
         after.policy.req(after.now, new Req("b", "get", false, false, S, 0, 7, null));
-        assertEquals(List.of("c"), after.sent.stream().map(Bench.Sent::rq).toList());
+        assertEquals(List.of("c"), after.sent.stream().map(PolicyHarness.SentTry::rq).toList());
     }
 
     @Test
     void baselineAndMarkOfAnotherBuildAreLeftOut() {
-        Learned.OfBaseline base = new Learned.OfBaseline(1, "", false, 0.3, 0.1, 50);
-        Learned.OfRoute route =
-                new Learned.OfRoute(
-                        "get", 1, new Learned.Figure(30 * MS, 50), new Learned.Figure(30 * MS, 50));
+        LearnedState.DetectorBaseline base =
+                new LearnedState.DetectorBaseline(1, "", false, 0.3, 0.1, 50);
+        LearnedState.RouteStats route =
+                new LearnedState.RouteStats(
+                        "get",
+                        1,
+                        new LearnedState.WeightedMean(30 * MS, 50),
+                        new LearnedState.WeightedMean(30 * MS, 50));
         for (int build : new int[] {1, 2, 3}) {
             // Build 1 is the newest, or the one that the trial is held against, or gone.
-            Bench b = fresh(1, Bench.pod(0, build < 3 ? 1 : 2, 0));
+            PolicyHarness b = fresh(1, PolicyHarness.pod(0, build < 3 ? 1 : 2, 0));
             b.policy.news(
                     b.now,
-                    new News(
+                    new RolloutStatus(
                             build,
                             1,
-                            build == 1 ? News.Phase.RELEASED : News.Phase.ON_TRIAL,
+                            build == 1
+                                    ? RolloutStatus.Phase.RELEASED
+                                    : RolloutStatus.Phase.ON_TRIAL,
                             0.5,
                             0));
             recall(
@@ -194,22 +203,22 @@
                     List.of(
                             base,
                             route,
-                            new Learned.OfRoute("other", 1, route.times(), route.usual()),
-                            new Learned.OfBaseline(1, "other", true, 1, 1, 1)));
+                            new LearnedState.RouteStats("other", 1, route.times(), route.usual()),
+                            new LearnedState.DetectorBaseline(1, "other", true, 1, 1, 1)));
             double mean =
                     learnedBy(b).stream()
                             .filter(
                                     l ->
-                                            l instanceof Learned.OfBaseline o
+                                            l instanceof LearnedState.DetectorBaseline o
                                                     && o.route().isEmpty()
                                                     && !o.ofLate())
-                            .mapToDouble(l -> ((Learned.OfBaseline) l).mean())
+                            .mapToDouble(l -> ((LearnedState.DetectorBaseline) l).mean())
                             .sum();
             assertEquals(build < 3 ? 0.3 : 0, mean, 1e-9);
             double usual =
                     learnedBy(b).stream()
-                            .filter(Learned.OfRoute.class::isInstance)
-                            .mapToDouble(l -> ((Learned.OfRoute) l).usual().weight())
+                            .filter(LearnedState.RouteStats.class::isInstance)
+                            .mapToDouble(l -> ((LearnedState.RouteStats) l).usual().weight())
                             .sum();
             assertEquals(build < 3 ? 4 : 0, usual, 1e-9);
         }
@@ -217,12 +226,12 @@
 
     @Test
     void givenOutInPiecesWhileTheListChanges() {
-        Bench b = fresh(1, pods(50));
-        Iterator<Learned> pieces = b.policy.learned(b.now);
+        PolicyHarness b = fresh(1, pods(50));
+        Iterator<LearnedState> pieces = b.policy.learned(b.now);
         int n = 0;
         while (pieces.hasNext()) {
             pieces.next();
-            b.policy.listChanged(b.now, List.of(Bench.pod(100 + n++, 1, 0)));
+            b.policy.listChanged(b.now, List.of(PolicyHarness.pod(100 + n++, 1, 0)));
         }
         assertTrue(n >= 50);
         assertFalse(learnedBy(b).isEmpty());
@@ -232,14 +241,14 @@
     void firstTriesAtASickPodDoNotMeet() {
         int atOnce = 0;
         for (int seed = 0; seed < 200; seed++) {
-            Bench b = fresh(seed, pods(4));
+            PolicyHarness b = fresh(seed, pods(4));
             recall(
                     b,
                     List.of(
-                            new Learned.OfPod(
-                                    Bench.pod(0, 1, 0),
-                                    new Learned.Figure(1, 4),
-                                    new Learned.Figure(0, 4),
+                            new LearnedState.PodStats(
+                                    PolicyHarness.pod(0, 1, 0),
+                                    new LearnedState.WeightedMean(1, 4),
+                                    new LearnedState.WeightedMean(0, 4),
                                     6)));
             b.pass(400 * MS);
             serve(b, 1, 20, 20, 20, 20);
--- a/core/src/test/java/mulleinlever/RulesTest.java
+++ b/core/src/test/java/mulleinlever/PolicyRulesModelTest.java
@@ -1,7 +1,7 @@
 package mulleinlever;
 
-import static mulleinlever.Bench.MS;
-import static mulleinlever.Bench.S;
+import static mulleinlever.PolicyHarness.MS;
+import static mulleinlever.PolicyHarness.S;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -11,39 +11,39 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 import java.util.stream.IntStream;
-import mulleinlever.Settings.Control;
-import mulleinlever.Settings.Repeat;
-import mulleinlever.Settings.Scope;
+import mulleinlever.Settings.DedupScope;
+import mulleinlever.Settings.RetrySafety;
+import mulleinlever.Settings.VoteControl;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
  * A slow, plain model of the five rules beside the module on generated days, by whole histories.
  */
-class RulesTest {
-    private record Out(String rq, int no, int build, long dueNs) {}
+class PolicyRulesModelTest {
+    private record OpenTry(String rq, int no, int build, long dueNs) {}
 
-    private record Exposed(long atNs, int build, String route) {}
+    private record ExposedTry(long atNs, int build, String route) {}
 
-    private record Told(long atNs, double cap) {}
+    private record CapChange(long atNs, double cap) {}
 
     private final Map<String, PodEntry> list = new HashMap<>();
     private final Map<String, Long> goneSince = new HashMap<>();
     private final Map<String, Req> taken = new HashMap<>();
     private final Map<String, Long> takenAt = new HashMap<>();
-    private final Map<String, List<Bench.Sent>> tries = new HashMap<>();
-    private final Map<String, List<Ending>> endings = new HashMap<>();
+    private final Map<String, List<PolicyHarness.SentTry>> tries = new HashMap<>();
+    private final Map<String, List<TryOutcome>> endings = new HashMap<>();
     private final Map<String, String> done = new HashMap<>();
     private final Map<String, List<Long>> toCold = new HashMap<>();
     private final Map<String, List<Long>> toWarm = new HashMap<>();
     private long mostToWarm;
     private final Map<Long, Integer> keyAt = new HashMap<>();
-    private final List<Exposed> exposed = new ArrayList<>();
-    private News news = new News(1, 2, News.Phase.RELEASED, 1, 0);
-    private final List<Told> caps = new ArrayList<>();
-    private final List<Out> outs = new ArrayList<>();
+    private final List<ExposedTry> exposed = new ArrayList<>();
+    private RolloutStatus news = new RolloutStatus(1, 2, RolloutStatus.Phase.RELEASED, 1, 0);
+    private final List<CapChange> caps = new ArrayList<>();
+    private final List<OpenTry> outs = new ArrayList<>();
     private Settings set;
-    private Bench bench;
+    private PolicyHarness bench;
     private int seen;
 
     @ParameterizedTest
@@ -53,22 +53,24 @@
             })
     void moduleKeepsTheRules(long seed) {
         SplittableRandom random = new SplittableRandom(seed);
-        Scope scope = Scope.values()[random.nextInt(3)];
+        DedupScope scope = DedupScope.values()[random.nextInt(3)];
         set =
-                Bench.settings(
-                        Control.values()[random.nextInt(3)],
+                PolicyHarness.settings(
+                        VoteControl.values()[random.nextInt(3)],
                         random.nextBoolean(),
                         random.nextInt(2),
                         random.nextBoolean(),
                         random.nextBoolean(),
                         List.of(
-                                Bench.route("r", Repeat.RETRIABLE, Scope.ALL),
-                                Bench.route("d", Repeat.DEDUPED, scope),
-                                Bench.route("n", Repeat.NON_RETRIABLE, Scope.ALL)),
+                                PolicyHarness.route("r", RetrySafety.RETRIABLE, DedupScope.ALL),
+                                PolicyHarness.route("d", RetrySafety.DEDUPED, scope),
+                                PolicyHarness.route(
+                                        "n", RetrySafety.NON_RETRIABLE, DedupScope.ALL)),
                         seed % 2 == 0 ? 3 : 200,
                         seed % 3 == 0);
-        bench = Bench.start(set, seed);
-        List<PodEntry> first = IntStream.range(0, 8).mapToObj(i -> Bench.pod(i, 1, 0)).toList();
+        bench = PolicyHarness.start(set, seed);
+        List<PodEntry> first =
+                IntStream.range(0, 8).mapToObj(i -> PolicyHarness.pod(i, 1, 0)).toList();
         bench.policy.listWhole(bench.now, first);
         first.forEach(this::entry);
         tell(news);
@@ -89,33 +91,35 @@
     }
 
     /** Whatever was remembered, true or not, the rules hold as they do for a cold start. */
-    private List<Learned> remembered(SplittableRandom random) {
-        List<Learned> all = new ArrayList<>();
+    private List<LearnedState> remembered(SplittableRandom random) {
+        List<LearnedState> all = new ArrayList<>();
         for (int i = 0; i < 40; i++) {
-            Learned.Figure f = new Learned.Figure(random.nextDouble() * 5, random.nextInt(1_000));
-            Learned.Figure ns =
-                    new Learned.Figure(random.nextInt(3_000) * MS, random.nextInt(1_000));
+            LearnedState.WeightedMean f =
+                    new LearnedState.WeightedMean(random.nextDouble() * 5, random.nextInt(1_000));
+            LearnedState.WeightedMean ns =
+                    new LearnedState.WeightedMean(
+                            random.nextInt(3_000) * MS, random.nextInt(1_000));
             int build = random.nextInt(4);
             String route = List.of("r", "d", "n", "", "other").get(random.nextInt(5));
             all.add(
                     switch (random.nextInt(5)) {
-                        case 0 -> new Learned.OfLinks(f, f);
+                        case 0 -> new LearnedState.ConnectionStats(f, f);
                         case 1 ->
-                                new Learned.OfPod(
-                                        Bench.pod(random.nextInt(10), build, 0),
+                                new LearnedState.PodStats(
+                                        PolicyHarness.pod(random.nextInt(10), build, 0),
                                         f,
                                         f,
                                         random.nextInt(9));
-                        case 2 -> new Learned.OfRoute(route, build, ns, ns);
+                        case 2 -> new LearnedState.RouteStats(route, build, ns, ns);
                         case 3 ->
-                                new Learned.OfBaseline(
+                                new LearnedState.DetectorBaseline(
                                         build,
                                         route,
                                         random.nextBoolean(),
                                         f.mean() / 5,
                                         f.mean() / 9,
                                         50);
-                        default -> new Learned.OfKey(random.nextInt(60), build);
+                        default -> new LearnedState.KeyBuild(random.nextInt(60), build);
                     });
         }
         return all;
@@ -124,11 +128,11 @@
     private void time() {
         bench.pass(5 * MS);
         check();
-        for (Out o : List.copyOf(outs)) {
+        for (OpenTry o : List.copyOf(outs)) {
             if (bench.now >= o.dueNs) {
                 outs.remove(o);
                 bench.policy.tryEnded(
-                        bench.now, o.rq, o.no, Ending.TIMEOUT, 2 * S, done.containsKey(o.rq));
+                        bench.now, o.rq, o.no, TryOutcome.TIMEOUT, 2 * S, done.containsKey(o.rq));
                 check();
             }
         }
@@ -154,11 +158,12 @@
             check();
         }
         while (!outs.isEmpty() && (random.nextInt(4) > 0 || outs.size() > 40)) {
-            Out o = outs.remove(random.nextInt(outs.size()));
-            Ending ending = random.nextInt(10) > 2 ? Ending.OK : Ending.values()[random.nextInt(6)];
+            OpenTry o = outs.remove(random.nextInt(outs.size()));
+            TryOutcome ending =
+                    random.nextInt(10) > 2 ? TryOutcome.OK : TryOutcome.values()[random.nextInt(6)];
             endings.get(o.rq).set(o.no, ending);
-            boolean complete = ending == Ending.OK || done.containsKey(o.rq);
-            if (ending == Ending.OK && !done.containsKey(o.rq)) {
+            boolean complete = ending == TryOutcome.OK || done.containsKey(o.rq);
+            if (ending == TryOutcome.OK && !done.containsKey(o.rq)) {
                 done.put(o.rq, "ok");
                 keyAt.merge(taken.get(o.rq).key(), o.build, Math::max);
             }
@@ -200,7 +205,7 @@
     private void pods(SplittableRandom random) {
         int i = random.nextInt(14);
         PodEntry e =
-                Bench.pod(
+                PolicyHarness.pod(
                         i,
                         i < 8 ? 1 : news.build() + random.nextInt(2),
                         bench.now - random.nextInt(6_000) * MS);
@@ -223,14 +228,14 @@
     }
 
     private void rollout(SplittableRandom random) {
-        News.Phase phase = News.Phase.values()[random.nextInt(3)];
+        RolloutStatus.Phase phase = RolloutStatus.Phase.values()[random.nextInt(3)];
         int build =
-                news.phase() == News.Phase.ON_TRIAL || random.nextBoolean()
+                news.phase() == RolloutStatus.Phase.ON_TRIAL || random.nextBoolean()
                         ? news.build()
                         : news.build() + 1;
         int stage = random.nextInt(3);
-        double cap = phase == News.Phase.REVERTING ? 0 : set.rollout().caps().get(stage);
-        tell(new News(Math.max(2, build), stage, phase, cap, 0));
+        double cap = phase == RolloutStatus.Phase.REVERTING ? 0 : set.rollout().caps().get(stage);
+        tell(new RolloutStatus(Math.max(2, build), stage, phase, cap, 0));
     }
 
     private void entry(PodEntry e) {
@@ -245,12 +250,12 @@
         }
     }
 
-    private void tell(News n) {
+    private void tell(RolloutStatus n) {
         if (n.build() != news.build()) {
             caps.clear();
         }
         news = n;
-        caps.add(new Told(bench.now, n.cap()));
+        caps.add(new CapChange(bench.now, n.cap()));
         bench.policy.news(bench.now, n);
     }
 
@@ -259,15 +264,15 @@
                 (id, what) -> {
                     if (!done.containsKey(id)) {
                         done.put(id, what);
-                        Repeat repeat = repeatOf(id);
-                        List<Ending> ended = endings.getOrDefault(id, List.of());
+                        RetrySafety repeat = repeatOf(id);
+                        List<TryOutcome> ended = endings.getOrDefault(id, List.of());
                         boolean mayHaveRun = ended.stream().anyMatch(e -> !e.neverRan());
                         long due = takenAt.get(id) + taken.get(id).expiresInNs();
                         assertTrue(bench.now <= due + 20 * MS, "answered late");
                         boolean harmless =
-                                repeat == Repeat.RETRIABLE
-                                        || repeat == Repeat.DEDUPED
-                                                && set.routes().get(1).scope() == Scope.ALL;
+                                repeat == RetrySafety.RETRIABLE
+                                        || repeat == RetrySafety.DEDUPED
+                                                && set.routes().get(1).scope() == DedupScope.ALL;
                         assertTrue(
                                 !what.equals("shed") || !mayHaveRun || harmless,
                                 "shed may have run");
@@ -278,7 +283,7 @@
         }
     }
 
-    private Repeat repeatOf(String id) {
+    private RetrySafety repeatOf(String id) {
         return set.routes().stream()
                 .filter(r -> r.name().equals(taken.get(id).route()))
                 .findFirst()
@@ -286,7 +291,7 @@
                 .repeat();
     }
 
-    private void sent(Bench.Sent s) {
+    private void sent(PolicyHarness.SentTry s) {
         PodEntry pod = list.get(s.pod());
         Req rq = taken.get(s.rq());
         assertFalse(done.containsKey(s.rq()), "sent after the answer");
@@ -307,13 +312,13 @@
             mostToWarm = Math.max(mostToWarm, warm.stream().filter(t -> t > s.atNs() - S).count());
         }
         tries.computeIfAbsent(s.rq(), k -> new ArrayList<>()).add(s);
-        endings.computeIfAbsent(s.rq(), k -> new ArrayList<>()).add(Ending.TIMEOUT);
+        endings.computeIfAbsent(s.rq(), k -> new ArrayList<>()).add(TryOutcome.TIMEOUT);
         long due = Math.min(s.atNs() + s.limitNs(), takenAt.get(s.rq()) + rq.expiresInNs());
-        outs.add(new Out(s.rq(), endings.get(s.rq()).size() - 1, pod.build(), due));
+        outs.add(new OpenTry(s.rq(), endings.get(s.rq()).size() - 1, pod.build(), due));
     }
 
-    private void repeats(Bench.Sent s, PodEntry pod) {
-        List<Bench.Sent> before = tries.getOrDefault(s.rq(), List.of());
+    private void repeats(PolicyHarness.SentTry s, PodEntry pod) {
+        List<PolicyHarness.SentTry> before = tries.getOrDefault(s.rq(), List.of());
         assertTrue(before.size() < set.limits().maxTries(), "too many tries");
         long out = outs.stream().filter(o -> o.rq.equals(s.rq())).count();
         assertTrue(out < (set.limits().secondCopies() ? 2 : 1), "too many tries out at once");
@@ -321,14 +326,14 @@
             if (endings.get(s.rq()).get(i).neverRan()) {
                 continue;
             }
-            assertTrue(repeatOf(s.rq()) != Repeat.NON_RETRIABLE, "ran twice");
-            if (repeatOf(s.rq()) == Repeat.DEDUPED) {
+            assertTrue(repeatOf(s.rq()) != RetrySafety.NON_RETRIABLE, "ran twice");
+            if (repeatOf(s.rq()) == RetrySafety.DEDUPED) {
                 PodEntry ran = list.get(before.get(i).pod());
-                Scope scope = set.routes().get(1).scope();
+                DedupScope scope = set.routes().get(1).scope();
                 assertTrue(
-                        scope == Scope.ALL
-                                || scope == Scope.ZONE && ran.zone().equals(pod.zone())
-                                || scope == Scope.CELL && ran.cell() == pod.cell(),
+                        scope == DedupScope.ALL
+                                || scope == DedupScope.ZONE && ran.zone().equals(pod.zone())
+                                || scope == DedupScope.CELL && ran.cell() == pod.cell(),
                         "sent outside its group");
                 assertTrue(
                         s.atNs() < before.get(i).atNs() + set.routes().get(1).dedupNs(),
@@ -338,13 +343,16 @@
         }
     }
 
-    private void exposure(Bench.Sent s, PodEntry pod, Req rq) {
-        boolean stands = news.phase() == News.Phase.ON_TRIAL || news.phase() == News.Phase.RELEASED;
+    private void exposure(PolicyHarness.SentTry s, PodEntry pod, Req rq) {
+        boolean stands =
+                news.phase() == RolloutStatus.Phase.ON_TRIAL
+                        || news.phase() == RolloutStatus.Phase.RELEASED;
         if (set.rollout().oneWay() && stands) {
             assertTrue(pod.build() >= keyAt.getOrDefault(rq.key(), 0), "a key went back");
         }
         boolean announced = pod.build() == news.build();
-        if (pod.build() < news.build() || announced && news.phase() == News.Phase.RELEASED) {
+        if (pod.build() < news.build()
+                || announced && news.phase() == RolloutStatus.Phase.RELEASED) {
             return;
         }
         double cap = announced ? news.cap() : set.rollout().caps().get(0);
@@ -353,11 +361,11 @@
         assertTrue(
                 stage >= set.rollout().shieldedStages() || rq.route().equals("r"),
                 "sent through the shield");
-        exposed.add(new Exposed(s.atNs(), pod.build(), rq.route()));
+        exposed.add(new ExposedTry(s.atNs(), pod.build(), rq.route()));
         // Each window that ends here, since the last change of the cap and no longer than the
         // rule's.
         long since = announced ? caps.get(caps.size() - 1).atNs() : 0;
-        for (Exposed from : exposed) {
+        for (ExposedTry from : exposed) {
             long start = from.atNs();
             if (start < Math.max(since, s.atNs() - 3 * S) || from.build() != pod.build()) {
                 continue;
--- a/disk/src/main/java/mulleinlever/disk/Disk.java
+++ b/disk/src/main/java/mulleinlever/disk/Directory.java
@@ -7,12 +7,13 @@
 
 /**
  * One folder, as far as those need it that keep something there. What was written is sure to
- * outlast a crash only after {@link Out#force}, and a file's name only after {@link #force}. Any
- * call may fail or take for ever: none is made on an event loop. Names are plain, without a path.
+ * outlast a crash only after {@link FileOutput#force}, and a file's name only after {@link #force}.
+ * Any call may fail or take for ever: none is made on an event loop. Names are plain, without a
+ * path.
  */
-public interface Disk {
+public interface Directory {
     /** A file being written. */
-    interface Out extends Closeable {
+    interface FileOutput extends Closeable {
         /** Writes all of the buffer's remaining bytes behind those written before. */
         void write(ByteBuffer bytes) throws IOException;
 
@@ -26,13 +27,14 @@
     /**
      * A file's bytes.
      *
-     * @throws TooLong where there are more than {@code most}; nothing is allocated for them
+     * @throws FileTooLargeException where there are more than {@code most}; nothing is allocated
+     *     for them
      * @throws java.nio.file.NoSuchFileException where there is no such file
      */
     byte[] read(String name, long most) throws IOException;
 
     /** A new and empty file, in place of any of that name. */
-    Out create(String name) throws IOException;
+    FileOutput create(String name) throws IOException;
 
     /** Gives a file another name, in one step, in place of any that has it. */
     void rename(String from, String to) throws IOException;
@@ -50,10 +52,10 @@
     Closeable lock(String name) throws IOException;
 
     /** A file that is longer than its reader takes. */
-    final class TooLong extends IOException {
+    final class FileTooLargeException extends IOException {
         private static final long serialVersionUID = 1L;
 
-        public TooLong(String name, long size, long most) {
+        public FileTooLargeException(String name, long size, long most) {
             super(name + " has " + size + " bytes, more than " + most);
         }
     }
--- a/disk/src/main/java/mulleinlever/disk/FaultyDisk.java
+++ b/disk/src/main/java/mulleinlever/disk/FaultInjectingDirectory.java
@@ -18,9 +18,9 @@
  * each change of a name does so or not by chance, in any combination, and a write perhaps in part
  * only.
  */
-public final class FaultyDisk implements Disk {
+public final class FaultInjectingDirectory implements Directory {
     /** What befalls a call. */
-    public enum Trouble {
+    public enum Fault {
         FAILS,
         IS_FULL,
         TEARS,
@@ -28,10 +28,10 @@
     }
 
     /** The process ended within a call; nothing of it goes on. */
-    public static final class Crash extends Error {
+    public static final class SimulatedCrashError extends Error {
         private static final long serialVersionUID = 1L;
 
-        Crash() {
+        SimulatedCrashError() {
             super("the process ends here", null, false, false);
         }
     }
@@ -55,13 +55,13 @@
     private final TreeMap<String, Content> forcedNames = new TreeMap<>();
     private final List<Naming> namings = new ArrayList<>();
     private final List<String> locked = new ArrayList<>();
-    private Trouble trouble;
+    private Fault trouble;
     private int troubleAt = -1;
     private int calls;
     private boolean crashed;
     private CountDownLatch hung;
 
-    public FaultyDisk(long seed) {
+    public FaultInjectingDirectory(long seed) {
         this.random = new SplittableRandom(seed);
     }
 
@@ -69,7 +69,7 @@
      * Lets trouble befall the call of that number, counted from 0 over all calls that touch the
      * disk.
      */
-    public synchronized void trouble(Trouble what, int atCall) {
+    public synchronized void trouble(Fault what, int atCall) {
         trouble = what;
         troubleAt = atCall;
     }
@@ -95,8 +95,8 @@
     }
 
     /** What another start finds after a crash now: this disk is not changed by it. */
-    public synchronized FaultyDisk afterCrash(long seed) {
-        FaultyDisk next = new FaultyDisk(seed);
+    public synchronized FaultInjectingDirectory afterCrash(long seed) {
+        FaultInjectingDirectory next = new FaultInjectingDirectory(seed);
         TreeMap<String, Content> left = new TreeMap<>(forcedNames);
         for (Naming n : namings) {
             if (next.random.nextBoolean()) {
@@ -163,7 +163,7 @@
         }
         synchronized (this) {
             if (crashed) {
-                throw new Crash();
+                throw new SimulatedCrashError();
             }
             if (calls++ != troubleAt) {
                 return false;
@@ -185,7 +185,7 @@
     /** A call in which the process ends may have done its work, but for a force. */
     private synchronized void mayEndHere() {
         if (crashed) {
-            throw new Crash();
+            throw new SimulatedCrashError();
         }
     }
 
@@ -208,7 +208,7 @@
                 throw new NoSuchFileException(name);
             }
             if (c.now.size() > most) {
-                throw new TooLong(name, c.now.size(), most);
+                throw new FileTooLargeException(name, c.now.size(), most);
             }
             return c.now.toByteArray();
         }
@@ -224,18 +224,18 @@
     }
 
     @Override
-    public Out create(String name) throws IOException {
+    public FileOutput create(String name) throws IOException {
         touch(name);
         Content c = new Content();
         synchronized (this) {
             change(new Naming(null, name, c));
         }
         mayEndHere();
-        return new Out() {
+        return new FileOutput() {
             @Override
             public void write(ByteBuffer bytes) throws IOException {
                 boolean torn = touch(name);
-                synchronized (FaultyDisk.this) {
+                synchronized (FaultInjectingDirectory.this) {
                     byte[] all = new byte[torn ? bytes.remaining() / 2 : bytes.remaining()];
                     bytes.get(all);
                     c.writes.add(c.now.size());
@@ -251,7 +251,7 @@
             public void force() throws IOException {
                 touch(name);
                 mayEndHere();
-                synchronized (FaultyDisk.this) {
+                synchronized (FaultInjectingDirectory.this) {
                     c.forced = c.now.toByteArray();
                     c.writes.clear();
                 }
--- a/disk/src/main/java/mulleinlever/disk/FolderDisk.java
+++ b/disk/src/main/java/mulleinlever/disk/FileSystemDirectory.java
@@ -17,10 +17,10 @@
 import java.util.List;
 
 /** A folder of the file system. */
-public final class FolderDisk implements Disk {
+public final class FileSystemDirectory implements Directory {
     private final Path folder;
 
-    public FolderDisk(Path folder) {
+    public FileSystemDirectory(Path folder) {
         this.folder = folder;
     }
 
@@ -44,7 +44,7 @@
         try (FileChannel in = FileChannel.open(folder.resolve(name), StandardOpenOption.READ)) {
             long size = in.size();
             if (size > most) {
-                throw new TooLong(name, size, most);
+                throw new FileTooLargeException(name, size, most);
             }
             ByteBuffer all = ByteBuffer.allocate((int) size);
             while (all.hasRemaining()) {
@@ -57,14 +57,14 @@
     }
 
     @Override
-    public Out create(String name) throws IOException {
+    public FileOutput create(String name) throws IOException {
         FileChannel to =
                 FileChannel.open(
                         folder.resolve(name),
                         StandardOpenOption.CREATE,
                         StandardOpenOption.WRITE,
                         StandardOpenOption.TRUNCATE_EXISTING);
-        return new Out() {
+        return new FileOutput() {
             @Override
             public void write(ByteBuffer bytes) throws IOException {
                 while (bytes.hasRemaining()) {
--- a/disk/src/test/java/mulleinlever/disk/DiskTest.java
+++ b/disk/src/test/java/mulleinlever/disk/DirectoryTest.java
@@ -19,19 +19,19 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-class DiskTest {
+class DirectoryTest {
     @TempDir Path folder;
 
     private static ByteBuffer bytes(String text) {
         return ByteBuffer.wrap(text.getBytes(StandardCharsets.US_ASCII));
     }
 
-    private static String text(Disk d, String name) throws IOException {
+    private static String text(Directory d, String name) throws IOException {
         return new String(d.read(name, 1000), StandardCharsets.US_ASCII);
     }
 
-    private static void write(Disk d, String name, String... parts) throws IOException {
-        try (Disk.Out out = d.create(name)) {
+    private static void write(Directory d, String name, String... parts) throws IOException {
+        try (Directory.FileOutput out = d.create(name)) {
             for (String p : parts) {
                 out.write(bytes(p));
             }
@@ -42,10 +42,10 @@
     /** The folder and the one in memory agree on what calls do. */
     @Test
     void bothDoTheSame() throws IOException {
-        FolderDisk real = new FolderDisk(folder.resolve("a/b"));
+        FileSystemDirectory real = new FileSystemDirectory(folder.resolve("a/b"));
         assertThrows(NoSuchFileException.class, real::list);
         real.make();
-        for (Disk d : List.of(real, new FaultyDisk(1))) {
+        for (Directory d : List.of(real, new FaultInjectingDirectory(1))) {
             write(d, "b", "one", "two");
             write(d, "a", "x");
             assertEquals(List.of("a", "b"), d.list());
@@ -55,7 +55,7 @@
             write(d, "a", "short");
             assertEquals("short", text(d, "a"));
             d.force();
-            assertThrows(Disk.TooLong.class, () -> d.read("a", 4));
+            assertThrows(Directory.FileTooLargeException.class, () -> d.read("a", 4));
             assertThrows(NoSuchFileException.class, () -> d.read("b", 4));
             assertThrows(NoSuchFileException.class, () -> d.rename("b", "c"));
             d.delete("a");
@@ -73,8 +73,8 @@
     void forcedOutlastsACrashAndTheRestMayOrMayNot() throws IOException {
         Set<String> seen = new HashSet<>();
         for (int seed = 0; seed < 200; seed++) {
-            FaultyDisk d = new FaultyDisk(seed);
-            Disk.Out kept = d.create("kept");
+            FaultInjectingDirectory d = new FaultInjectingDirectory(seed);
+            Directory.FileOutput kept = d.create("kept");
             kept.write(bytes("sure"));
             kept.force();
             d.force();
@@ -82,7 +82,7 @@
             kept.write(bytes("CD"));
             write(d, "tmp", "new");
             d.rename("tmp", "new");
-            FaultyDisk after = d.afterCrash(seed);
+            FaultInjectingDirectory after = d.afterCrash(seed);
             String left = text(after, "kept");
             assertTrue(left.startsWith("sure"), left);
             seen.add(
@@ -109,8 +109,8 @@
     @Test
     void troubleComesWhereItWasAskedFor() throws IOException {
         for (int call = 0; call < 5; call++) {
-            FaultyDisk d = new FaultyDisk(1);
-            d.trouble(FaultyDisk.Trouble.FAILS, call);
+            FaultInjectingDirectory d = new FaultInjectingDirectory(1);
+            d.trouble(FaultInjectingDirectory.Fault.FAILS, call);
             assertThrows(
                     IOException.class,
                     () -> {
@@ -118,13 +118,13 @@
                         d.list();
                     });
         }
-        FaultyDisk torn = new FaultyDisk(1);
-        torn.trouble(FaultyDisk.Trouble.TEARS, 1);
+        FaultInjectingDirectory torn = new FaultInjectingDirectory(1);
+        torn.trouble(FaultInjectingDirectory.Fault.TEARS, 1);
         assertThrows(IOException.class, () -> write(torn, "a", "1234"));
         assertArrayEquals("12".getBytes(StandardCharsets.US_ASCII), torn.read("a", 9));
-        FaultyDisk dead = new FaultyDisk(1);
-        dead.trouble(FaultyDisk.Trouble.CRASHES, 0);
-        assertThrows(FaultyDisk.Crash.class, () -> dead.create("a"));
-        assertThrows(FaultyDisk.Crash.class, dead::list);
+        FaultInjectingDirectory dead = new FaultInjectingDirectory(1);
+        dead.trouble(FaultInjectingDirectory.Fault.CRASHES, 0);
+        assertThrows(FaultInjectingDirectory.SimulatedCrashError.class, () -> dead.create("a"));
+        assertThrows(FaultInjectingDirectory.SimulatedCrashError.class, dead::list);
     }
 }
--- a/drill/src/main/java/mulleinlever/drill/Drill.java
+++ b/drill/src/main/java/mulleinlever/drill/DrillSession.java
@@ -10,19 +10,19 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import mulleinlever.Ending;
-import mulleinlever.News;
 import mulleinlever.PodEntry;
 import mulleinlever.Policy;
 import mulleinlever.Req;
-import mulleinlever.settings.SettingsFields;
+import mulleinlever.RolloutStatus;
+import mulleinlever.TryOutcome;
+import mulleinlever.settings.SettingsReader;
 
 /**
  * The bench's wire: what is read becomes calls on the sidecars' policies, their answers become
  * messages.
  */
-public final class Drill {
-    private static final News.Phase[] PHASES = News.Phase.values();
+public final class DrillSession {
+    private static final RolloutStatus.Phase[] PHASES = RolloutStatus.Phase.values();
 
     private final BufferedReader in;
     private final PrintStream out;
@@ -34,19 +34,19 @@
     private String speaker;
     private String about;
 
-    public Drill(InputStream in, PrintStream out) {
+    public DrillSession(InputStream in, PrintStream out) {
         this.in = new BufferedReader(new InputStreamReader(in, StandardCharsets.UTF_8), 1 << 16);
         this.out = out;
     }
 
     /** Serves batches until the input ends between two of them. */
     public void run() throws IOException {
-        for (Line l = next(); l != null; l = next()) {
+        for (WireLine l = next(); l != null; l = next()) {
             if (l.message.isEmpty()) {
                 continue;
             }
             if (!l.message.equals("TICK")) {
-                throw new BadInput(l.no, "expected TICK, found " + l.message);
+                throw new DrillInputException(l.no, "expected TICK, found " + l.message);
             }
             now = l.whole("timeNs");
             String frame = l.text("frame");
@@ -71,21 +71,21 @@
         return reply;
     }
 
-    private Line next() throws IOException {
+    private WireLine next() throws IOException {
         String text = in.readLine();
         lineNo++;
-        return text == null ? null : new Line(lineNo, text);
+        return text == null ? null : new WireLine(lineNo, text);
     }
 
-    private Line inBatch() throws IOException {
-        Line l = next();
+    private WireLine inBatch() throws IOException {
+        WireLine l = next();
         if (l == null) {
-            throw new BadInput(lineNo, "expected END, found the end of the input");
+            throw new DrillInputException(lineNo, "expected END, found the end of the input");
         }
         return l;
     }
 
-    private void event(Line l) throws IOException {
+    private void event(WireLine l) throws IOException {
         switch (l.message) {
             case "ABOUT" -> about = l.text("sidecarId");
             case "DEFINE_LIST" -> define(l);
@@ -107,15 +107,15 @@
                 }
                 decide(l);
             }
-            default -> throw new BadInput(l.no, "no such message: " + l.message);
+            default -> throw new DrillInputException(l.no, "no such message: " + l.message);
         }
     }
 
-    private void decide(Line l) {
+    private void decide(WireLine l) {
         try {
             if (l.message.equals("POWER_ON")) {
-                WireHost host = new WireHost(this, about);
-                running.put(about, new Policy(SettingsFields.read(l), l.whole("prng"), now, host));
+                WirePolicyActions host = new WirePolicyActions(this, about);
+                running.put(about, new Policy(SettingsReader.read(l), l.whole("prng"), now, host));
                 return;
             }
             Policy policy = running.get(about);
@@ -123,16 +123,16 @@
                 throw l.bad("needs a sidecar that was started: " + about);
             }
             call(policy, l);
-        } catch (BadInput e) {
+        } catch (DrillInputException e) {
             throw e;
         } catch (RuntimeException e) {
             StackTraceElement[] at = e.getStackTrace();
-            String text = WireHost.oneLine(e + (at.length > 0 ? " at " + at[0] : ""));
+            String text = WirePolicyActions.oneLine(e + (at.length > 0 ? " at " + at[0] : ""));
             speak(about).append("BROKEN\tnoteText=").append(text).append('\n');
         }
     }
 
-    private void call(Policy policy, Line l) {
+    private void call(Policy policy, WireLine l) {
         switch (l.message) {
             case "BACKENDS_CHANGED" -> list(policy, l);
             case "NEW_REQUEST" ->
@@ -169,19 +169,19 @@
                             now,
                             l.text("ticket"),
                             l.count("sendNo"),
-                            l.word("ending", Ending.class),
+                            l.word("ending", TryOutcome.class),
                             l.whole("rttNs", 0),
                             l.flag("complete", false));
         }
     }
 
-    private void define(Line head) throws IOException {
+    private void define(WireLine head) throws IOException {
         int n = head.count("members");
         List<PodEntry> entries = new ArrayList<>();
         for (int i = 0; i < n; i++) {
-            Line l = inBatch();
+            WireLine l = inBatch();
             if (!l.message.equals("M")) {
-                throw new BadInput(
+                throw new DrillInputException(
                         l.no, "expected entry " + (i + 1) + " of " + n + ", found " + l.message);
             }
             entries.add(
@@ -198,7 +198,7 @@
         lists.put(head.whole("ref"), entries);
     }
 
-    private void list(Policy policy, Line l) {
+    private void list(Policy policy, WireLine l) {
         String how = l.text("how");
         if (how.equals("failed")) {
             policy.listFailed(now);
@@ -215,7 +215,7 @@
         }
     }
 
-    private void news(Policy policy, Line l) {
+    private void news(Policy policy, WireLine l) {
         boolean ok = l.text("ending", "ok").equals("ok");
         if (l.whole("how", 0) == 1) {
             policy.voteAnswered(now, ok);
@@ -227,7 +227,7 @@
             }
             policy.news(
                     now,
-                    new News(
+                    new RolloutStatus(
                             l.count("buildNo"),
                             l.count("step"),
                             PHASES[phase],
@@ -236,7 +236,7 @@
         }
     }
 
-    private static String tenant(Line l) {
+    private static String tenant(WireLine l) {
         String name = l.text("owner", "0");
         return name.equals("0") ? null : name;
     }
--- a/drill/src/main/java/mulleinlever/drill/Line.java
+++ b/drill/src/main/java/mulleinlever/drill/WireLine.java
@@ -1,25 +1,25 @@
 package mulleinlever.drill;
 
-import mulleinlever.settings.Fields;
+import mulleinlever.settings.FieldReader;
 
 /** One line of the wire: its message and the fields behind it. */
-final class Line extends Fields {
+final class WireLine extends FieldReader {
     final long no;
     final String message;
     private final String[] parts;
 
-    Line(long no, String text) {
+    WireLine(long no, String text) {
         this.no = no;
         this.parts = text.split("\t", -1);
         this.message = parts[0];
     }
 
-    BadInput bad(String expected) {
-        return new BadInput(no, message + " " + expected);
+    DrillInputException bad(String expected) {
+        return new DrillInputException(no, message + " " + expected);
     }
 
     @Override
-    public BadInput bad(String name, String needs) {
+    public DrillInputException bad(String name, String needs) {
         return bad(needs == null ? "needs the field " + name : "needs " + needs + " in " + name);
     }
 
--- a/drill/src/main/java/mulleinlever/drill/WireHost.java
+++ b/drill/src/main/java/mulleinlever/drill/WirePolicyActions.java
@@ -1,14 +1,14 @@
 package mulleinlever.drill;
 
-import mulleinlever.Host;
-import mulleinlever.Verdict;
+import mulleinlever.PolicyActions;
+import mulleinlever.RolloutVote;
 
 /** One sidecar's answers, as messages of the wire. */
-final class WireHost implements Host {
-    private final Drill drill;
+final class WirePolicyActions implements PolicyActions {
+    private final DrillSession drill;
     private final String sidecar;
 
-    WireHost(Drill drill, String sidecar) {
+    WirePolicyActions(DrillSession drill, String sidecar) {
         this.drill = drill;
         this.sidecar = sidecar;
     }
@@ -44,7 +44,7 @@
     }
 
     @Override
-    public void vote(int build, int stage, Verdict verdict) {
+    public void vote(int build, int stage, RolloutVote verdict) {
         say().append("SAY_SO\tbuildNo=")
                 .append(build)
                 .append("\tstep=")
--- a/drill/src/test/java/mulleinlever/drill/DrillTest.java
+++ b/drill/src/test/java/mulleinlever/drill/DrillTest.java
@@ -18,7 +18,7 @@
         var out = new ByteArrayOutputStream();
         var in =
                 new ByteArrayInputStream(input.replace(' ', '\t').getBytes(StandardCharsets.UTF_8));
-        new Drill(in, new PrintStream(out, true, StandardCharsets.UTF_8)).run();
+        new DrillSession(in, new PrintStream(out, true, StandardCharsets.UTF_8)).run();
         return out.toString(StandardCharsets.UTF_8);
     }
 
@@ -42,7 +42,7 @@
         "TICK timeNs=1 frame=1|DEFINE_LIST ref=0 members=1|M pod=a state=odd, line 3: M needs a known word"
     })
     void badInputIsNamedByItsLine(String input, String message) {
-        var e = assertThrows(BadInput.class, () -> drill(input.replace('|', '\n')));
+        var e = assertThrows(DrillInputException.class, () -> drill(input.replace('|', '\n')));
         assertTrue(e.getMessage().startsWith(message), e.getMessage());
     }
 }
--- a/lab/src/main/java/mulleinlever/lab/FleetLog.java
+++ b/lab/src/main/java/mulleinlever/lab/FleetLog.java
@@ -54,9 +54,9 @@
                     "list_age");
 
     private final TreeMap<Long, Map<String, Double>> seconds = new TreeMap<>();
-    private final List<Told> told = new ArrayList<>();
+    private final List<ReqLogLine> told = new ArrayList<>();
 
-    private record Told(double at, String sidecar, String text) {}
+    private record ReqLogLine(double at, String sidecar, String text) {}
 
     @Parameters(
             index = "0",
@@ -84,7 +84,7 @@
                 }
             }
         }
-        all.told.sort(Comparator.comparingDouble(Told::at));
+        all.told.sort(Comparator.comparingDouble(ReqLogLine::at));
         return all;
     }
 
@@ -95,7 +95,7 @@
         }
         double at = Double.parseDouble(m.group(1));
         if (id != null && line.contains(id)) {
-            told.add(new Told(at, sidecar, m.group(3) + ": " + m.group(4)));
+            told.add(new ReqLogLine(at, sidecar, m.group(3) + ": " + m.group(4)));
         }
         Map<String, Double> second = seconds.computeIfAbsent((long) at, s -> new LinkedHashMap<>());
         if (!m.group(3).equals("count")) {
--- a/lab/src/main/java/mulleinlever/lab/Lab.java
+++ b/lab/src/main/java/mulleinlever/lab/Lab.java
@@ -11,7 +11,7 @@
         name = "lab",
         mixinStandardHelpOptions = true,
         description = "Measurements, in emulated fleets and in process.",
-        subcommands = {Restarts.class, FleetLog.class})
+        subcommands = {RestartBenchmark.class, FleetLog.class})
 public final class Lab implements Runnable {
     @Spec private CommandSpec spec;
 
