--- a/lab/src/main/java/mulleinlever/lab/Restarts.java
+++ b/lab/src/main/java/mulleinlever/lab/RestartBenchmark.java
@@ -15,19 +15,19 @@
 import java.util.concurrent.Future;
 import java.util.stream.Collectors;
 import java.util.stream.IntStream;
-import mulleinlever.Learned;
+import mulleinlever.LearnedState;
 import mulleinlever.PodEntry;
 import mulleinlever.Settings;
-import mulleinlever.disk.FaultyDisk;
-import mulleinlever.lab.emu.EmuPod;
-import mulleinlever.lab.emu.EmuSettings;
-import mulleinlever.lab.emu.EmuSidecar;
-import mulleinlever.lab.emu.World;
-import mulleinlever.state.Ageing;
-import mulleinlever.state.Capture;
-import mulleinlever.state.Keeper;
-import mulleinlever.state.Kept;
-import mulleinlever.state.Taking;
+import mulleinlever.disk.FaultInjectingDirectory;
+import mulleinlever.lab.emu.EmulatedFleet;
+import mulleinlever.lab.emu.EmulatedPod;
+import mulleinlever.lab.emu.EmulatedSidecar;
+import mulleinlever.lab.emu.EmulationSettings;
+import mulleinlever.state.SnapshotBuilder;
+import mulleinlever.state.SnapshotFilter;
+import mulleinlever.state.StateDecay;
+import mulleinlever.state.StateSnapshot;
+import mulleinlever.state.StateStore;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
@@ -42,7 +42,7 @@
         mixinStandardHelpOptions = true,
         description =
                 "What a restarted sidecar loses, cold and with what it kept, in an emulated fleet.")
-final class Restarts implements Callable<Integer> {
+final class RestartBenchmark implements Callable<Integer> {
     private static final long SECOND = 1_000_000_000L;
     private static final long START = 1_790_000_000L * SECOND;
     private static final long RUN_IN = 20 * SECOND;
@@ -81,7 +81,7 @@
      * @param meanwhile whether they did so while the sidecar was down, so that nobody knows it yet;
      *     else all others do
      */
-    private record Start(
+    private record RestartScenario(
             String name,
             boolean restarts,
             boolean remembers,
@@ -89,15 +89,15 @@
             long olderNs,
             double changed,
             boolean meanwhile) {
-        static Start kept(String name, boolean corrupt, long olderS, double changed) {
-            return new Start(name, true, true, corrupt, olderS * SECOND, changed, false);
+        static RestartScenario kept(String name, boolean corrupt, long olderS, double changed) {
+            return new RestartScenario(name, true, true, corrupt, olderS * SECOND, changed, false);
         }
     }
 
     /**
      * Of the reqs that came within each window after the start, how many did not complete in time.
      */
-    private static final class Count {
+    private static final class LossCounts {
         private final long[] asked = new long[WINDOWS.length];
         private final long[] lost = new long[WINDOWS.length];
         private double mostToCold;
@@ -111,20 +111,22 @@
         return 1 - Math.exp(-seconds / SICK_FOR_S);
     }
 
-    private static List<Start> starts() {
-        List<Start> all = new ArrayList<>();
-        all.add(new Start("not restarted", false, false, false, 0, 0, false));
-        all.add(new Start("cold", true, false, false, 0, 0, false));
-        all.add(Start.kept("remembered", false, 0, 0));
-        all.add(Start.kept("wrong: other pods are sick", false, 0, 1));
-        all.add(Start.kept("stale by 5 s", false, 5, changedWithin(5)));
-        all.add(Start.kept("stale by 1 min", false, 60, changedWithin(60)));
-        all.add(Start.kept("stale by 1 h", false, 3600, changedWithin(3600)));
-        all.add(Start.kept("stale by 3 days", false, 3 * 86_400, 1));
-        all.add(Start.kept("corrupt", true, 0, 0));
-        all.add(new Start("all sick pods change meanwhile", false, false, false, 0, 1, true));
-        all.add(new Start("  the same, cold", true, false, false, 0, 1, true));
-        all.add(new Start("  the same, remembered", true, true, false, 0, 1, true));
+    private static List<RestartScenario> starts() {
+        List<RestartScenario> all = new ArrayList<>();
+        all.add(new RestartScenario("not restarted", false, false, false, 0, 0, false));
+        all.add(new RestartScenario("cold", true, false, false, 0, 0, false));
+        all.add(RestartScenario.kept("remembered", false, 0, 0));
+        all.add(RestartScenario.kept("wrong: other pods are sick", false, 0, 1));
+        all.add(RestartScenario.kept("stale by 5 s", false, 5, changedWithin(5)));
+        all.add(RestartScenario.kept("stale by 1 min", false, 60, changedWithin(60)));
+        all.add(RestartScenario.kept("stale by 1 h", false, 3600, changedWithin(3600)));
+        all.add(RestartScenario.kept("stale by 3 days", false, 3 * 86_400, 1));
+        all.add(RestartScenario.kept("corrupt", true, 0, 0));
+        all.add(
+                new RestartScenario(
+                        "all sick pods change meanwhile", false, false, false, 0, 1, true));
+        all.add(new RestartScenario("  the same, cold", true, false, false, 0, 1, true));
+        all.add(new RestartScenario("  the same, remembered", true, true, false, 0, 1, true));
         return all;
     }
 
@@ -151,9 +153,9 @@
                         "first 5 s",
                         "first 15 s",
                         "cold pods");
-                List<Start> starts = starts();
-                List<List<Future<Count>>> rows = new ArrayList<>();
-                for (Start s : starts) {
+                List<RestartScenario> starts = starts();
+                List<List<Future<LossCounts>>> rows = new ArrayList<>();
+                for (RestartScenario s : starts) {
                     rows.add(
                             IntStream.range(0, seeds)
                                     .mapToObj(i -> cores.submit(() -> run(firstSeed + i, s, all)))
@@ -169,11 +171,11 @@
         return 0;
     }
 
-    private static String row(String name, List<Future<Count>> runs)
+    private static String row(String name, List<Future<LossCounts>> runs)
             throws InterruptedException, ExecutionException {
         StringBuilder s = new StringBuilder(String.format("%-32s", name));
-        List<Count> counts = new ArrayList<>();
-        for (Future<Count> f : runs) {
+        List<LossCounts> counts = new ArrayList<>();
+        for (Future<LossCounts> f : runs) {
             counts.add(f.get());
         }
         for (int w = 0; w < WINDOWS.length; w++) {
@@ -195,40 +197,44 @@
         return s.toString();
     }
 
-    private Count run(long seed, Start how, boolean all)
+    private LossCounts run(long seed, RestartScenario how, boolean all)
             throws InterruptedException, ExecutionException {
-        Count count = new Count();
+        LossCounts count = new LossCounts();
         long back = START + RUN_IN + DOWN;
-        World.Size size =
-                new World.Size(
+        EmulatedFleet.FleetSpec size =
+                new EmulatedFleet.FleetSpec(
                         pods,
                         2,
                         sidecars,
                         List.of("a", "b"),
                         List.of(
-                                new World.Traffic(
-                                        EmuSettings.route(
-                                                "read", Settings.Repeat.RETRIABLE, 150, 1000, 1),
+                                new EmulatedFleet.RouteTraffic(
+                                        EmulationSettings.route(
+                                                "read",
+                                                Settings.RetrySafety.RETRIABLE,
+                                                150,
+                                                1000,
+                                                1),
                                         0.7,
                                         10_000_000,
                                         30_000_000),
-                                new World.Traffic(
-                                        EmuSettings.route(
-                                                "write", Settings.Repeat.DEDUPED, 100, 800, 3),
+                                new EmulatedFleet.RouteTraffic(
+                                        EmulationSettings.route(
+                                                "write", Settings.RetrySafety.DEDUPED, 100, 800, 3),
                                         0.3,
                                         5_000_000,
                                         15_000_000)),
                         0);
-        World.Size loaded =
-                new World.Size(
+        EmulatedFleet.FleetSpec loaded =
+                new EmulatedFleet.FleetSpec(
                         size.pods(),
                         size.cores(),
                         size.sidecars(),
                         size.zones(),
                         size.traffic(),
                         load * 0.8 * size.capacity());
-        World world =
-                new World(
+        EmulatedFleet world =
+                new EmulatedFleet(
                         loaded,
                         seed,
                         START,
@@ -237,7 +243,7 @@
                                 return;
                             }
                             boolean lost =
-                                    answer != EmuSidecar.Answer.COMPLETED
+                                    answer != EmulatedSidecar.ReqOutcome.COMPLETED
                                             || tookNs > route.objectiveNs();
                             for (int w = 0; w < WINDOWS.length; w++) {
                                 if (askedNs < back + WINDOWS[w]) {
@@ -251,11 +257,12 @@
         sicken(world, sick);
         List<Integer> restarted = IntStream.range(0, all ? sidecars : 1).boxed().toList();
         long captured = START + RUN_IN - random.nextLong(10 * SECOND);
-        Map<Integer, FaultyDisk> disks = new HashMap<>();
+        Map<Integer, FaultInjectingDirectory> disks = new HashMap<>();
         if (how.remembers) {
             // As it was then: a world of its own, in which other pods were sick.
-            World then =
-                    new World(loaded, seed, START, (sidecar, route, askedNs, tookNs, answer) -> {});
+            EmulatedFleet then =
+                    new EmulatedFleet(
+                            loaded, seed, START, (sidecar, route, askedNs, tookNs, answer) -> {});
             sicken(then, sick);
             change(then, sick, how.meanwhile ? 0 : how.changed, new SplittableRandom(seed + 1));
             then.agenda().runUntil(captured);
@@ -270,11 +277,11 @@
         world.agenda().runUntil(START + RUN_IN + DOWN / 2);
         change(world, sick, how.meanwhile ? how.changed : 0, random);
         world.agenda().runUntil(back);
-        List<EmuPod> cold = world.pods().subList(pods - COLD_PODS, pods);
+        List<EmulatedPod> cold = world.pods().subList(pods - COLD_PODS, pods);
         cold.forEach(world::restart);
         for (int i : restarted) {
             if (how.restarts) {
-                EmuSidecar s = world.start(i);
+                EmulatedSidecar s = world.start(i);
                 if (how.remembers) {
                     recall(world, i, s, disks.get(i));
                 }
@@ -288,9 +295,10 @@
     /**
      * The busiest second of each cold pod, against what it could do then; at 3 it would fall over.
      */
-    private static void watchCold(World world, List<EmuPod> cold, Count count, long from) {
+    private static void watchCold(
+            EmulatedFleet world, List<EmulatedPod> cold, LossCounts count, long from) {
         long step = SECOND / 10;
-        Map<EmuPod, long[]> before = new HashMap<>();
+        Map<EmulatedPod, long[]> before = new HashMap<>();
         cold.forEach(p -> before.put(p, new long[12]));
         for (int k = 0; k < 40; k++) {
             int at = k;
@@ -331,14 +339,14 @@
     }
 
     /** The first half of them is slow, the second hung. */
-    private static void sicken(World world, int[] sick) {
-        List<EmuPod> pods = world.pods();
+    private static void sicken(EmulatedFleet world, int[] sick) {
+        List<EmulatedPod> pods = world.pods();
         for (int i = 0; i < sick.length; i++) {
             sicken(pods.get(sick[i]), i < sick.length / 2);
         }
     }
 
-    private static void sicken(EmuPod pod, boolean slow) {
+    private static void sicken(EmulatedPod pod, boolean slow) {
         if (slow) {
             pod.speed(0.2);
         } else {
@@ -347,8 +355,9 @@
     }
 
     /** Each sick pod recovers by chance, and another falls sick in its place. */
-    private static void change(World world, int[] sick, double part, SplittableRandom random) {
-        List<EmuPod> pods = world.pods();
+    private static void change(
+            EmulatedFleet world, int[] sick, double part, SplittableRandom random) {
+        List<EmulatedPod> pods = world.pods();
         List<Integer> well =
                 IntStream.range(0, pods.size() - COLD_PODS)
                         .boxed()
@@ -363,18 +372,18 @@
         }
     }
 
-    private static FaultyDisk keep(World world, int i, Start how)
+    private static FaultInjectingDirectory keep(EmulatedFleet world, int i, RestartScenario how)
             throws InterruptedException, ExecutionException {
-        FaultyDisk disk = new FaultyDisk(1);
-        Keeper keeper = new Keeper(disk, 3, 1 << 24, "n" + i, l -> {});
+        FaultInjectingDirectory disk = new FaultInjectingDirectory(1);
+        StateStore keeper = new StateStore(disk, 3, 1 << 24, "n" + i, l -> {});
         keeper.open().get();
-        Capture c =
-                new Capture(
+        SnapshotBuilder c =
+                new SnapshotBuilder(
                         world.sidecar(i).policy().learned(world.agenda().now()), id -> id + ":1");
         c.slice(world.agenda()::now, Long.MAX_VALUE);
         keeper.offer(
                 c.kept(
-                        new Kept.Head(
+                        new StateSnapshot.Header(
                                 "lab",
                                 "n" + i,
                                 "",
@@ -386,7 +395,7 @@
                         world.news()));
         keeper.close(30 * SECOND);
         if (how.corrupt) {
-            String name = Keeper.name(1);
+            String name = StateStore.name(1);
             try {
                 byte[] bytes = disk.read(name, 1 << 24);
                 bytes[bytes.length / 2] ^= 1;
@@ -398,10 +407,11 @@
         return disk;
     }
 
-    private static void recall(World world, int i, EmuSidecar s, FaultyDisk disk)
+    private static void recall(
+            EmulatedFleet world, int i, EmulatedSidecar s, FaultInjectingDirectory disk)
             throws InterruptedException, ExecutionException {
-        Keeper keeper = new Keeper(disk, 3, 1 << 24, "n" + i, l -> {});
-        Keeper.Found found = keeper.open().get();
+        StateStore keeper = new StateStore(disk, 3, 1 << 24, "n" + i, l -> {});
+        StateStore.LoadResult found = keeper.open().get();
         if (found.kept() != null) {
             Map<String, PodEntry> listed = new HashMap<>();
             Map<String, String> addresses = new HashMap<>();
@@ -413,18 +423,18 @@
                             });
             long now = world.agenda().now();
             Settings set = world.settings(i);
-            Taking.Taken taken =
-                    Taking.of(
+            SnapshotFilter.RestoreResult taken =
+                    SnapshotFilter.of(
                             found.kept(),
-                            Ageing.age(found.kept().head().unixMs(), now),
-                            new Taking.Here(
+                            StateDecay.age(found.kept().head().unixMs(), now),
+                            new SnapshotFilter.RestoreContext(
                                     set.zone(),
                                     set.routes().stream()
-                                            .map(Settings.Route::name)
+                                            .map(Settings.RouteSettings::name)
                                             .collect(Collectors.toSet()),
                                     listed,
                                     addresses));
-            for (Learned l : taken.learned()) {
+            for (LearnedState l : taken.learned()) {
                 s.policy().recall(now, l);
             }
         }
--- a/lab/src/main/java/mulleinlever/lab/emu/World.java
+++ b/lab/src/main/java/mulleinlever/lab/emu/EmulatedFleet.java
@@ -4,31 +4,32 @@
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
-import mulleinlever.News;
 import mulleinlever.PodEntry;
+import mulleinlever.RolloutStatus;
 import mulleinlever.Settings;
 
 /**
  * Pods, sidecars and clients in virtual time, in one process. Every part draws from a stream of its
  * own, so that two worlds with one seed get the same reqs, whatever their sidecars do.
  */
-public final class World {
+public final class EmulatedFleet {
     private static final long SECOND = 1_000_000_000L;
 
     /** What a route's reqs are like, beside its settings. */
-    public record Traffic(Settings.Route route, double share, long leastWorkNs, long mostWorkNs) {
+    public record RouteTraffic(
+            Settings.RouteSettings route, double share, long leastWorkNs, long mostWorkNs) {
         double meanWorkNs() {
             return (leastWorkNs + mostWorkNs) / 2.0;
         }
     }
 
     /** What a world consists of. */
-    public record Size(
+    public record FleetSpec(
             int pods,
             int cores,
             int sidecars,
             List<String> zones,
-            List<Traffic> traffic,
+            List<RouteTraffic> traffic,
             double reqsPerSecond) {
         /** Reqs a second that all cores together can do. */
         public double capacity() {
@@ -40,30 +41,31 @@
     /**
      * Hears of each req's end; without an answer {@code how} is null, at the end of its patience.
      */
-    public interface Watch {
+    public interface ReqListener {
         void ended(
                 int sidecar,
-                Settings.Route route,
+                Settings.RouteSettings route,
                 long askedNs,
                 long tookNs,
-                EmuSidecar.Answer how);
+                EmulatedSidecar.ReqOutcome how);
     }
 
-    private final Size size;
+    private final FleetSpec size;
     private final long seed;
-    private final Agenda agenda;
-    private final Watch watch;
-    private final Map<String, EmuPod> pods = new LinkedHashMap<>();
-    private final EmuSidecar[] sidecars;
+    private final VirtualTimeScheduler agenda;
+    private final ReqListener watch;
+    private final Map<String, EmulatedPod> pods = new LinkedHashMap<>();
+    private final EmulatedSidecar[] sidecars;
     private final int[] starts;
-    private News news = new News(1, 2, News.Phase.RELEASED, 1, 9 * SECOND);
+    private RolloutStatus news =
+            new RolloutStatus(1, 2, RolloutStatus.Phase.RELEASED, 1, 9 * SECOND);
 
-    public World(Size size, long seed, long startNs, Watch watch) {
+    public EmulatedFleet(FleetSpec size, long seed, long startNs, ReqListener watch) {
         this.size = size;
         this.seed = seed;
-        this.agenda = new Agenda(startNs);
+        this.agenda = new VirtualTimeScheduler(startNs);
         this.watch = watch;
-        this.sidecars = new EmuSidecar[size.sidecars()];
+        this.sidecars = new EmulatedSidecar[size.sidecars()];
         this.starts = new int[size.sidecars()];
         for (int i = 0; i < size.pods(); i++) {
             PodEntry e =
@@ -76,7 +78,7 @@
                             PodEntry.State.READY,
                             size.cores(),
                             0);
-            pods.put(e.id(), new EmuPod(agenda, e, size.cores(), 1000));
+            pods.put(e.id(), new EmulatedPod(agenda, e, size.cores(), 1000));
         }
         for (int i = 0; i < size.sidecars(); i++) {
             start(i);
@@ -94,33 +96,33 @@
                 seed * 0x9E3779B97F4A7C15L + part.hashCode() * 0x632BE59BD9B4E019L + no);
     }
 
-    public Agenda agenda() {
+    public VirtualTimeScheduler agenda() {
         return agenda;
     }
 
-    public EmuPod pod(String id) {
+    public EmulatedPod pod(String id) {
         return pods.get(id);
     }
 
-    public List<EmuPod> pods() {
+    public List<EmulatedPod> pods() {
         return List.copyOf(pods.values());
     }
 
-    public EmuSidecar sidecar(int i) {
+    public EmulatedSidecar sidecar(int i) {
         return sidecars[i];
     }
 
-    public News news() {
+    public RolloutStatus news() {
         return news;
     }
 
     public Settings settings(int i) {
-        return EmuSettings.of(
+        return EmulationSettings.of(
                 i,
                 size.sidecars(),
                 zone(i),
                 size.zones(),
-                size.traffic().stream().map(Traffic::route).toList());
+                size.traffic().stream().map(RouteTraffic::route).toList());
     }
 
     long oneWayNs(String from, String to) {
@@ -130,18 +132,18 @@
     /**
      * A sidecar's process begins, with the list and the news as they are; it knows nothing else.
      */
-    public EmuSidecar start(int i) {
-        EmuSidecar s =
-                new EmuSidecar(
+    public EmulatedSidecar start(int i) {
+        EmulatedSidecar s =
+                new EmulatedSidecar(
                         this, settings(i), random("policy", i + 100_000 * starts[i]++).nextLong());
-        s.list(pods.values().stream().map(EmuPod::entry).toList());
+        s.list(pods.values().stream().map(EmulatedPod::entry).toList());
         s.news(news);
         sidecars[i] = s;
         return s;
     }
 
     /** A pod starts anew, cold, and all sidecars are told at once. */
-    public void restart(EmuPod pod) {
+    public void restart(EmulatedPod pod) {
         PodEntry e = pod.entry();
         pod.startsAnew(
                 new PodEntry(
@@ -153,7 +155,7 @@
                         e.state(),
                         e.weight(),
                         agenda.now()));
-        for (EmuSidecar s : sidecars) {
+        for (EmulatedSidecar s : sidecars) {
             if (s != null) {
                 s.changed(pod.entry());
             }
@@ -179,7 +181,7 @@
         agenda.after(
                 (long) (-Math.log(1 - random.nextDouble()) / rate * SECOND),
                 () -> {
-                    Traffic t = pick(random.nextDouble());
+                    RouteTraffic t = pick(random.nextDouble());
                     long workNs =
                             t.leastWorkNs()
                                     + (long)
@@ -191,8 +193,8 @@
                 });
     }
 
-    private Traffic pick(double at) {
-        for (Traffic t : size.traffic()) {
+    private RouteTraffic pick(double at) {
+        for (RouteTraffic t : size.traffic()) {
             at -= t.share();
             if (at < 0) {
                 return t;
@@ -201,7 +203,7 @@
         return size.traffic().get(size.traffic().size() - 1);
     }
 
-    private void ask(int i, Traffic t, long workNs, long key) {
+    private void ask(int i, RouteTraffic t, long workNs, long key) {
         long askedNs = agenda.now();
         boolean[] ended = new boolean[1];
         if (sidecars[i] != null) {
--- a/lab/src/main/java/mulleinlever/lab/emu/EmuPod.java
+++ b/lab/src/main/java/mulleinlever/lab/emu/EmulatedPod.java
@@ -4,32 +4,32 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.Consumer;
-import mulleinlever.Ending;
 import mulleinlever.PodEntry;
+import mulleinlever.TryOutcome;
 
 /**
  * A pod: some cores that serve one line, first come first served. It can be slow, hung, or fail a
  * share of what it is sent; a pod that was started lately does less.
  */
-public final class EmuPod {
+public final class EmulatedPod {
     /** One try at the pod, until it is told how that ended. */
-    public static final class Job {
+    public static final class PodTry {
         private final long workNs;
-        private final Consumer<Ending> done;
+        private final Consumer<TryOutcome> done;
         private boolean cancelled;
         private boolean runs;
 
-        Job(long workNs, Consumer<Ending> done) {
+        PodTry(long workNs, Consumer<TryOutcome> done) {
             this.workNs = workNs;
             this.done = done;
         }
     }
 
-    private final Agenda agenda;
+    private final VirtualTimeScheduler agenda;
     private final int cores;
     private final int mostWaiting;
-    private final ArrayDeque<Job> line = new ArrayDeque<>();
-    private final List<Job> atHang = new ArrayList<>();
+    private final ArrayDeque<PodTry> line = new ArrayDeque<>();
+    private final List<PodTry> atHang = new ArrayList<>();
     private PodEntry entry;
     private double speed = 1;
     private boolean hung;
@@ -37,7 +37,7 @@
     private long arrived;
     private int start;
 
-    EmuPod(Agenda agenda, PodEntry entry, int cores, int mostWaiting) {
+    EmulatedPod(VirtualTimeScheduler agenda, PodEntry entry, int cores, int mostWaiting) {
         this.agenda = agenda;
         this.entry = entry;
         this.cores = cores;
@@ -59,10 +59,11 @@
 
     /** The part of its usual speed that a pod has which was started lately. */
     private double warmth() {
-        double age = (agenda.now() - entry.startedNs()) / (double) EmuSettings.WARM_AFTER_NS;
+        double age = (agenda.now() - entry.startedNs()) / (double) EmulationSettings.WARM_AFTER_NS;
         return entry.startedNs() == 0 || age >= 1
                 ? 1
-                : EmuSettings.COLD_SHARE + (1 - EmuSettings.COLD_SHARE) * Math.max(0, age);
+                : EmulationSettings.COLD_SHARE
+                        + (1 - EmulationSettings.COLD_SHARE) * Math.max(0, age);
     }
 
     /** 1 is usual; 0.2 takes five times as long. */
@@ -74,9 +75,9 @@
     public void hangs(boolean from) {
         hung = from;
         if (!hung) {
-            List<Job> held = List.copyOf(atHang);
+            List<PodTry> held = List.copyOf(atHang);
             atHang.clear();
-            held.forEach(j -> finish(j, Ending.OK));
+            held.forEach(j -> finish(j, TryOutcome.OK));
             serve();
         }
     }
@@ -86,11 +87,11 @@
         return arrived;
     }
 
-    Job arrive(long workNs, Consumer<Ending> done) {
-        Job job = new Job(workNs, done);
+    PodTry arrive(long workNs, Consumer<TryOutcome> done) {
+        PodTry job = new PodTry(workNs, done);
         arrived++;
         if (line.size() >= mostWaiting) {
-            done.accept(Ending.FULL);
+            done.accept(TryOutcome.FULL);
             return job;
         }
         line.add(job);
@@ -99,7 +100,7 @@
     }
 
     /** What waits is dropped, what is at work goes on to its end for nothing. */
-    void cancel(Job job) {
+    void cancel(PodTry job) {
         job.cancelled = true;
         if (!job.runs) {
             line.remove(job);
@@ -108,7 +109,7 @@
 
     private void serve() {
         while (!hung && busy < cores && !line.isEmpty()) {
-            Job job = line.poll();
+            PodTry job = line.poll();
             job.runs = true;
             busy++;
             int in = start;
@@ -122,17 +123,17 @@
         }
     }
 
-    private void ends(Job job) {
+    private void ends(PodTry job) {
         if (hung) {
             // Its core hangs with it.
             atHang.add(job);
             return;
         }
-        finish(job, Ending.OK);
+        finish(job, TryOutcome.OK);
         serve();
     }
 
-    private void finish(Job job, Ending ending) {
+    private void finish(PodTry job, TryOutcome ending) {
         busy--;
         if (!job.cancelled) {
             job.done.accept(ending);
--- a/lab/src/main/java/mulleinlever/lab/emu/EmuSidecar.java
+++ b/lab/src/main/java/mulleinlever/lab/emu/EmulatedSidecar.java
@@ -5,27 +5,31 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.Consumer;
-import mulleinlever.Ending;
-import mulleinlever.Host;
-import mulleinlever.News;
 import mulleinlever.PodEntry;
 import mulleinlever.Policy;
+import mulleinlever.PolicyActions;
 import mulleinlever.Req;
+import mulleinlever.RolloutStatus;
+import mulleinlever.RolloutVote;
 import mulleinlever.Settings;
-import mulleinlever.Verdict;
+import mulleinlever.TryOutcome;
 
 /** One start of a sidecar: a policy of the real program, with a network that only delays. */
-public final class EmuSidecar implements Host {
+public final class EmulatedSidecar implements PolicyActions {
     /** A req in hand, from its client's view. */
-    private static final class Held {
-        private final Settings.Route route;
+    private static final class PendingReq {
+        private final Settings.RouteSettings route;
         private final long workNs;
         private final long takenNs;
-        private final Consumer<Answer> answered;
-        private final List<Sent> tries = new ArrayList<>(1);
+        private final Consumer<ReqOutcome> answered;
+        private final List<SentTry> tries = new ArrayList<>(1);
         private boolean done;
 
-        Held(Settings.Route route, long workNs, long takenNs, Consumer<Answer> answered) {
+        PendingReq(
+                Settings.RouteSettings route,
+                long workNs,
+                long takenNs,
+                Consumer<ReqOutcome> answered) {
             this.route = route;
             this.workNs = workNs;
             this.takenNs = takenNs;
@@ -33,14 +37,14 @@
         }
     }
 
-    private static final class Sent {
+    private static final class SentTry {
         private final int no;
-        private final EmuPod pod;
+        private final EmulatedPod pod;
         private final long sentNs;
-        private EmuPod.Job job;
+        private EmulatedPod.PodTry job;
         private boolean ended;
 
-        Sent(int no, EmuPod pod, long sentNs) {
+        SentTry(int no, EmulatedPod pod, long sentNs) {
             this.no = no;
             this.pod = pod;
             this.sentNs = sentNs;
@@ -48,21 +52,21 @@
     }
 
     /** The one final answer to a req, as its sidecar gave it. */
-    public enum Answer {
+    public enum ReqOutcome {
         COMPLETED,
         SHED,
         ERRORED
     }
 
-    private final World world;
-    private final Agenda agenda;
+    private final EmulatedFleet world;
+    private final VirtualTimeScheduler agenda;
     private final Settings settings;
     private final Policy policy;
-    private final Map<String, Held> held = new HashMap<>();
+    private final Map<String, PendingReq> held = new HashMap<>();
     private boolean gone;
     private long reqs;
 
-    EmuSidecar(World world, Settings settings, long seed) {
+    EmulatedSidecar(EmulatedFleet world, Settings settings, long seed) {
         this.world = world;
         this.agenda = world.agenda();
         this.settings = settings;
@@ -85,7 +89,7 @@
         }
     }
 
-    void news(News news) {
+    void news(RolloutStatus news) {
         if (!gone) {
             policy.news(agenda.now(), news);
         }
@@ -94,17 +98,17 @@
     /** The process ends: what it had in hand gets no answer, its tries are cut off. */
     void kill() {
         gone = true;
-        for (Held h : held.values()) {
-            for (Sent s : h.tries) {
+        for (PendingReq h : held.values()) {
+            for (SentTry s : h.tries) {
                 cutOff(s);
             }
         }
         held.clear();
     }
 
-    void take(Settings.Route route, long workNs, long key, Consumer<Answer> answered) {
+    void take(Settings.RouteSettings route, long workNs, long key, Consumer<ReqOutcome> answered) {
         String id = Long.toString(reqs++);
-        held.put(id, new Held(route, workNs, agenda.now(), answered));
+        held.put(id, new PendingReq(route, workNs, agenda.now(), answered));
         policy.req(
                 agenda.now(),
                 new Req(id, route.name(), false, false, route.timeoutNs(), 0, key, null));
@@ -112,9 +116,9 @@
 
     @Override
     public void relay(String rq, String pod, long writeWithinNs, long limitNs) {
-        Held h = held.get(rq);
-        EmuPod at = world.pod(pod);
-        Sent s = new Sent(h.tries.size(), at, agenda.now());
+        PendingReq h = held.get(rq);
+        EmulatedPod at = world.pod(pod);
+        SentTry s = new SentTry(h.tries.size(), at, agenda.now());
         h.tries.add(s);
         long oneWayNs = world.oneWayNs(settings.zone(), at.entry().zone());
         agenda.after(
@@ -129,38 +133,38 @@
                                                         oneWayNs, () -> ended(rq, h, s, ending)));
                     }
                 });
-        agenda.after(limitNs, () -> ended(rq, h, s, Ending.TIMEOUT));
+        agenda.after(limitNs, () -> ended(rq, h, s, TryOutcome.TIMEOUT));
     }
 
-    private void ended(String rq, Held h, Sent s, Ending ending) {
+    private void ended(String rq, PendingReq h, SentTry s, TryOutcome ending) {
         if (s.ended || gone) {
             return;
         }
-        if (ending == Ending.TIMEOUT) {
+        if (ending == TryOutcome.TIMEOUT) {
             cutOff(s);
         }
         s.ended = true;
-        if (ending == Ending.OK) {
-            answer(h, Answer.COMPLETED);
+        if (ending == TryOutcome.OK) {
+            answer(h, ReqOutcome.COMPLETED);
         }
         policy.tryEnded(agenda.now(), rq, s.no, ending, agenda.now() - s.sentNs, h.done);
         settle(rq, h);
     }
 
-    private void cutOff(Sent s) {
+    private void cutOff(SentTry s) {
         s.ended = true;
         if (s.job != null) {
             s.pod.cancel(s.job);
         }
     }
 
-    private void settle(String rq, Held h) {
+    private void settle(String rq, PendingReq h) {
         if (h.done && h.tries.stream().allMatch(s -> s.ended)) {
             held.remove(rq, h);
         }
     }
 
-    private void answer(Held h, Answer how) {
+    private void answer(PendingReq h, ReqOutcome how) {
         if (!h.done) {
             h.done = true;
             h.answered.accept(how);
@@ -169,24 +173,24 @@
 
     @Override
     public void shed(String rq, long backoffNs) {
-        answered(rq, Answer.SHED);
+        answered(rq, ReqOutcome.SHED);
     }
 
     @Override
     public void error(String rq) {
-        answered(rq, Answer.ERRORED);
+        answered(rq, ReqOutcome.ERRORED);
     }
 
-    private void answered(String rq, Answer how) {
-        Held h = held.get(rq);
+    private void answered(String rq, ReqOutcome how) {
+        PendingReq h = held.get(rq);
         answer(h, how);
         agenda.after(0, () -> settle(rq, h));
     }
 
     @Override
     public void cancel(String rq, int tryNo) {
-        Held h = held.get(rq);
-        Sent s = h.tries.get(tryNo);
+        PendingReq h = held.get(rq);
+        SentTry s = h.tries.get(tryNo);
         if (s.ended) {
             return;
         }
@@ -200,7 +204,7 @@
                                 agenda.now(),
                                 rq,
                                 s.no,
-                                Ending.CANCELLED,
+                                TryOutcome.CANCELLED,
                                 agenda.now() - s.sentNs,
                                 h.done);
                         settle(rq, h);
@@ -209,7 +213,7 @@
     }
 
     @Override
-    public void vote(int build, int stage, Verdict verdict) {}
+    public void vote(int build, int stage, RolloutVote verdict) {}
 
     @Override
     public void watchList() {}
--- a/lab/src/main/java/mulleinlever/lab/emu/EmuSettings.java
+++ b/lab/src/main/java/mulleinlever/lab/emu/EmulationSettings.java
@@ -4,7 +4,7 @@
 import mulleinlever.Settings;
 
 /** Settings for sidecars in an emulated world: ordinary ones, of no site. Times are nanoseconds. */
-public final class EmuSettings {
+public final class EmulationSettings {
     private static final long MS = 1_000_000L;
     private static final long SECOND = 1_000 * MS;
     static final double COLD_SHARE = 0.3;
@@ -15,22 +15,22 @@
      */
     private static final double FALL_MULTIPLE = 3;
 
-    private EmuSettings() {}
+    private EmulationSettings() {}
 
     /** A route whose repeats may run, or are dropped by pods of the same zone. */
-    public static Settings.Route route(
+    public static Settings.RouteSettings route(
             String name,
-            Settings.Repeat repeat,
+            Settings.RetrySafety repeat,
             long objectiveMs,
             long timeoutMs,
             double earnings) {
-        return new Settings.Route(
+        return new Settings.RouteSettings(
                 name,
                 objectiveMs * MS,
                 0,
                 timeoutMs * MS,
                 repeat,
-                Settings.Scope.ZONE,
+                Settings.DedupScope.ZONE,
                 SECOND,
                 false,
                 0.1,
@@ -38,10 +38,14 @@
     }
 
     static Settings of(
-            int rank, int sidecars, String zone, List<String> zones, List<Settings.Route> routes) {
-        Settings.Rollout rollout =
-                new Settings.Rollout(
-                        Settings.Control.MAJORITY,
+            int rank,
+            int sidecars,
+            String zone,
+            List<String> zones,
+            List<Settings.RouteSettings> routes) {
+        Settings.RolloutSettings rollout =
+                new Settings.RolloutSettings(
+                        Settings.VoteControl.MAJORITY,
                         false,
                         Math.max(1, sidecars * 2 / 5),
                         Math.max(1, sidecars / 4),
@@ -65,8 +69,8 @@
                         false,
                         0.3,
                         5);
-        Settings.Rules rules =
-                new Settings.Rules(
+        Settings.Contract rules =
+                new Settings.Contract(
                         20 * MS,
                         250 * MS,
                         COLD_SHARE,
@@ -74,8 +78,8 @@
                         FALL_MULTIPLE,
                         SECOND,
                         10 * SECOND);
-        Settings.Limits limits =
-                new Settings.Limits(
+        Settings.PolicyLimits limits =
+                new Settings.PolicyLimits(
                         4, 20_000, true, false, false, true, SECOND, 1, 250 * MS, 15 * SECOND);
         return new Settings(
                 rank,
@@ -90,7 +94,7 @@
                 rollout,
                 rules,
                 limits,
-                new Settings.Prices(0.02, 0.08, 0.01, 0.08),
+                new Settings.CostWeights(0.02, 0.08, 0.01, 0.08),
                 Settings.ReportSource.OFF,
                 true);
     }
--- a/lab/src/main/java/mulleinlever/lab/emu/Agenda.java
+++ b/lab/src/main/java/mulleinlever/lab/emu/VirtualTimeScheduler.java
@@ -6,29 +6,29 @@
  * What happens in virtual time, in the order of the time and then of the asking: the same on every
  * machine.
  */
-public final class Agenda {
-    private static final class Entry implements Comparable<Entry> {
+public final class VirtualTimeScheduler {
+    private static final class ScheduledTask implements Comparable<ScheduledTask> {
         private final long atNs;
         private final long no;
         private final Runnable what;
 
-        Entry(long atNs, long no, Runnable what) {
+        ScheduledTask(long atNs, long no, Runnable what) {
             this.atNs = atNs;
             this.no = no;
             this.what = what;
         }
 
         @Override
-        public int compareTo(Entry other) {
+        public int compareTo(ScheduledTask other) {
             return atNs != other.atNs ? Long.compare(atNs, other.atNs) : Long.compare(no, other.no);
         }
     }
 
-    private final PriorityQueue<Entry> entries = new PriorityQueue<>(1024);
+    private final PriorityQueue<ScheduledTask> entries = new PriorityQueue<>(1024);
     private long nowNs;
     private long asked;
 
-    public Agenda(long startNs) {
+    public VirtualTimeScheduler(long startNs) {
         this.nowNs = startNs;
     }
 
@@ -39,7 +39,7 @@
 
     /** What is asked for in the past happens now. */
     public void at(long ns, Runnable what) {
-        entries.add(new Entry(Math.max(ns, nowNs), asked++, what));
+        entries.add(new ScheduledTask(Math.max(ns, nowNs), asked++, what));
     }
 
     public void after(long ns, Runnable what) {
@@ -49,7 +49,7 @@
     /** Lets happen all that is due until a time, and goes to that time. */
     public void runUntil(long ns) {
         while (!entries.isEmpty() && entries.peek().atNs <= ns) {
-            Entry e = entries.poll();
+            ScheduledTask e = entries.poll();
             nowNs = e.atNs;
             e.what.run();
         }
--- a/lab/src/test/java/mulleinlever/lab/emu/WorldTest.java
+++ b/lab/src/test/java/mulleinlever/lab/emu/EmulatedFleetTest.java
@@ -9,21 +9,23 @@
 import mulleinlever.Settings;
 import org.junit.jupiter.api.Test;
 
-class WorldTest {
+class EmulatedFleetTest {
     private static final long SECOND = 1_000_000_000L;
 
     /** How each req ended, in order, while a pod hangs and a sidecar is killed and starts again. */
     private static List<String> ends(long seed) {
         List<String> ends = new ArrayList<>();
-        var route = EmuSettings.route("read", Settings.Repeat.RETRIABLE, 150, 1000, 1);
-        World w =
-                new World(
-                        new World.Size(
+        var route = EmulationSettings.route("read", Settings.RetrySafety.RETRIABLE, 150, 1000, 1);
+        EmulatedFleet w =
+                new EmulatedFleet(
+                        new EmulatedFleet.FleetSpec(
                                 6,
                                 2,
                                 3,
                                 List.of("a", "b"),
-                                List.of(new World.Traffic(route, 1, 10_000_000, 30_000_000)),
+                                List.of(
+                                        new EmulatedFleet.RouteTraffic(
+                                                route, 1, 10_000_000, 30_000_000)),
                                 200),
                         seed,
                         1000 * SECOND,
--- a/settings/src/main/java/mulleinlever/settings/Ours.java
+++ b/settings/src/main/java/mulleinlever/settings/FeatureSettings.java
@@ -9,9 +9,9 @@
  * What is switched on beside the platform's own settings, from TOML files of ours: read, checked
  * and given defaults here and nowhere else. Times are nanoseconds.
  */
-public record Ours(Remember remember) {
+public record FeatureSettings(StateSettings remember) {
     /** Nothing is switched on. */
-    public static final Ours NONE = new Ours(null);
+    public static final FeatureSettings NONE = new FeatureSettings(null);
 
     private static final String STATE = "state";
 
@@ -27,7 +27,7 @@
      * @param lastWithinNs how long the last write may hold up the end of the process
      * @param sliceNs the longest that a capture holds the event loop at a time
      */
-    public record Remember(
+    public record StateSettings(
             Path folder,
             long everyNs,
             double jitter,
@@ -40,17 +40,17 @@
     /**
      * Reads the files in the order given; each table may stand in one of them.
      *
-     * @throws Fault naming file, line and column
+     * @throws InvalidInputException naming file, line and column
      */
-    public static Ours read(List<Path> files) {
-        Ours all = NONE;
+    public static FeatureSettings read(List<Path> files) {
+        FeatureSettings all = NONE;
         Map<String, Path> from = new HashMap<>();
         for (Path file : files) {
-            Ours one = of(TomlFile.read(file));
+            FeatureSettings one = of(TomlFile.read(file));
             if (one.remember != null) {
                 Path before = from.put(STATE, file);
                 if (before != null) {
-                    throw new Fault(
+                    throw new InvalidInputException(
                             file + ": the table " + STATE + " stands in " + before + " too");
                 }
                 all = one;
@@ -60,15 +60,15 @@
     }
 
     /** What one file holds. */
-    public static Ours of(TomlFile file) {
+    public static FeatureSettings of(TomlFile file) {
         TomlSection s = file.section(STATE);
-        Remember remember = s.present() ? remember(s) : null;
+        StateSettings remember = s.present() ? remember(s) : null;
         file.done();
-        return new Ours(remember);
+        return new FeatureSettings(remember);
     }
 
-    private static Remember remember(TomlSection s) {
-        return new Remember(
+    private static StateSettings remember(TomlSection s) {
+        return new StateSettings(
                 s.path("folder"),
                 s.duration("every", "10s", "50ms", "1h"),
                 s.number("jitter", 0.2, 0, 0.9),
--- a/settings/src/main/java/mulleinlever/settings/Fields.java
+++ b/settings/src/main/java/mulleinlever/settings/FieldReader.java
@@ -6,7 +6,7 @@
 /**
  * Named fields, read on demand: those of one line of the wire, or of one object of a configuration.
  */
-public abstract class Fields {
+public abstract class FieldReader {
     /**
      * The field's text, or null where there is none; lists of plain values are joined by commas.
      */
--- a/settings/src/main/java/mulleinlever/settings/Json.java
+++ b/settings/src/main/java/mulleinlever/settings/Json.java
@@ -5,10 +5,10 @@
 import java.util.List;
 import java.util.Map;
 
-/** Reads JSON: objects become maps, arrays lists, strings strings, all else a {@link Bare}. */
+/** Reads JSON: objects become maps, arrays lists, strings strings, all else a {@link Literal}. */
 public final class Json {
     /** A number, true, false or null, as it was written. */
-    public record Bare(String text) {
+    public record Literal(String text) {
         @Override
         public String toString() {
             return text;
@@ -128,7 +128,7 @@
         };
     }
 
-    private Bare bare() {
+    private Literal bare() {
         int from = at;
         while (at < in.length() && ",:]}[{\" \t\r\n".indexOf(in.charAt(at)) < 0) {
             at++;
@@ -138,7 +138,7 @@
             at = from;
             throw bad("a value");
         }
-        return new Bare(text);
+        return new Literal(text);
     }
 
     private char peek() {
@@ -161,7 +161,7 @@
         }
     }
 
-    private Fault bad(String expected) {
-        return new Fault("JSON: expected " + expected + " at character " + at);
+    private InvalidInputException bad(String expected) {
+        return new InvalidInputException("JSON: expected " + expected + " at character " + at);
     }
 }
--- a/settings/src/main/java/mulleinlever/settings/JsonFields.java
+++ b/settings/src/main/java/mulleinlever/settings/JsonFieldReader.java
@@ -8,31 +8,31 @@
  * The fields of a JSON object, those of objects within it under their path; a fault names the whole
  * path.
  */
-public final class JsonFields extends Fields {
+public final class JsonFieldReader extends FieldReader {
     private final String where;
     private final Object root;
 
-    public JsonFields(String where, Object root) {
+    public JsonFieldReader(String where, Object root) {
         this.where = where;
         this.root = root;
     }
 
     /** The object at a path within this one. */
-    public JsonFields inner(String path) {
+    public JsonFieldReader inner(String path) {
         if (!(walk(path) instanceof Map)) {
             throw bad(path, "an object");
         }
-        return new JsonFields(where + path + ".", walk(path));
+        return new JsonFieldReader(where + path + ".", walk(path));
     }
 
     /** The objects of the list at a path. */
-    public List<JsonFields> all(String path) {
+    public List<JsonFieldReader> all(String path) {
         if (!(walk(path) instanceof List<?> list)) {
             throw bad(path, "a list");
         }
         int[] i = {0};
         return list.stream()
-                .map(o -> new JsonFields(where + path + "." + i[0]++ + ".", o))
+                .map(o -> new JsonFieldReader(where + path + "." + i[0]++ + ".", o))
                 .toList();
     }
 
@@ -46,7 +46,7 @@
         if (v instanceof List<?> list) {
             return list.stream().map(String::valueOf).collect(Collectors.joining(","));
         }
-        return v == null || v instanceof Json.Bare b && b.text().equals("null")
+        return v == null || v instanceof Json.Literal b && b.text().equals("null")
                 ? null
                 : v.toString();
     }
@@ -67,7 +67,8 @@
     }
 
     @Override
-    public Fault bad(String name, String needs) {
-        return new Fault(where + name + (needs == null ? " is missing" : " needs " + needs));
+    public InvalidInputException bad(String name, String needs) {
+        return new InvalidInputException(
+                where + name + (needs == null ? " is missing" : " needs " + needs));
     }
 }
--- a/settings/src/main/java/mulleinlever/settings/SettingsFields.java
+++ b/settings/src/main/java/mulleinlever/settings/SettingsReader.java
@@ -3,31 +3,31 @@
 import java.util.ArrayList;
 import java.util.List;
 import mulleinlever.Settings;
-import mulleinlever.Settings.Control;
-import mulleinlever.Settings.Limits;
-import mulleinlever.Settings.Prices;
-import mulleinlever.Settings.Repeat;
+import mulleinlever.Settings.Contract;
+import mulleinlever.Settings.CostWeights;
+import mulleinlever.Settings.DedupScope;
+import mulleinlever.Settings.PolicyLimits;
 import mulleinlever.Settings.ReportSource;
-import mulleinlever.Settings.Rollout;
-import mulleinlever.Settings.Route;
-import mulleinlever.Settings.Rules;
-import mulleinlever.Settings.Scope;
-import mulleinlever.Settings.Tenant;
+import mulleinlever.Settings.RetrySafety;
+import mulleinlever.Settings.RolloutSettings;
+import mulleinlever.Settings.RouteSettings;
+import mulleinlever.Settings.TenantSettings;
+import mulleinlever.Settings.VoteControl;
 
 /** Reads the settings of a sidecar: from a start line of the wire, or from a configuration. */
-public final class SettingsFields {
-    private SettingsFields() {}
+public final class SettingsReader {
+    private SettingsReader() {}
 
-    public static Settings read(Fields l) {
-        List<Route> routes = new ArrayList<>();
+    public static Settings read(FieldReader l) {
+        List<RouteSettings> routes = new ArrayList<>();
         for (int i = 0; i < l.count("grades.count"); i++) {
             routes.add(route(l, "grades." + i + "."));
         }
-        List<Tenant> tenants = new ArrayList<>();
+        List<TenantSettings> tenants = new ArrayList<>();
         for (int i = 0; i < l.whole("tenants.count", 0); i++) {
             String at = "tenants." + i + ".";
             tenants.add(
-                    new Tenant(
+                    new TenantSettings(
                             l.text(at + "name"),
                             l.number(at + "quotaRps", Double.POSITIVE_INFINITY),
                             l.number(at + "share", 0)));
@@ -39,8 +39,8 @@
                     case "off" -> ReportSource.OFF;
                     default -> throw l.bad("reporting.source", "inline, on_probe or off");
                 };
-        Rules rules =
-                new Rules(
+        Contract rules =
+                new Contract(
                         l.whole("contract.answerSlackNs", 0),
                         l.whole("contract.stopSendingWithinNs", 0),
                         l.number("contract.coldShare", 1),
@@ -48,8 +48,8 @@
                         l.number("contract.fallMultiple", 1),
                         l.whole("contract.fallNs", 0),
                         l.whole("contract.askWithinNs", Long.MAX_VALUE));
-        Limits limits =
-                new Limits(
+        PolicyLimits limits =
+                new PolicyLimits(
                         (int) l.whole("policyLimits.maxAttempts", 1),
                         (int) l.whole("policyLimits.maxOpen", Integer.MAX_VALUE),
                         l.flag("policyLimits.cancel", false),
@@ -60,8 +60,8 @@
                         (int) l.whole("policyLimits.streamsPerConn", 1),
                         l.whole("policyLimits.connectTimeoutNs", 0),
                         l.whole("policyLimits.connIdleNs", 0));
-        Prices prices =
-                new Prices(
+        CostWeights prices =
+                new CostWeights(
                         l.number("prices.crossZone", 0),
                         l.number("prices.waste", 0),
                         l.number("prices.probe", 0),
@@ -85,31 +85,31 @@
                 !l.text("weights", "off").equals("off"));
     }
 
-    private static Route route(Fields l, String at) {
-        Repeat repeat =
+    private static RouteSettings route(FieldReader l, String at) {
+        RetrySafety repeat =
                 switch (l.text(at + "repeat")) {
-                    case "safe" -> Repeat.RETRIABLE;
-                    case "keyed" -> Repeat.DEDUPED;
-                    case "unsafe" -> Repeat.NON_RETRIABLE;
+                    case "safe" -> RetrySafety.RETRIABLE;
+                    case "keyed" -> RetrySafety.DEDUPED;
+                    case "unsafe" -> RetrySafety.NON_RETRIABLE;
                     default -> throw l.bad(at + "repeat", "safe, keyed or unsafe");
                 };
-        return new Route(
+        return new RouteSettings(
                 l.text(at + "name"),
                 l.whole(at + "aimNs"),
                 l.number(at + "aimStretch", 0),
                 l.whole(at + "deadlineNs"),
                 repeat,
-                l.has(at + "keyScope") ? l.word(at + "keyScope", Scope.class) : Scope.ALL,
+                l.has(at + "keyScope") ? l.word(at + "keyScope", DedupScope.class) : DedupScope.ALL,
                 l.whole(at + "windowNs", 0),
                 l.flag(at + "streamed", false),
                 l.number(at + "lateWorth", 0),
                 l.number(at + "worth", 1));
     }
 
-    private static Rollout rollout(Fields l) {
+    private static RolloutSettings rollout(FieldReader l) {
         String at = "familyInfo.";
-        return new Rollout(
-                l.word(at + "control", Control.class),
+        return new RolloutSettings(
+                l.word(at + "control", VoteControl.class),
                 l.text(at + "replaceMode", "side_by_side").equals("rolling"),
                 l.count(at + "ayesNeeded"),
                 l.count(at + "votesToRevert"),
@@ -135,7 +135,7 @@
                 l.number(at + "damagePrice", 0));
     }
 
-    private static List<Double> numbers(Fields l, String name) {
+    private static List<Double> numbers(FieldReader l, String name) {
         List<Double> all = new ArrayList<>();
         for (String v : l.text(name).split(",")) {
             all.add(l.parseNumber(name, v));
--- a/settings/src/main/java/mulleinlever/settings/Nearest.java
+++ b/settings/src/main/java/mulleinlever/settings/SpellingSuggestion.java
@@ -5,8 +5,8 @@
 import java.util.stream.IntStream;
 
 /** The known name that a misspelt one was most likely meant to be. */
-final class Nearest {
-    private Nearest() {}
+final class SpellingSuggestion {
+    private SpellingSuggestion() {}
 
     /** Words to put behind a fault; none where nothing known is near. */
     static String hint(String wrong, Collection<String> known) {
--- a/settings/src/main/java/mulleinlever/settings/TomlFile.java
+++ b/settings/src/main/java/mulleinlever/settings/TomlFile.java
@@ -35,20 +35,20 @@
     /**
      * Reads a file whole.
      *
-     * @throws Fault where it can't be read or is no TOML
+     * @throws InvalidInputException where it can't be read or is no TOML
      */
     public static TomlFile read(Path file) {
         try {
             if (Files.size(file) > LONGEST) {
-                throw new Fault(file + ": is longer than " + LONGEST + " bytes");
+                throw new InvalidInputException(file + ": is longer than " + LONGEST + " bytes");
             }
             return parse(file.toString(), Files.readString(file));
         } catch (NoSuchFileException e) {
-            throw new Fault(file + ": there is no such file");
+            throw new InvalidInputException(file + ": there is no such file");
         } catch (MalformedInputException e) {
-            throw new Fault(file + ": is not UTF-8");
+            throw new InvalidInputException(file + ": is not UTF-8");
         } catch (IOException e) {
-            throw new Fault(file + ": can't be read: " + e.getMessage());
+            throw new InvalidInputException(file + ": can't be read: " + e.getMessage());
         }
     }
 
@@ -56,13 +56,13 @@
      * Reads a text.
      *
      * @param name what faults name it
-     * @throws Fault where it is no TOML; of several errors the first is told
+     * @throws InvalidInputException where it is no TOML; of several errors the first is told
      */
     public static TomlFile parse(String name, String text) {
         TomlParseResult result = Toml.parse(text);
         if (result.hasErrors()) {
             TomlParseError e = result.errors().get(0);
-            throw new Fault(
+            throw new InvalidInputException(
                     at(name, e.position()) + e.getMessage().lines().findFirst().orElse("no TOML"));
         }
         return new TomlFile(name, result);
@@ -77,7 +77,7 @@
                 k -> {
                     Object value = root.get(List.of(k));
                     if (value != null && !(value instanceof TomlTable)) {
-                        throw new Fault(
+                        throw new InvalidInputException(
                                 at(name, root.inputPositionOf(List.of(k)))
                                         + k
                                         + " needs to be a table");
@@ -89,16 +89,17 @@
     /**
      * To be called when all was asked for.
      *
-     * @throws Fault at the first key that nothing asked for, with the nearest that something did
+     * @throws InvalidInputException at the first key that nothing asked for, with the nearest that
+     *     something did
      */
     public void done() {
         for (String key : root.keySet()) {
             if (!asked.containsKey(key)) {
-                throw new Fault(
+                throw new InvalidInputException(
                         at(name, root.inputPositionOf(List.of(key)))
                                 + "no such table: "
                                 + key
-                                + Nearest.hint(key, asked.keySet()));
+                                + SpellingSuggestion.hint(key, asked.keySet()));
             }
         }
         asked.values().forEach(TomlSection::done);
--- a/settings/src/main/java/mulleinlever/settings/TomlSection.java
+++ b/settings/src/main/java/mulleinlever/settings/TomlSection.java
@@ -17,8 +17,8 @@
 
 /**
  * A table of a {@link TomlFile}. Each getter names the key, what stands in for it where it is
- * absent, and its bounds; a value of another type or beyond its bounds is a {@link Fault} with
- * file, line and column.
+ * absent, and its bounds; a value of another type or beyond its bounds is a {@link
+ * InvalidInputException} with file, line and column.
  */
 public final class TomlSection {
     private static final Pattern DURATION =
@@ -223,14 +223,14 @@
     }
 
     /** The fault to throw for a key that is read but does not fit. */
-    public Fault bad(String key, String needs) {
+    public InvalidInputException bad(String key, String needs) {
         TomlPosition at =
                 table == null || value(key) == null ? null : table.inputPositionOf(List.of(key));
-        return new Fault(TomlFile.at(file, at) + path + "." + key + " " + needs);
+        return new InvalidInputException(TomlFile.at(file, at) + path + "." + key + " " + needs);
     }
 
-    private Fault missing(String key) {
-        return new Fault(file + ": " + path + "." + key + " is missing");
+    private InvalidInputException missing(String key) {
+        return new InvalidInputException(file + ": " + path + "." + key + " is missing");
     }
 
     private Object value(String key) {
@@ -244,13 +244,13 @@
         }
         for (String key : table.keySet()) {
             if (!known.contains(key)) {
-                throw new Fault(
+                throw new InvalidInputException(
                         TomlFile.at(file, table.inputPositionOf(List.of(key)))
                                 + "no such key: "
                                 + path
                                 + "."
                                 + key
-                                + Nearest.hint(key, known));
+                                + SpellingSuggestion.hint(key, known));
             }
         }
         inner.values().forEach(TomlSection::done);
--- a/settings/src/test/java/mulleinlever/settings/JsonTest.java
+++ b/settings/src/test/java/mulleinlever/settings/JsonTest.java
@@ -23,7 +23,7 @@
         if (value instanceof List<?> list) {
             return "[ " + String.join(",", list.stream().map(JsonTest::written).toList()) + "]";
         }
-        return value instanceof Json.Bare
+        return value instanceof Json.Literal
                 ? value.toString()
                 : "\""
                         + value.toString()
@@ -37,7 +37,7 @@
         int n = random.nextInt(4);
         switch (random.nextInt(depth > 3 ? 2 : 4)) {
             case 0:
-                return new Json.Bare(List.of("1", "-2.5e3", "true", "null").get(n));
+                return new Json.Literal(List.of("1", "-2.5e3", "true", "null").get(n));
             case 1:
                 return List.of("", "a\\b", "\"", "line\nline").get(n);
             case 2:
@@ -63,8 +63,8 @@
             String text = written(value);
             assertEquals(value, Json.read(" " + text + "\n"));
             String part = text.substring(0, random.nextInt(text.length()));
-            assertThrows(Fault.class, () -> Json.read(part));
+            assertThrows(InvalidInputException.class, () -> Json.read(part));
         }
-        assertThrows(Fault.class, () -> Json.read("[".repeat(5000)));
+        assertThrows(InvalidInputException.class, () -> Json.read("[".repeat(5000)));
     }
 }
--- a/settings/src/test/java/mulleinlever/settings/TomlTest.java
+++ b/settings/src/test/java/mulleinlever/settings/TomlTest.java
@@ -18,16 +18,17 @@
 class TomlTest {
     @TempDir Path folder;
 
-    private static Ours of(String text) {
-        return Ours.of(TomlFile.parse("x.toml", text.replace('|', '\n')));
+    private static FeatureSettings of(String text) {
+        return FeatureSettings.of(TomlFile.parse("x.toml", text.replace('|', '\n')));
     }
 
     @Test
     void whatIsAbsentIsOffOrHasItsDefault() {
         assertNull(of("# nothing").remember());
-        Ours.Remember r = of("[state]|folder = '/var/x'|every = \"1.5s\"").remember();
+        FeatureSettings.StateSettings r =
+                of("[state]|folder = '/var/x'|every = \"1.5s\"").remember();
         assertEquals(
-                new Ours.Remember(
+                new FeatureSettings.StateSettings(
                         Path.of("/var/x"),
                         1_500_000_000L,
                         0.2,
@@ -59,7 +60,7 @@
                 "[state]|folder = 'x'|folder = 'y', x.toml:3:1: "
             })
     void aFaultIsNamedByFileLineAndColumn(String text, String message) {
-        Fault f = assertThrows(Fault.class, () -> of(text));
+        InvalidInputException f = assertThrows(InvalidInputException.class, () -> of(text));
         assertTrue(f.getMessage().startsWith(message), f.getMessage());
         assertEquals(1, f.getMessage().lines().count());
     }
@@ -69,17 +70,24 @@
         Path empty = Files.writeString(folder.resolve("empty.toml"), "");
         Path one = Files.writeString(folder.resolve("one.toml"), "[state]\nfolder = 'x'\n");
         Path two = Files.writeString(folder.resolve("two.toml"), "[state]\nfolder = 'y'\n");
-        assertEquals(Path.of("x"), Ours.read(List.of(empty, one)).remember().folder());
-        Fault twice = assertThrows(Fault.class, () -> Ours.read(List.of(one, empty, two)));
+        assertEquals(Path.of("x"), FeatureSettings.read(List.of(empty, one)).remember().folder());
+        InvalidInputException twice =
+                assertThrows(
+                        InvalidInputException.class,
+                        () -> FeatureSettings.read(List.of(one, empty, two)));
         assertEquals(two + ": the table state stands in " + one + " too", twice.getMessage());
         Path gone = folder.resolve("gone.toml");
         assertEquals(
                 gone + ": there is no such file",
-                assertThrows(Fault.class, () -> Ours.read(List.of(gone))).getMessage());
+                assertThrows(InvalidInputException.class, () -> FeatureSettings.read(List.of(gone)))
+                        .getMessage());
         Path bytes = Files.write(folder.resolve("bytes.toml"), new byte[] {'a', (byte) 0xff});
         assertEquals(
                 bytes + ": is not UTF-8",
-                assertThrows(Fault.class, () -> Ours.read(List.of(bytes))).getMessage());
+                assertThrows(
+                                InvalidInputException.class,
+                                () -> FeatureSettings.read(List.of(bytes)))
+                        .getMessage());
     }
 
     /** The plain meaning of the distance: the cheapest of three first steps, by recursion. */
@@ -105,7 +113,7 @@
                                         StringBuilder::append)
                                 .toString();
             }
-            assertEquals(plainly(words[0], words[1]), Nearest.edits(words[0], words[1]));
+            assertEquals(plainly(words[0], words[1]), SpellingSuggestion.edits(words[0], words[1]));
         }
     }
 }
--- a/sidecar/src/main/java/mulleinlever/sidecar/AcceptFailures.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/AcceptFailureHandler.java
@@ -10,19 +10,19 @@
  * spin while descriptors are short and clients wait in the machine's queue; Netty alone would pause
  * for a second.
  */
-final class AcceptFailures extends ChannelInboundHandlerAdapter {
+final class AcceptFailureHandler extends ChannelInboundHandlerAdapter {
     private static final long PAUSE_MS = 20;
 
     /** From one line of the log to the next. */
     private static final long TELL_NS = 1_000_000_000L;
 
-    private final Log log;
+    private final RateLimitedLog log;
     private int failures;
     private boolean paused;
     private boolean told;
     private long toldNs;
 
-    AcceptFailures(Log log) {
+    AcceptFailureHandler(RateLimitedLog log) {
         this.log = log;
     }
 
--- a/sidecar/src/main/java/mulleinlever/sidecar/Patience.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/AdaptiveConnectTimeout.java
@@ -1,6 +1,6 @@
 package mulleinlever.sidecar;
 
-import mulleinlever.Decay;
+import mulleinlever.DecayingSum;
 
 /**
  * Decides how long a connection to a pod may take to come up before the try that waits for it goes
@@ -9,7 +9,7 @@
  * the slowest of late. Where many fail, pods may be slow rather than gone, and giving up sooner
  * would cost them one handshake more each time: then it waits longer.
  */
-final class Patience {
+final class AdaptiveConnectTimeout {
     private static final double TIMES_SLOWEST = 3;
 
     /** Fewer show too little of what is usual. */
@@ -25,12 +25,12 @@
 
     private final long mostNs;
     private long ups;
-    private final Decay slowestNs = new Decay(HALF_LIFE_NS);
-    private final Decay cameUp = new Decay(HALF_LIFE_NS);
-    private final Decay tooLate = new Decay(HALF_LIFE_NS);
+    private final DecayingSum slowestNs = new DecayingSum(HALF_LIFE_NS);
+    private final DecayingSum cameUp = new DecayingSum(HALF_LIFE_NS);
+    private final DecayingSum tooLate = new DecayingSum(HALF_LIFE_NS);
 
     /** Up to what the settings allow, in nanoseconds. */
-    Patience(long mostNs) {
+    AdaptiveConnectTimeout(long mostNs) {
         this.mostNs = mostNs;
     }
 
--- a/sidecar/src/main/java/mulleinlever/sidecar/Chunked.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/ChunkedHttpConnection.java
@@ -1,11 +1,11 @@
 package mulleinlever.sidecar;
 
 import io.netty.buffer.ByteBuf;
-import mulleinlever.settings.Fault;
+import mulleinlever.settings.InvalidInputException;
 
 /** The lines of one HTTP/1.1 answer that is sent in chunks. */
-abstract class Chunked extends Lines {
-    private enum Part {
+abstract class ChunkedHttpConnection extends LineConnection {
+    private enum ParseState {
         STATUS,
         HEADERS,
         SIZE,
@@ -17,11 +17,11 @@
     private static final int MOST_HEAD = 8192;
 
     private final StringBuilder head = new StringBuilder();
-    private Part part = Part.STATUS;
+    private ParseState part = ParseState.STATUS;
     private boolean chunked;
     private int left;
 
-    Chunked(Net net, int longest, Log log, String about) {
+    ChunkedHttpConnection(NettyTransport net, int longest, RateLimitedLog log, String about) {
         super(net, longest, log, about);
     }
 
@@ -31,13 +31,13 @@
     @Override
     final void bytes(ByteBuf in) {
         while (in.isReadable()) {
-            if (part == Part.DATA) {
+            if (part == ParseState.DATA) {
                 int n = Math.min(left, in.readableBytes());
                 for (int i = 0; i < n; i++) {
                     letter(in.readByte());
                 }
                 left -= n;
-                part = left == 0 ? Part.DATA_END : part;
+                part = left == 0 ? ParseState.DATA_END : part;
             } else {
                 headLetter((char) in.readUnsignedByte());
             }
@@ -47,7 +47,7 @@
     private void headLetter(char c) {
         if (c != '\n') {
             if (head.length() == MOST_HEAD) {
-                throw new Fault("a head longer than " + MOST_HEAD);
+                throw new InvalidInputException("a head longer than " + MOST_HEAD);
             }
             head.append(c);
             return;
@@ -57,22 +57,22 @@
         switch (part) {
             case STATUS -> {
                 if (!text.matches("HTTP/1\\.[01] 200( .*)?")) {
-                    throw new UnexpectedStatus(text);
+                    throw new UnexpectedStatusException(text);
                 }
-                part = Part.HEADERS;
+                part = ParseState.HEADERS;
             }
             case HEADERS -> {
                 chunked |= text.matches("(?i)transfer-encoding:\\s*chunked");
                 if (text.isEmpty() && !chunked) {
-                    throw new Fault("discovery answers in one piece");
+                    throw new InvalidInputException("discovery answers in one piece");
                 }
-                part = text.isEmpty() ? Part.SIZE : part;
+                part = text.isEmpty() ? ParseState.SIZE : part;
             }
             case SIZE -> {
                 left = size(text);
-                part = left == 0 ? Part.TRAILER : Part.DATA;
+                part = left == 0 ? ParseState.TRAILER : ParseState.DATA;
             }
-            case DATA_END -> part = Part.SIZE;
+            case DATA_END -> part = ParseState.SIZE;
             default -> {
                 if (text.isEmpty()) {
                     complete();
@@ -88,8 +88,8 @@
                 return n;
             }
         } catch (NumberFormatException e) {
-            throw new Fault("a chunk of size " + text);
+            throw new InvalidInputException("a chunk of size " + text);
         }
-        throw new Fault("a chunk of size " + text);
+        throw new InvalidInputException("a chunk of size " + text);
     }
 }
--- a/sidecar/src/main/java/mulleinlever/sidecar/TakeIn.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/ClientConnection.java
@@ -8,13 +8,13 @@
 import io.netty.channel.ChannelInboundHandlerAdapter;
 import java.io.IOException;
 import java.util.ArrayDeque;
-import mulleinlever.settings.Fault;
+import mulleinlever.settings.InvalidInputException;
 
 /**
  * First stage: one client's connection, from its bytes to its commands, and the answers in their
  * order.
  */
-final class TakeIn extends ChannelInboundHandlerAdapter {
+final class ClientConnection extends ChannelInboundHandlerAdapter {
     private static final int MOST_IN_LINE = 32;
 
     /** Against peers that go silent before or within a message, or take no answer. */
@@ -23,15 +23,15 @@
     private static final int SSL = 80_877_103;
     private static final int GSS = 80_877_104;
 
-    private final Admit admit;
-    private final Clients clients;
-    private final Flow flow;
-    private final Book book;
+    private final QueryHandler admit;
+    private final ClientConnections clients;
+    private final ReqMemoryLimiter flow;
+    private final ReqRegistry book;
     private final Clock clock;
-    private final Log log;
-    private final ArrayDeque<Held> line = new ArrayDeque<>();
+    private final RateLimitedLog log;
+    private final ArrayDeque<PendingCommand> line = new ArrayDeque<>();
     private Channel channel;
-    private Frames frames;
+    private PostgresMessageDecoder frames;
     private boolean started;
     private boolean closing;
     private long movedNs;
@@ -43,7 +43,13 @@
 
     private int untaken;
 
-    TakeIn(Admit admit, Clients clients, Flow flow, Book book, Clock clock, Log log) {
+    ClientConnection(
+            QueryHandler admit,
+            ClientConnections clients,
+            ReqMemoryLimiter flow,
+            ReqRegistry book,
+            Clock clock,
+            RateLimitedLog log) {
         this.admit = admit;
         this.clients = clients;
         this.flow = flow;
@@ -55,7 +61,7 @@
     @Override
     public void channelActive(ChannelHandlerContext ctx) {
         channel = ctx.channel();
-        frames = new Frames(ctx.alloc());
+        frames = new PostgresMessageDecoder(ctx.alloc());
         movedNs = clock.now();
         clients.opened(this, movedNs);
     }
@@ -80,7 +86,7 @@
                     startup();
                 }
             }
-        } catch (Fault e) {
+        } catch (InvalidInputException e) {
             malformed(e.getMessage());
         }
         count(frames.taken());
@@ -131,12 +137,12 @@
     private void startup() {
         int code = frames.length >= 4 ? frames.bytes().getInt(frames.at) : 0;
         if (code == SSL || code == GSS) {
-            channel.writeAndFlush(Replies.noCrypto());
+            channel.writeAndFlush(PostgresMessages.noCrypto());
         } else if (code >>> 16 == 3) {
             started = true;
-            channel.writeAndFlush(Replies.welcome());
+            channel.writeAndFlush(PostgresMessages.welcome());
         } else {
-            throw new Fault("no such startup");
+            throw new InvalidInputException("no such startup");
         }
     }
 
@@ -145,7 +151,7 @@
             case 'Q' -> {
                 if (frames.length < 1
                         || frames.bytes().getByte(frames.at + frames.length - 1) != 0) {
-                    throw new Fault("a query without its end");
+                    throw new InvalidInputException("a query without its end");
                 }
                 admit.query(this, frames.keep());
             }
@@ -153,30 +159,30 @@
                 closing = true;
                 closeIfIdle();
             }
-            default -> throw new Fault("no such command");
+            default -> throw new InvalidInputException("no such command");
         }
     }
 
     /** What came before gets its answers, then the connection ends. */
     private void malformed(String why) {
         closing = true;
-        command(Replies.error(Replies.MALFORMED, why, 0, false));
+        command(PostgresMessages.error(PostgresMessages.MALFORMED, why, 0, false));
     }
 
     /** A command that is no req takes its place in the line with its answer. */
     void command(ByteBuf answer) {
-        Held held = new Held(this, null);
+        PendingCommand held = new PendingCommand(this, null);
         held.answer = answer;
         line.add(held);
         answerReady();
     }
 
-    void inLine(Held held) {
+    void inLine(PendingCommand held) {
         line.add(held);
         flow.add(held.bytes());
     }
 
-    void settled(Held held) {
+    void settled(PendingCommand held) {
         flow.remove(held.bytes());
     }
 
@@ -245,7 +251,7 @@
         flow.forget(this);
         count(0);
         frames.close();
-        for (Held held : line) {
+        for (PendingCommand held : line) {
             if (held.answer != null) {
                 held.answer.release();
             }
--- a/sidecar/src/main/java/mulleinlever/sidecar/Clients.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/ClientConnections.java
@@ -7,16 +7,16 @@
 import java.util.Set;
 
 /** The clients' connections: how many there may be, and which have been silent for too long. */
-final class Clients {
+final class ClientConnections {
     private static final long MOST_OWED = 8L << 20;
 
     private final int most;
-    private final Life life;
-    private final Set<TakeIn> all = new LinkedHashSet<>();
+    private final Lifecycle life;
+    private final Set<ClientConnection> all = new LinkedHashSet<>();
     private Channel listener;
     private long owed;
 
-    Clients(int most, Life life) {
+    ClientConnections(int most, Lifecycle life) {
         this.most = most;
         this.life = life;
     }
@@ -33,18 +33,19 @@
      * At the most, the one idle for longest goes. If none is idle no more are accepted: they wait
      * in the machine's queue rather than use up descriptors.
      */
-    void opened(TakeIn client, long now) {
+    void opened(ClientConnection client, long now) {
         all.add(client);
         if (all.size() >= most) {
             all.stream()
                     .filter(c -> c != client && c.idleNs(now) >= 0)
                     .max(Comparator.comparingLong(c -> c.idleNs(now)))
                     .ifPresentOrElse(
-                            TakeIn::closeIfIdle, () -> listener.config().setAutoRead(false));
+                            ClientConnection::closeIfIdle,
+                            () -> listener.config().setAutoRead(false));
         }
     }
 
-    void closed(TakeIn client) {
+    void closed(ClientConnection client) {
         all.remove(client);
         if (all.size() < most && !listener.config().isAutoRead()) {
             listener.config().setAutoRead(true);
@@ -59,9 +60,9 @@
         owed += more;
         if (more > 0 && owed > MOST_OWED) {
             all.stream()
-                    .filter(TakeIn::owes)
-                    .min(Comparator.comparingLong(TakeIn::movedNs))
-                    .ifPresent(TakeIn::drop);
+                    .filter(ClientConnection::owes)
+                    .min(Comparator.comparingLong(ClientConnection::movedNs))
+                    .ifPresent(ClientConnection::drop);
         }
     }
 
@@ -71,10 +72,10 @@
 
     void finish() {
         listener.close();
-        new ArrayList<>(all).forEach(TakeIn::closeIfIdle);
+        new ArrayList<>(all).forEach(ClientConnection::closeIfIdle);
     }
 
     boolean finishing() {
-        return life.is(Life.Phase.FINISHING);
+        return life.is(Lifecycle.Phase.FINISHING);
     }
 }
--- a/sidecar/src/main/java/mulleinlever/sidecar/Reload.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/ConfigReloader.java
@@ -4,22 +4,23 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import mulleinlever.settings.Fault;
+import mulleinlever.settings.InvalidInputException;
 
 /**
  * At each SIGHUP the configuration is read anew: discovery and the platform may have moved. Left to
  * itself the signal ends the process, and with it all that is in hand.
  */
-final class Reload {
+final class ConfigReloader {
     private final Map<String, String> env;
-    private final Net net;
-    private final Log log;
-    private Config at;
+    private final NettyTransport net;
+    private final RateLimitedLog log;
+    private SidecarConfig at;
 
     /** Null while the sidecar starts. */
-    private Stages stages;
+    private SidecarComponents stages;
 
-    Reload(Map<String, String> env, Config at, Net net, Log log) {
+    ConfigReloader(
+            Map<String, String> env, SidecarConfig at, NettyTransport net, RateLimitedLog log) {
         this.env = env;
         this.at = at;
         this.net = net;
@@ -27,7 +28,7 @@
     }
 
     /** What was told until now counts for these. */
-    void actsOn(Stages started) {
+    void actsOn(SidecarComponents started) {
         stages = started;
         stages.discovery.moved(at.discovery());
         stages.platform.moved(at.platform());
@@ -62,22 +63,26 @@
      * before stands.
      */
     private synchronized void heard() {
-        Config next;
+        SidecarConfig next;
         try {
-            next = Config.load(env);
+            next = SidecarConfig.load(env);
         } catch (RuntimeException e) {
             log.say(
                     "reload",
-                    "nothing is changed: " + (e instanceof Fault ? e.getMessage() : e.toString()));
+                    "nothing is changed: "
+                            + (e instanceof InvalidInputException ? e.getMessage() : e.toString()));
             return;
         }
         net.soon(() -> take(next));
     }
 
-    private void take(Config next) {
+    private void take(SidecarConfig next) {
         List<String> left = new ArrayList<>();
-        for (String key : Config.KEPT.keySet()) {
-            if (!Config.KEPT.get(key).apply(next).equals(Config.KEPT.get(key).apply(at))) {
+        for (String key : SidecarConfig.KEPT.keySet()) {
+            if (!SidecarConfig.KEPT
+                    .get(key)
+                    .apply(next)
+                    .equals(SidecarConfig.KEPT.get(key).apply(at))) {
                 left.add(key);
             }
         }
--- a/sidecar/src/main/java/mulleinlever/sidecar/Discovery.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/DiscoveryClient.java
@@ -4,12 +4,12 @@
 import java.util.Locale;
 import mulleinlever.Policy;
 import mulleinlever.settings.Json;
-import mulleinlever.settings.JsonFields;
+import mulleinlever.settings.JsonFieldReader;
 
 /**
  * Watches the list of pods. When a watch ends the module is told, and asks again when it wants to.
  */
-final class Discovery {
+final class DiscoveryClient {
     private static final int LONGEST = 4 << 20;
     private static final long CONNECT_NS = 1_000_000_000L;
 
@@ -27,11 +27,11 @@
     /** An answer that comes slowly is waited for, but not for ever. */
     private static final long OBJECT_NS = 20_000_000_000L;
 
-    private final Net net;
+    private final NettyTransport net;
     private final Clock clock;
-    private final Log log;
+    private final RateLimitedLog log;
     private InetSocketAddress address;
-    private final Pods pods;
+    private final PodConnectionPool pods;
     private Policy policy;
     private long version;
     private Watch watch;
@@ -52,7 +52,12 @@
     /** Whether nobody listened at its address when it was asked last. */
     private boolean unreached;
 
-    Discovery(Net net, Clock clock, Log log, InetSocketAddress address, Pods pods) {
+    DiscoveryClient(
+            NettyTransport net,
+            Clock clock,
+            RateLimitedLog log,
+            InetSocketAddress address,
+            PodConnectionPool pods) {
         this.net = net;
         this.clock = clock;
         this.log = log;
@@ -132,9 +137,9 @@
         }
     }
 
-    private final class Watch extends Chunked {
+    private final class Watch extends ChunkedHttpConnection {
         private final int number;
-        private final JsonObjects objects = new JsonObjects(LONGEST);
+        private final JsonObjectAssembler objects = new JsonObjectAssembler(LONGEST);
 
         /** When the object under way began, at the latest when the one before was whole. */
         private long objectNs = clock.now();
@@ -174,7 +179,7 @@
             if (object.isBlank()) {
                 policy.listConfirmed(clock.now());
             } else {
-                take(PodList.read(new JsonFields("discovery: ", Json.read(object))));
+                take(PodList.read(new JsonFieldReader("discovery: ", Json.read(object))));
             }
             heardNs = clock.now();
             heard = true;
--- a/sidecar/src/main/java/mulleinlever/sidecar/InnerNet.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/InProcessTransport.java
@@ -17,10 +17,10 @@
  * A loop of its own whose connections stay within the process: no socket is opened, whatever the
  * address.
  */
-final class InnerNet extends Net {
+final class InProcessTransport extends NettyTransport {
     private final Map<InetSocketAddress, LocalAddress> addresses = new HashMap<>();
 
-    InnerNet(Log log) {
+    InProcessTransport(RateLimitedLog log) {
         super(log, LocalIoHandler.newFactory());
     }
 
@@ -29,7 +29,7 @@
      * them all.
      */
     private LocalAddress inner(InetSocketAddress at) {
-        return addresses.computeIfAbsent(at, a -> new LocalAddress(InnerNet.class));
+        return addresses.computeIfAbsent(at, a -> new LocalAddress(InProcessTransport.class));
     }
 
     @Override
--- a/sidecar/src/main/java/mulleinlever/sidecar/JsonObjects.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/JsonObjectAssembler.java
@@ -1,9 +1,9 @@
 package mulleinlever.sidecar;
 
-import mulleinlever.settings.Fault;
+import mulleinlever.settings.InvalidInputException;
 
 /** Puts JSON objects together from lines: one may take a single line or, indented, many. */
-final class JsonObjects {
+final class JsonObjectAssembler {
     private final int longest;
     private final StringBuilder begun = new StringBuilder();
     private int depth;
@@ -13,7 +13,7 @@
     /**
      * @param longest characters of an object at most
      */
-    JsonObjects(int longest) {
+    JsonObjectAssembler(int longest) {
         this.longest = longest;
     }
 
@@ -22,7 +22,7 @@
      *
      * @return the object that ends with this line, a blank text for a blank line between objects,
      *     or null within one
-     * @throws Fault where the object is longer than allowed
+     * @throws InvalidInputException where the object is longer than allowed
      */
     String add(String line) {
         for (int i = 0; i < line.length(); i++) {
@@ -33,7 +33,7 @@
             return line;
         }
         if (begun.length() + line.length() > longest) {
-            throw new Fault("an object longer than " + longest);
+            throw new InvalidInputException("an object longer than " + longest);
         }
         begun.append(line).append('\n');
         if (depth > 0) {
--- a/sidecar/src/main/java/mulleinlever/sidecar/Life.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/Lifecycle.java
@@ -3,7 +3,7 @@
 import java.util.Locale;
 
 /** The phases of the process, from start to exit. */
-final class Life {
+final class Lifecycle {
     enum Phase {
         /** Reads its configuration and rehearses; nothing listens yet. */
         STARTING,
@@ -15,10 +15,10 @@
         ENDED
     }
 
-    private final Log log;
+    private final RateLimitedLog log;
     private volatile Phase phase = Phase.STARTING;
 
-    Life(Log log) {
+    Lifecycle(RateLimitedLog log) {
         this.log = log;
     }
 
--- a/sidecar/src/main/java/mulleinlever/sidecar/Lines.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/LineConnection.java
@@ -13,10 +13,10 @@
 import java.util.Arrays;
 import java.util.Locale;
 import java.util.concurrent.Future;
-import mulleinlever.settings.Fault;
+import mulleinlever.settings.InvalidInputException;
 
 /** A connection of ours that begins with what we say; then lines of text arrive, split anywhere. */
-abstract class Lines extends ChannelInboundHandlerAdapter {
+abstract class LineConnection extends ChannelInboundHandlerAdapter {
     /** Why a connection ended. */
     enum EndReason {
         REFUSED,
@@ -30,10 +30,10 @@
     }
 
     /** An HTTP answer whose status is not the one that was asked for. */
-    static final class UnexpectedStatus extends RuntimeException {
+    static final class UnexpectedStatusException extends RuntimeException {
         private static final long serialVersionUID = 1L;
 
-        UnexpectedStatus(String statusLine) {
+        UnexpectedStatusException(String statusLine) {
             super(statusLine);
         }
     }
@@ -52,9 +52,9 @@
     private String connectError = "";
     private EndReason brokenBy = EndReason.CLOSED_BY_PEER;
 
-    private final Net net;
+    private final NettyTransport net;
     private final int longest;
-    private final Log log;
+    private final RateLimitedLog log;
     private final String about;
     private byte[] line = new byte[256];
     private int length;
@@ -62,7 +62,7 @@
     private Future<?> limit;
     private boolean over;
 
-    Lines(Net net, int longest, Log log, String about) {
+    LineConnection(NettyTransport net, int longest, RateLimitedLog log, String about) {
         this.net = net;
         this.longest = longest;
         this.log = log;
@@ -164,7 +164,7 @@
             return;
         }
         if (length == longest) {
-            throw new Fault("a line longer than " + longest);
+            throw new InvalidInputException("a line longer than " + longest);
         }
         if (length == line.length) {
             line = Arrays.copyOf(line, 2 * length);
@@ -205,7 +205,7 @@
     public final void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
         if (cause instanceof IOException) {
             brokenBy = EndReason.RESET;
-        } else if (cause instanceof UnexpectedStatus) {
+        } else if (cause instanceof UnexpectedStatusException) {
             brokenBy = EndReason.STATUS;
         } else {
             brokenBy = EndReason.UNREADABLE;
--- a/sidecar/src/main/java/mulleinlever/sidecar/NettyLog.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/NettyLogHandler.java
@@ -10,24 +10,24 @@
  * and their failure, when there are no descriptors left, ends the event loop that had only meant to
  * warn of a failed accept.
  */
-final class NettyLog extends Handler {
+final class NettyLogHandler extends Handler {
     /** Held here, since the JDK itself holds loggers weakly. */
     private static final Logger NETTY = Logger.getLogger("io.netty");
 
-    private final Log log;
+    private final RateLimitedLog log;
 
-    private NettyLog(Log log) {
+    private NettyLogHandler(RateLimitedLog log) {
         this.log = log;
         setLevel(Level.WARNING);
     }
 
     /** From now on, instead of the handlers that the process started with. */
-    static void passTo(Log log) {
+    static void passTo(RateLimitedLog log) {
         NETTY.setUseParentHandlers(false);
         for (Handler before : NETTY.getHandlers()) {
             NETTY.removeHandler(before);
         }
-        NETTY.addHandler(new NettyLog(log));
+        NETTY.addHandler(new NettyLogHandler(log));
     }
 
     @Override
--- a/sidecar/src/main/java/mulleinlever/sidecar/Net.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/NettyTransport.java
@@ -24,7 +24,7 @@
 import java.util.function.Supplier;
 
 /** The one event loop, on which everything happens, and how connections are made on it. */
-class Net {
+class NettyTransport {
     private static final int BACKLOG = 1024;
     private static final int PAGE = 8192;
 
@@ -43,13 +43,13 @@
                     false);
     private final EventLoopGroup group;
     final EventLoop loop;
-    private final Log log;
+    private final RateLimitedLog log;
 
-    Net(Log log) {
+    NettyTransport(RateLimitedLog log) {
         this(log, NioIoHandler.newFactory());
     }
 
-    Net(Log log, IoHandlerFactory factory) {
+    NettyTransport(RateLimitedLog log, IoHandlerFactory factory) {
         this.log = log;
         this.group = new MultiThreadIoEventLoopGroup(1, factory);
         this.loop = group.next();
@@ -132,7 +132,7 @@
                 .childOption(ChannelOption.ALLOCATOR, alloc)
                 .childOption(ChannelOption.RECVBUF_ALLOCATOR, reads())
                 .childOption(ChannelOption.TCP_NODELAY, true)
-                .handler(new AcceptFailures(log))
+                .handler(new AcceptFailureHandler(log))
                 .childHandler(each(handlers))
                 .bind(at);
     }
--- a/sidecar/src/main/java/mulleinlever/sidecar/Held.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/PendingCommand.java
@@ -5,19 +5,19 @@
 import java.util.List;
 
 /** A req taken and not yet done with, or another command that waits for its turn to be answered. */
-final class Held {
+final class PendingCommand {
     /**
      * What a req takes besides its text: the buffer it was read into, its tries, what the module
      * keeps.
      */
     private static final int OVERHEAD = 2048;
 
-    final TakeIn client;
+    final ClientConnection client;
 
     /** Null for a command that is no req. */
     final Statement statement;
 
-    final List<Upstream> tries = new ArrayList<>(2);
+    final List<UpstreamTry> tries = new ArrayList<>(2);
 
     /**
      * When it was taken, how long an answer earns its full worth, and how long its client waits.
@@ -32,7 +32,7 @@
 
     boolean answered;
 
-    Held(TakeIn client, Statement statement) {
+    PendingCommand(ClientConnection client, Statement statement) {
         this.client = client;
         this.statement = statement;
     }
--- a/sidecar/src/main/java/mulleinlever/sidecar/PodLink.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/PodConnection.java
@@ -8,11 +8,11 @@
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.util.concurrent.Future;
-import mulleinlever.Ending;
-import mulleinlever.settings.Fault;
+import mulleinlever.TryOutcome;
+import mulleinlever.settings.InvalidInputException;
 
 /** One connection to a pod: opening, then idle, resting or carrying one try. */
-final class PodLink extends ChannelInboundHandlerAdapter {
+final class PodConnection extends ChannelInboundHandlerAdapter {
     /**
      * A pod in trouble sends an answer twice, the copy up to a millisecond behind: read after the
      * next req was written, it would be taken for that one's answer.
@@ -25,17 +25,17 @@
     /** When it began to open. */
     final long beganNs;
 
-    private final Pods pods;
-    private final Relay relay;
-    private final Send send;
+    private final PodConnectionPool pods;
+    private final PodResponseHandler relay;
+    private final TryDispatcher send;
     private final Clock clock;
-    private final Log log;
+    private final RateLimitedLog log;
     private Channel channel;
-    private Frames frames;
+    private PostgresMessageDecoder frames;
     private Future<?> openLimit;
 
     /** The try that waits for this connection to open or to have rested, or is carried by it. */
-    private Upstream at;
+    private UpstreamTry at;
 
     private boolean up;
     private boolean carries;
@@ -44,17 +44,17 @@
     private boolean ready;
 
     private boolean closed;
-    final Relay.Answer answer = new Relay.Answer();
+    final PodResponseHandler.PartialResponse answer = new PodResponseHandler.PartialResponse();
     long idleSinceNs;
 
-    PodLink(
+    PodConnection(
             String pod,
             InetSocketAddress address,
-            Pods pods,
-            Relay relay,
-            Send send,
+            PodConnectionPool pods,
+            PodResponseHandler relay,
+            TryDispatcher send,
             Clock clock,
-            Log log) {
+            RateLimitedLog log) {
         this.pod = pod;
         this.address = address;
         this.pods = pods;
@@ -69,11 +69,11 @@
         return channel;
     }
 
-    void awaits(Upstream t) {
+    void awaits(UpstreamTry t) {
         at = t;
     }
 
-    void carry(Upstream t) {
+    void carry(UpstreamTry t) {
         at = t;
         carries = true;
         ready = false;
@@ -86,7 +86,7 @@
     }
 
     /** After its rest the try is written, unless the connection is given up before. */
-    void rested(Upstream t) {
+    void rested(UpstreamTry t) {
         if (at == t && !carries && !closed) {
             pods.opened(this);
             send.write(t, this);
@@ -156,12 +156,12 @@
 
     /** It broke, ended, or never came up. */
     private void lost() {
-        Upstream t = at;
+        UpstreamTry t = at;
         at = null;
         close();
         if (t != null) {
             t.link = null;
-            send.end(t, Ending.RESET);
+            send.end(t, TryOutcome.RESET);
         }
     }
 
@@ -169,7 +169,7 @@
      * Something came that nobody asked for: a try that waits for the rest to end goes over another.
      */
     private void stray() {
-        Upstream t = at;
+        UpstreamTry t = at;
         at = null;
         close();
         if (t != null) {
@@ -181,8 +181,8 @@
     @Override
     public void channelActive(ChannelHandlerContext ctx) {
         channel = ctx.channel();
-        frames = new Frames(ctx.alloc());
-        ctx.writeAndFlush(Replies.opening());
+        frames = new PostgresMessageDecoder(ctx.alloc());
+        ctx.writeAndFlush(PostgresMessages.opening());
     }
 
     @Override
@@ -209,7 +209,7 @@
             if (ready && frames.partial()) {
                 stray();
             }
-        } catch (Fault e) {
+        } catch (InvalidInputException e) {
             if (ready) {
                 stray();
             } else {
@@ -243,7 +243,7 @@
 
     private void free() {
         if (carries) {
-            throw new Fault("ready without an answer");
+            throw new InvalidInputException("ready without an answer");
         }
         ready = true;
         idleSinceNs = clock.now();
--- a/sidecar/src/main/java/mulleinlever/sidecar/Pods.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/PodConnectionPool.java
@@ -13,7 +13,7 @@
 import mulleinlever.Settings;
 
 /** Where the pods listen, and the connections to them that wait for work. */
-final class Pods {
+final class PodConnectionPool {
     /**
      * Idle connections go before the pods' own limit: a req written to a closed one would be lost.
      */
@@ -21,31 +21,31 @@
 
     private static final class Place {
         InetSocketAddress address;
-        final ArrayDeque<PodLink> idle = new ArrayDeque<>();
-        final Set<PodLink> opening = new LinkedHashSet<>();
+        final ArrayDeque<PodConnection> idle = new ArrayDeque<>();
+        final Set<PodConnection> opening = new LinkedHashSet<>();
         int links;
         boolean gone;
     }
 
-    private final Net net;
+    private final NettyTransport net;
     private final Clock clock;
-    private final Log log;
-    private final Relay relay;
+    private final RateLimitedLog log;
+    private final PodResponseHandler relay;
     private final int most;
-    private final Patience patience;
+    private final AdaptiveConnectTimeout patience;
     private final long idleNs;
     private final Map<String, Place> places = new LinkedHashMap<>();
     private int open;
-    private final Counts counts;
+    private final SidecarMetrics counts;
 
-    Pods(
-            Net net,
+    PodConnectionPool(
+            NettyTransport net,
             Clock clock,
-            Log log,
-            Relay relay,
+            RateLimitedLog log,
+            PodResponseHandler relay,
             int most,
-            Settings.Limits limits,
-            Counts counts) {
+            Settings.PolicyLimits limits,
+            SidecarMetrics counts) {
         this.counts = counts;
         this.net = net;
         this.clock = clock;
@@ -53,7 +53,7 @@
         this.relay = relay;
         this.most = most;
         this.patience =
-                new Patience(
+                new AdaptiveConnectTimeout(
                         limits.connectTimeoutNs() > 0 ? limits.connectTimeoutNs() : 1_000_000_000L);
         this.idleNs =
                 limits.connectionIdleNs() > 0
@@ -66,7 +66,7 @@
         for (PodEntry e : list.entries()) {
             Place place = places.computeIfAbsent(e.id(), id -> new Place());
             place.gone = e.state() == PodEntry.State.GONE;
-            InetSocketAddress now = Address.of(list.addresses().getOrDefault(e.id(), ""));
+            InetSocketAddress now = SocketAddresses.of(list.addresses().getOrDefault(e.id(), ""));
             if (now != null && !now.equals(place.address)) {
                 place.address = now;
                 closeIdle(place);
@@ -92,54 +92,54 @@
         for (String id : leaving) {
             places.get(id).gone |= list.whole() && !list.addresses().containsKey(id);
             closeIdle(places.get(id));
-            new ArrayList<>(places.get(id).opening).forEach(PodLink::leave);
+            new ArrayList<>(places.get(id).opening).forEach(PodConnection::leave);
         }
     }
 
     private static void closeIdle(Place place) {
-        new ArrayList<>(place.idle).forEach(PodLink::close);
+        new ArrayList<>(place.idle).forEach(PodConnection::close);
         place.idle.clear();
     }
 
     /** Where a pod listens, as address and port; null where that is not known. */
     String addressOf(String pod) {
         Place place = places.get(pod);
-        return place == null || place.address == null ? null : Address.text(place.address);
+        return place == null || place.address == null ? null : SocketAddresses.text(place.address);
     }
 
     /**
      * The one used last of those that have rested: those not needed grow old and are closed. Where
      * none has rested, the one that will have first, since to open another costs the pod more.
      */
-    PodLink idle(String pod) {
+    PodConnection idle(String pod) {
         Place place = places.get(pod);
         if (place == null) {
             return null;
         }
         long now = clock.now();
-        PodLink found = null;
-        for (Iterator<PodLink> i = place.idle.descendingIterator();
+        PodConnection found = null;
+        for (Iterator<PodConnection> i = place.idle.descendingIterator();
                 i.hasNext() && (found == null || found.restNs(now) > 0); ) {
-            PodLink l = i.next();
+            PodConnection l = i.next();
             found = l.usable() && now - l.idleSinceNs < idleNs ? l : found;
         }
         place.idle.remove(found);
         if (found != null) {
-            counts.add(Counts.What.REUSED);
+            counts.add(SidecarMetrics.Event.REUSED);
         }
         return found;
     }
 
     /** Lets a try wait until the connection has rested; it is given up like one that opens. */
-    void rest(Upstream t, PodLink link, long forNs) {
-        counts.add(Counts.What.RESTED);
+    void rest(UpstreamTry t, PodConnection link, long forNs) {
+        counts.add(SidecarMetrics.Event.RESTED);
         t.link = link;
         link.awaits(t);
         places.get(link.pod).opening.add(link);
         net.after(forNs, () -> link.rested(t));
     }
 
-    void free(PodLink link) {
+    void free(PodConnection link) {
         Place place = places.get(link.pod);
         if (link.address.equals(place.address)) {
             place.idle.addLast(link);
@@ -148,7 +148,7 @@
         }
     }
 
-    void closed(PodLink link) {
+    void closed(PodConnection link) {
         open--;
         places.get(link.pod).links--;
         places.get(link.pod).idle.remove(link);
@@ -156,38 +156,38 @@
     }
 
     void refused() {
-        counts.add(Counts.What.REFUSED);
+        counts.add(SidecarMetrics.Event.REFUSED);
     }
 
     int links() {
         return open;
     }
 
-    void opened(PodLink link) {
+    void opened(PodConnection link) {
         places.get(link.pod).opening.remove(link);
     }
 
     /** It is ready for its first try. */
-    void cameUp(PodLink link) {
+    void cameUp(PodConnection link) {
         patience.up(clock.now(), clock.now() - link.beganNs);
         opened(link);
     }
 
     void tooLate() {
-        counts.add(Counts.What.TOO_LATE);
+        counts.add(SidecarMetrics.Event.TOO_LATE);
         patience.tooLate(clock.now());
     }
 
     /** Opens a connection for a try; false where none may be. */
-    boolean open(Upstream t, Send send) {
+    boolean open(UpstreamTry t, TryDispatcher send) {
         Place place = places.get(t.pod);
         if (place == null || place.address == null || open >= most && !makeRoom()) {
             return false;
         }
-        counts.add(Counts.What.OPENED);
+        counts.add(SidecarMetrics.Event.OPENED);
         open++;
         place.links++;
-        PodLink link = new PodLink(t.pod, place.address, this, relay, send, clock, log);
+        PodConnection link = new PodConnection(t.pod, place.address, this, relay, send, clock, log);
         t.link = link;
         link.awaits(t);
         place.opening.add(link);
@@ -198,9 +198,9 @@
     }
 
     private boolean makeRoom() {
-        PodLink oldest = null;
+        PodConnection oldest = null;
         for (Place p : places.values()) {
-            PodLink l = p.idle.peekFirst();
+            PodConnection l = p.idle.peekFirst();
             oldest =
                     l != null && (oldest == null || l.idleSinceNs < oldest.idleSinceNs)
                             ? l
--- a/sidecar/src/main/java/mulleinlever/sidecar/PodList.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/PodList.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Map;
 import mulleinlever.PodEntry;
-import mulleinlever.settings.JsonFields;
+import mulleinlever.settings.JsonFieldReader;
 
 /**
  * A list of pods as discovery writes it, or the changes since an earlier one, and where each pod
@@ -15,10 +15,10 @@
     /** Before any list was told: discovery is asked for all of it. */
     static final PodList NONE = new PodList(0, true, List.of(), Map.of());
 
-    static PodList read(JsonFields from) {
+    static PodList read(JsonFieldReader from) {
         List<PodEntry> entries = new ArrayList<>();
         Map<String, String> addresses = new LinkedHashMap<>();
-        for (JsonFields pod : from.all("instances")) {
+        for (JsonFieldReader pod : from.all("instances")) {
             String id = pod.text("instanceId");
             PodEntry.State state = pod.word("lifecycle", PodEntry.State.class);
             entries.add(
--- a/sidecar/src/main/java/mulleinlever/sidecar/Relay.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/PodResponseHandler.java
@@ -3,22 +3,22 @@
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.CompositeByteBuf;
 import java.nio.charset.StandardCharsets;
-import mulleinlever.Ending;
-import mulleinlever.settings.Fault;
+import mulleinlever.TryOutcome;
+import mulleinlever.settings.InvalidInputException;
 
 /**
  * Fifth stage: what a pod answers. A row is passed on as the pod gave it, and only once it is
  * whole: a pod that dies within one costs a try, not an answer.
  */
-final class Relay {
-    private final Book book;
+final class PodResponseHandler {
+    private final ReqRegistry book;
 
-    Relay(Book book) {
+    PodResponseHandler(ReqRegistry book) {
         this.book = book;
     }
 
     /** The parts of an answer that have come so far. */
-    static final class Answer {
+    static final class PartialResponse {
         private CompositeByteBuf parts;
         private boolean described;
         private int rows;
@@ -40,15 +40,15 @@
         }
 
         private ByteBuf take() {
-            ByteBuf all = parts.addComponent(true, Replies.ready());
+            ByteBuf all = parts.addComponent(true, PostgresMessages.ready());
             parts = null;
             clear();
             return all;
         }
     }
 
-    void message(PodLink link, Upstream t, Frames at) {
-        Answer a = link.answer;
+    void message(PodConnection link, UpstreamTry t, PostgresMessageDecoder at) {
+        PartialResponse a = link.answer;
         switch (at.type) {
             case 'T' -> {
                 a.described = true;
@@ -56,7 +56,7 @@
             }
             case 'D' -> {
                 if (!a.described || ++a.rows > 1) {
-                    throw new Fault("a row too many");
+                    throw new InvalidInputException("a row too many");
                 }
                 a.add(at.keepWhole());
             }
@@ -64,24 +64,24 @@
                 link.told();
                 if (a.rows == 1) {
                     a.add(at.keepWhole());
-                    book.ended(t, Ending.OK, a.take());
+                    book.ended(t, TryOutcome.OK, a.take());
                 } else {
                     // No row, no value: it ran, but there is nothing to pass on.
-                    book.ended(t, Ending.ERROR, null);
+                    book.ended(t, TryOutcome.ERROR, null);
                 }
             }
             case 'E' -> {
                 a.clear();
                 link.told();
-                boolean turnedAway = Replies.SHED.equals(code(at));
-                book.ended(t, turnedAway ? Ending.FULL : Ending.ERROR, null);
+                boolean turnedAway = PostgresMessages.SHED.equals(code(at));
+                book.ended(t, turnedAway ? TryOutcome.FULL : TryOutcome.ERROR, null);
             }
             // Notices and settings change nothing.
             default -> {}
         }
     }
 
-    private static String code(Frames at) {
+    private static String code(PostgresMessageDecoder at) {
         ByteBuf b = at.bytes();
         int end = at.at + at.length;
         for (int i = at.at; i < end && b.getByte(i) != 0; ) {
--- a/sidecar/src/main/java/mulleinlever/sidecar/Frames.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/PostgresMessageDecoder.java
@@ -2,13 +2,13 @@
 
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufAllocator;
-import mulleinlever.settings.Fault;
+import mulleinlever.settings.InvalidInputException;
 
 /**
  * Cuts a peer's bytes, however they were split, into PostgreSQL's messages. A message is read in
  * place; a part of it that must outlive the next read is taken with {@link #keep}.
  */
-final class Frames {
+final class PostgresMessageDecoder {
     /** A value of 64 KiB written as hex takes twice that; no honest message is longer than this. */
     static final int LONGEST = 192 * 1024;
 
@@ -24,7 +24,7 @@
     int at;
     int length;
 
-    Frames(ByteBufAllocator alloc) {
+    PostgresMessageDecoder(ByteBufAllocator alloc) {
         this.alloc = alloc;
     }
 
@@ -56,7 +56,7 @@
         int from = bytes.readerIndex();
         int n = bytes.getInt(from + head);
         if (n < LENGTH || n > LONGEST) {
-            throw new Fault("a message of " + n + " bytes");
+            throw new InvalidInputException("a message of " + n + " bytes");
         }
         begun = head + n;
         if (bytes.readableBytes() < begun) {
--- a/sidecar/src/main/java/mulleinlever/sidecar/Replies.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/PostgresMessages.java
@@ -5,7 +5,7 @@
 import java.nio.charset.StandardCharsets;
 
 /** The messages of our own that a client or a pod is sent. */
-final class Replies {
+final class PostgresMessages {
     static final String SHED = "53300";
     static final String ERRORED = "XX000";
     static final String MALFORMED = "08P01";
@@ -17,7 +17,7 @@
     private static final ByteBuf NO_CRYPTO = fixed(new byte[] {'N'});
     private static final ByteBuf HELLO = startup();
 
-    private Replies() {}
+    private PostgresMessages() {}
 
     private static ByteBuf fixed(byte[] bytes) {
         ByteBuf all = Unpooled.directBuffer(bytes.length).writeBytes(bytes);
--- a/sidecar/src/main/java/mulleinlever/sidecar/Admit.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/QueryHandler.java
@@ -8,36 +8,38 @@
 import mulleinlever.Settings;
 
 /** Second stage: whether a command is a req, and what it asks for. */
-final class Admit {
-    private final Map<String, Settings.Route> routes;
-    private final Book book;
-    private final Route route;
+final class QueryHandler {
+    private final Map<String, Settings.RouteSettings> routes;
+    private final ReqRegistry book;
+    private final SidecarPolicyActions route;
 
-    Admit(Settings settings, Book book, Route route) {
+    QueryHandler(Settings settings, ReqRegistry book, SidecarPolicyActions route) {
         this.routes =
                 settings.routes().stream()
-                        .collect(Collectors.toMap(Settings.Route::name, Function.identity()));
+                        .collect(
+                                Collectors.toMap(
+                                        Settings.RouteSettings::name, Function.identity()));
         this.book = book;
         this.route = route;
     }
 
     /** Takes over the text. What no pod would understand is turned down here and never sent on. */
-    void query(TakeIn client, ByteBuf text) {
+    void query(ClientConnection client, ByteBuf text) {
         if (blank(text)) {
             text.release();
-            client.command(Replies.empty());
+            client.command(PostgresMessages.empty());
             return;
         }
         Statement s = Statement.read(text);
-        Settings.Route row = s == null ? null : routes.get(s.route);
-        Held held = row == null ? null : new Held(client, s);
+        Settings.RouteSettings row = s == null ? null : routes.get(s.route);
+        PendingCommand held = row == null ? null : new PendingCommand(client, s);
         if (held == null || !book.take(held)) {
             text.release();
             String why =
                     s == null
                             ? "no req: the comment with id, c and d is missing"
                             : row == null ? "no such route" : "this id is in hand";
-            client.command(Replies.error(Replies.UNKNOWN, why, 0, true));
+            client.command(PostgresMessages.error(PostgresMessages.UNKNOWN, why, 0, true));
             return;
         }
         held.objectiveNs = row.objectiveNs();
--- a/sidecar/src/main/java/mulleinlever/sidecar/Log.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/RateLimitedLog.java
@@ -7,7 +7,7 @@
  * A line for each thing worth telling; so many a second at most, since a flood would stall the
  * event loop.
  */
-final class Log {
+final class RateLimitedLog {
     private static final int MOST_A_SECOND = 20;
 
     private final PrintStream out;
@@ -17,7 +17,7 @@
     private int said;
     private int leftOut;
 
-    Log(PrintStream out, Clock clock) {
+    RateLimitedLog(PrintStream out, Clock clock) {
         this.out = out;
         this.clock = clock;
         this.startNs = clock.now();
--- a/sidecar/src/main/java/mulleinlever/sidecar/Again.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/ReconnectBackoff.java
@@ -9,7 +9,7 @@
  * than the bound begins at the first again, since a peer that accepts and breaks off at once is
  * down too.
  */
-final class Again {
+final class ReconnectBackoff {
     private final long firstNs;
     private final long mostNs;
     private final SplittableRandom random;
@@ -17,7 +17,7 @@
     private long openedNs;
 
     /** Times in nanoseconds; the longest wait is the first one where it would be less. */
-    Again(long firstNs, long mostNs, long seed) {
+    ReconnectBackoff(long firstNs, long mostNs, long seed) {
         this.firstNs = firstNs;
         this.mostNs = Math.max(firstNs, mostNs);
         this.random = new SplittableRandom(seed);
--- a/sidecar/src/main/java/mulleinlever/sidecar/Platform.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/ReleasePlatformClient.java
@@ -3,15 +3,15 @@
 import java.net.InetSocketAddress;
 import java.util.Comparator;
 import java.util.List;
-import mulleinlever.News;
 import mulleinlever.Policy;
+import mulleinlever.RolloutStatus;
+import mulleinlever.RolloutVote;
 import mulleinlever.Settings;
-import mulleinlever.Verdict;
-import mulleinlever.settings.Fields;
-import mulleinlever.settings.JsonFields;
+import mulleinlever.settings.FieldReader;
+import mulleinlever.settings.JsonFieldReader;
 
 /** The platform that stages builds: its news on one connection, each vote on one of its own. */
-final class Platform {
+final class ReleasePlatformClient {
     private static final int LONGEST = 8192;
     private static final long CONNECT_NS = 1_000_000_000L;
 
@@ -26,30 +26,31 @@
     private static final long MS = 1_000_000L;
 
     /** On trial, then released, or on the way back from either. */
-    private static final List<News.Phase> PHASES =
+    private static final List<RolloutStatus.Phase> PHASES =
             List.of(
-                    News.Phase.ON_TRIAL,
-                    News.Phase.RELEASED,
-                    News.Phase.REVERTING,
-                    News.Phase.WITHDRAWN);
+                    RolloutStatus.Phase.ON_TRIAL,
+                    RolloutStatus.Phase.RELEASED,
+                    RolloutStatus.Phase.REVERTING,
+                    RolloutStatus.Phase.WITHDRAWN);
 
-    private static final Comparator<News> FORWARD =
-            Comparator.comparingInt(News::build)
+    private static final Comparator<RolloutStatus> FORWARD =
+            Comparator.comparingInt(RolloutStatus::build)
                     .thenComparingInt(n -> PHASES.indexOf(n.phase()))
-                    .thenComparingInt(News::stage);
+                    .thenComparingInt(RolloutStatus::stage);
 
-    private final Net net;
+    private final NettyTransport net;
     private final Clock clock;
-    private final Log log;
+    private final RateLimitedLog log;
     private InetSocketAddress address;
     private final long voteWaitNs;
     private Policy policy;
-    private News last;
+    private RolloutStatus last;
     private long lastNs;
-    private Listener listener;
-    private final Again again;
+    private NotificationConnection listener;
+    private final ReconnectBackoff again;
 
-    Platform(Net net, Clock clock, Log log, Config config) {
+    ReleasePlatformClient(
+            NettyTransport net, Clock clock, RateLimitedLog log, SidecarConfig config) {
         this.net = net;
         this.clock = clock;
         this.log = log;
@@ -57,9 +58,9 @@
         Settings set = config.settings();
         this.voteWaitNs = set.rollout().voteWaitNs();
         this.again =
-                new Again(
+                new ReconnectBackoff(
                         RETRY_NS,
-                        Again.mostFor(set.sidecars(), set.rollout().votesPerSecond()),
+                        ReconnectBackoff.mostFor(set.sidecars(), set.rollout().votesPerSecond()),
                         config.seed());
     }
 
@@ -67,12 +68,12 @@
         this.policy = decides;
     }
 
-    static News.Phase phase(String word, Fields at) {
+    static RolloutStatus.Phase phase(String word, FieldReader at) {
         return switch (word) {
-            case "testing" -> News.Phase.ON_TRIAL;
-            case "recalling" -> News.Phase.REVERTING;
-            case "live" -> News.Phase.RELEASED;
-            case "recalled" -> News.Phase.WITHDRAWN;
+            case "testing" -> RolloutStatus.Phase.ON_TRIAL;
+            case "recalling" -> RolloutStatus.Phase.REVERTING;
+            case "live" -> RolloutStatus.Phase.RELEASED;
+            case "recalled" -> RolloutStatus.Phase.WITHDRAWN;
             default -> throw at.bad("phase", "testing, recalling, live or recalled");
         };
     }
@@ -83,7 +84,7 @@
      * what lies behind the news just heard is left out; not for long, lest one odd line make us
      * deaf.
      */
-    private void tell(News n) {
+    private void tell(RolloutStatus n) {
         long now = clock.now();
         if (last == null || now - lastNs > ORDER_NS || FORWARD.compare(n, last) >= 0) {
             last = n;
@@ -93,14 +94,14 @@
     }
 
     /** Where the newest build stood when last told, be it at the start. */
-    News last(News atFirst) {
+    RolloutStatus last(RolloutStatus atFirst) {
         return last == null ? atFirst : last;
     }
 
     /** The news behind a line's first words. */
-    private static News news(String[] words, int from) {
-        News.Phase phase = phase(words[from + 2], new JsonFields("platform: ", null));
-        return new News(
+    private static RolloutStatus news(String[] words, int from) {
+        RolloutStatus.Phase phase = phase(words[from + 2], new JsonFieldReader("platform: ", null));
+        return new RolloutStatus(
                 Integer.parseInt(words[from]),
                 Integer.parseInt(words[from + 1]),
                 phase,
@@ -113,7 +114,7 @@
     }
 
     void listen() {
-        listener = new Listener();
+        listener = new NotificationConnection();
         again.opened(clock.now());
         listener.open(address, CONNECT_NS, SILENT_NS);
     }
@@ -127,7 +128,7 @@
         }
     }
 
-    void vote(int build, int stage, Verdict verdict) {
+    void vote(int build, int stage, RolloutVote verdict) {
         String word =
                 switch (verdict) {
                     case NONE -> "clear";
@@ -136,14 +137,14 @@
                     case BACK -> "reject";
                 };
         log.say("platform", "vote: build " + build + " stage " + stage + " " + word);
-        new Vote("BALLOT " + build + " " + stage + " " + word)
+        new VoteConnection("BALLOT " + build + " " + stage + " " + word)
                 .open(address, Math.min(CONNECT_NS, voteWaitNs), voteWaitNs);
     }
 
-    private final class Vote extends Lines {
+    private final class VoteConnection extends LineConnection {
         private final String ballot;
 
-        Vote(String ballot) {
+        VoteConnection(String ballot) {
             super(net, LONGEST, log, "platform");
             this.ballot = ballot;
         }
@@ -160,7 +161,7 @@
             }
             String[] words = text.split(" ");
             boolean counts = words[0].equals("OK") && words.length >= 6;
-            News n = counts ? news(words, 1) : null;
+            RolloutStatus n = counts ? news(words, 1) : null;
             drop();
             policy.voteAnswered(clock.now(), counts);
             if (counts) {
@@ -178,8 +179,8 @@
         }
     }
 
-    private final class Listener extends Lines {
-        Listener() {
+    private final class NotificationConnection extends LineConnection {
+        NotificationConnection() {
             super(net, LONGEST, log, "platform");
         }
 
--- a/sidecar/src/main/java/mulleinlever/sidecar/Flow.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/ReqMemoryLimiter.java
@@ -7,10 +7,10 @@
  * Bounds what reqs in hand take: past the most no client is read from until there is room again, so
  * that large values in a burst don't use up the memory.
  */
-final class Flow {
+final class ReqMemoryLimiter {
     private static final long MOST = 12L << 20;
 
-    private final Set<TakeIn> waiting = new LinkedHashSet<>();
+    private final Set<ClientConnection> waiting = new LinkedHashSet<>();
     private long bytes;
 
     boolean full() {
@@ -24,16 +24,16 @@
     void remove(int less) {
         bytes -= less;
         if (!full() && !waiting.isEmpty()) {
-            waiting.forEach(TakeIn::resumeSoon);
+            waiting.forEach(ClientConnection::resumeSoon);
             waiting.clear();
         }
     }
 
-    void await(TakeIn client) {
+    void await(ClientConnection client) {
         waiting.add(client);
     }
 
-    void forget(TakeIn client) {
+    void forget(ClientConnection client) {
         waiting.remove(client);
     }
 }
--- a/sidecar/src/main/java/mulleinlever/sidecar/Book.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/ReqRegistry.java
@@ -3,17 +3,17 @@
 import io.netty.buffer.ByteBuf;
 import java.util.HashMap;
 import java.util.Map;
-import mulleinlever.Ending;
 import mulleinlever.Policy;
+import mulleinlever.TryOutcome;
 
 /** Last stage: what is in hand, how each try ended, and the one final answer of each req. */
-final class Book {
+final class ReqRegistry {
     private final Clock clock;
-    private final Map<String, Held> inHand = new HashMap<>();
-    private final Counts counts;
+    private final Map<String, PendingCommand> inHand = new HashMap<>();
+    private final SidecarMetrics counts;
     private Policy policy;
 
-    Book(Clock clock, Counts counts) {
+    ReqRegistry(Clock clock, SidecarMetrics counts) {
         this.clock = clock;
         this.counts = counts;
     }
@@ -22,15 +22,15 @@
         this.policy = decides;
     }
 
-    Held find(String id) {
+    PendingCommand find(String id) {
         return inHand.get(id);
     }
 
-    boolean take(Held held) {
+    boolean take(PendingCommand held) {
         boolean mine = inHand.putIfAbsent(held.statement.id, held) == null;
         if (mine) {
             held.takenNs = clock.now();
-            counts.add(Counts.What.IN);
+            counts.add(SidecarMetrics.Event.IN);
         }
         return mine;
     }
@@ -42,7 +42,7 @@
     /**
      * A try is over, once; what still comes for it is passed over. A served one answers the req.
      */
-    void ended(Upstream t, Ending ending, ByteBuf served) {
+    void ended(UpstreamTry t, TryOutcome ending, ByteBuf served) {
         if (t.ended()) {
             if (served != null) {
                 served.release();
@@ -56,7 +56,7 @@
         }
         long now = clock.now();
         if (served != null) {
-            answer(t.held, served, Counts.What.COMPLETED);
+            answer(t.held, served, SidecarMetrics.Event.COMPLETED);
         }
         boolean complete = t.held.answered;
         policy.tryEnded(now, t.held.statement.id, t.no, ending, now - t.calledNs, complete);
@@ -64,7 +64,7 @@
     }
 
     /** The first answer goes to the client, any other nowhere. */
-    void answer(Held held, ByteBuf answer, Counts.What how) {
+    void answer(PendingCommand held, ByteBuf answer, SidecarMetrics.Event how) {
         if (held.answered) {
             answer.release();
             return;
@@ -76,16 +76,16 @@
         settle(held);
     }
 
-    void clientGone(Held held) {
+    void clientGone(PendingCommand held) {
         if (!held.answered) {
             held.answered = true;
-            counts.answered(held, Counts.What.GONE);
+            counts.answered(held, SidecarMetrics.Event.GONE);
             policy.clientGone(clock.now(), held.statement.id);
         }
         settle(held);
     }
 
-    private void settle(Held held) {
+    private void settle(PendingCommand held) {
         if (held.answered && !held.triesOut() && inHand.remove(held.statement.id, held)) {
             held.client.settled(held);
             held.statement.text.release();
--- a/sidecar/src/main/java/mulleinlever/sidecar/Stages.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/SidecarComponents.java
@@ -7,7 +7,7 @@
 /**
  * The stages that a req passes and what stands beside them, put together around one {@link Policy}.
  */
-final class Stages {
+final class SidecarComponents {
     /**
      * Descriptors for clients and for pods; the rest is for the files, the platform and discovery.
      */
@@ -15,43 +15,48 @@
 
     private static final double PODS_PART = 0.35;
 
-    final Clients clients;
-    final Book book;
-    final Discovery discovery;
-    final Platform platform;
+    final ClientConnections clients;
+    final ReqRegistry book;
+    final DiscoveryClient discovery;
+    final ReleasePlatformClient platform;
     final Policy policy;
-    private final Pods pods;
-    private final Flow flow = new Flow();
-    private final Admit admit;
-    private final Counts counts;
+    private final PodConnectionPool pods;
+    private final ReqMemoryLimiter flow = new ReqMemoryLimiter();
+    private final QueryHandler admit;
+    private final SidecarMetrics counts;
     private final Clock clock;
-    private final Log log;
+    private final RateLimitedLog log;
     private boolean wallClockStepped;
 
-    Stages(Config config, Net net, Clock clock, Log log, Life life) {
+    SidecarComponents(
+            SidecarConfig config,
+            NettyTransport net,
+            Clock clock,
+            RateLimitedLog log,
+            Lifecycle life) {
         this.clock = clock;
         this.log = log;
         Settings set = config.settings();
-        clients = new Clients((int) (CLIENTS_PART * config.sockets()), life);
-        counts = new Counts(clock, log);
-        book = new Book(clock, counts);
+        clients = new ClientConnections((int) (CLIENTS_PART * config.sockets()), life);
+        counts = new SidecarMetrics(clock, log);
+        book = new ReqRegistry(clock, counts);
         pods =
-                new Pods(
+                new PodConnectionPool(
                         net,
                         clock,
                         log,
-                        new Relay(book),
+                        new PodResponseHandler(book),
                         (int) (PODS_PART * config.sockets()),
                         set.limits(),
                         counts);
-        discovery = new Discovery(net, clock, log, config.discovery(), pods);
-        platform = new Platform(net, clock, log, config);
-        Route route =
-                new Route(
+        discovery = new DiscoveryClient(net, clock, log, config.discovery(), pods);
+        platform = new ReleasePlatformClient(net, clock, log, config);
+        SidecarPolicyActions route =
+                new SidecarPolicyActions(
                         net,
                         clock,
                         book,
-                        new Send(net, clock, book, pods),
+                        new TryDispatcher(net, clock, book, pods),
                         discovery,
                         platform,
                         log);
@@ -62,12 +67,12 @@
         platform.reportsTo(policy);
         discovery.takeKnown(config.known());
         policy.news(clock.now(), config.news());
-        admit = new Admit(set, book, route);
+        admit = new QueryHandler(set, book, route);
     }
 
     /** For one client's connection. */
     ChannelHandler client() {
-        return new TakeIn(admit, clients, flow, book, clock, log);
+        return new ClientConnection(admit, clients, flow, book, clock, log);
     }
 
     /** Where a pod listens; null where that is not known. */
--- a/sidecar/src/main/java/mulleinlever/sidecar/Counts.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/SidecarMetrics.java
@@ -1,19 +1,19 @@
 package mulleinlever.sidecar;
 
 import java.util.Locale;
-import mulleinlever.Ending;
 import mulleinlever.Policy;
+import mulleinlever.TryOutcome;
 
 /**
  * What happened since the last line of the log on it: one line a second while reqs come, which
  * {@code fleetlog} adds up over a fleet. Counting costs an increment; the line is put together once
  * a second, not by req.
  */
-final class Counts {
+final class SidecarMetrics {
     /**
      * In the order of the line. A req never sent on is counted as that beside how it was answered.
      */
-    enum What {
+    enum Event {
         IN,
         COMPLETED,
         LATE,
@@ -33,47 +33,47 @@
     private static final int STORIES = 3;
 
     private final Clock clock;
-    private final Log log;
-    private final int[] of = new int[What.values().length];
-    private final int[] ends = new int[Ending.values().length];
+    private final RateLimitedLog log;
+    private final int[] of = new int[Event.values().length];
+    private final int[] ends = new int[TryOutcome.values().length];
     private int stories;
 
-    Counts(Clock clock, Log log) {
+    SidecarMetrics(Clock clock, RateLimitedLog log) {
         this.clock = clock;
         this.log = log;
     }
 
-    void add(What what) {
+    void add(Event what) {
         of[what.ordinal()]++;
     }
 
-    void ended(Ending how) {
+    void ended(TryOutcome how) {
         ends[how.ordinal()]++;
     }
 
     /**
      * How a req was answered: completed and in time or late, shed, errored, or left by its client.
      */
-    void answered(Held held, What how) {
+    void answered(PendingCommand held, Event how) {
         add(how);
         long tookNs = clock.now() - held.takenNs;
-        if (how == What.COMPLETED && tookNs > held.objectiveNs) {
-            add(What.LATE);
+        if (how == Event.COMPLETED && tookNs > held.objectiveNs) {
+            add(Event.LATE);
         }
         boolean sent = held.tries.stream().anyMatch(t -> t.written);
         if (!sent) {
-            add(What.UNSENT);
+            add(Event.UNSENT);
         }
         boolean overdue = tookNs > held.waitsNs;
         if (overdue) {
-            add(What.OVERDUE);
+            add(Event.OVERDUE);
         }
-        if ((overdue || how != What.COMPLETED && how != What.GONE) && ++stories <= STORIES) {
+        if ((overdue || how != Event.COMPLETED && how != Event.GONE) && ++stories <= STORIES) {
             log.say("req", story(held, how, tookNs));
         }
     }
 
-    private static String story(Held held, What how, long tookNs) {
+    private static String story(PendingCommand held, Event how, long tookNs) {
         StringBuilder b =
                 new StringBuilder(held.statement.id)
                         .append(' ')
@@ -83,7 +83,7 @@
                         .append(" of ")
                         .append(held.waitsNs / 1_000_000)
                         .append(" ms");
-        for (Upstream t : held.tries) {
+        for (UpstreamTry t : held.tries) {
             b.append("; ")
                     .append(t.pod)
                     .append(" at ")
@@ -96,13 +96,13 @@
     }
 
     /** Says what there is to say, and begins anew. */
-    void tell(Policy.Sight sight, int clients, int links, long listAgeNs) {
+    void tell(Policy.Stats sight, int clients, int links, long listAgeNs) {
         StringBuilder b = new StringBuilder();
-        for (What w : What.values()) {
+        for (Event w : Event.values()) {
             put(b, word(w), of[w.ordinal()]);
             of[w.ordinal()] = 0;
         }
-        for (Ending e : Ending.values()) {
+        for (TryOutcome e : TryOutcome.values()) {
             put(b, "try_" + word(e), ends[e.ordinal()]);
             ends[e.ordinal()] = 0;
         }
--- a/sidecar/src/main/java/mulleinlever/sidecar/Route.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/SidecarPolicyActions.java
@@ -1,30 +1,30 @@
 package mulleinlever.sidecar;
 
 import io.netty.buffer.ByteBuf;
-import mulleinlever.Host;
 import mulleinlever.Policy;
+import mulleinlever.PolicyActions;
 import mulleinlever.Req;
-import mulleinlever.Verdict;
+import mulleinlever.RolloutVote;
 
 /** Third stage: hands each req to the module and does what that asks for. */
-final class Route implements Host {
-    private final Net net;
+final class SidecarPolicyActions implements PolicyActions {
+    private final NettyTransport net;
     private final Clock clock;
-    private final Book book;
-    private final Send send;
-    private final Discovery discovery;
-    private final Platform platform;
-    private final Log log;
+    private final ReqRegistry book;
+    private final TryDispatcher send;
+    private final DiscoveryClient discovery;
+    private final ReleasePlatformClient platform;
+    private final RateLimitedLog log;
     private Policy policy;
 
-    Route(
-            Net net,
+    SidecarPolicyActions(
+            NettyTransport net,
             Clock clock,
-            Book book,
-            Send send,
-            Discovery discovery,
-            Platform platform,
-            Log log) {
+            ReqRegistry book,
+            TryDispatcher send,
+            DiscoveryClient discovery,
+            ReleasePlatformClient platform,
+            RateLimitedLog log) {
         this.net = net;
         this.clock = clock;
         this.book = book;
@@ -51,17 +51,21 @@
     public void shed(String rq, long backoffNs) {
         answer(
                 rq,
-                Counts.What.SHED,
-                Replies.error(Replies.SHED, "shed: try again", backoffNs / 1_000_000, true));
+                SidecarMetrics.Event.SHED,
+                PostgresMessages.error(
+                        PostgresMessages.SHED, "shed: try again", backoffNs / 1_000_000, true));
     }
 
     @Override
     public void error(String rq) {
-        answer(rq, Counts.What.ERRORED, Replies.error(Replies.ERRORED, "errored", 0, true));
+        answer(
+                rq,
+                SidecarMetrics.Event.ERRORED,
+                PostgresMessages.error(PostgresMessages.ERRORED, "errored", 0, true));
     }
 
-    private void answer(String rq, Counts.What how, ByteBuf answer) {
-        Held held = book.find(rq);
+    private void answer(String rq, SidecarMetrics.Event how, ByteBuf answer) {
+        PendingCommand held = book.find(rq);
         if (held == null) {
             answer.release();
         } else {
@@ -71,14 +75,14 @@
 
     @Override
     public void cancel(String rq, int tryNo) {
-        Held held = book.find(rq);
+        PendingCommand held = book.find(rq);
         if (held != null && tryNo >= 0 && tryNo < held.tries.size()) {
             send.cancel(held.tries.get(tryNo));
         }
     }
 
     @Override
-    public void vote(int build, int stage, Verdict verdict) {
+    public void vote(int build, int stage, RolloutVote verdict) {
         platform.vote(build, stage, verdict);
     }
 
--- a/sidecar/src/main/java/mulleinlever/sidecar/Serve.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/SidecarServer.java
@@ -8,11 +8,11 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 import mulleinlever.Settings;
-import mulleinlever.settings.Fault;
-import mulleinlever.settings.Ours;
+import mulleinlever.settings.FeatureSettings;
+import mulleinlever.settings.InvalidInputException;
 
 /** The real sidecar: puts its parts together, starts and ends. */
-public final class Serve {
+public final class SidecarServer {
     private static final long MS = 1_000_000L;
     private static final long SECOND = 1_000 * MS;
 
@@ -31,30 +31,35 @@
     private static final long WATCH_NS = 50 * MS;
     private static final long LATE_NS = 50 * MS;
 
-    private final Config config;
+    private final SidecarConfig config;
 
     /** Null where nothing is remembered. */
-    private final Memory memory;
+    private final StatePersistence memory;
 
     private final Clock clock;
-    private final Log log;
-    private final Life life;
-    private final Net net;
-    private final Reload reload;
+    private final RateLimitedLog log;
+    private final Lifecycle life;
+    private final NettyTransport net;
+    private final ConfigReloader reload;
     private final CountDownLatch done = new CountDownLatch(1);
     private final long startedNs;
-    private Stages stages;
+    private SidecarComponents stages;
     private long lastNs;
 
-    private Serve(Map<String, String> env, Config config, Memory memory, Clock clock, Log log) {
+    private SidecarServer(
+            Map<String, String> env,
+            SidecarConfig config,
+            StatePersistence memory,
+            Clock clock,
+            RateLimitedLog log) {
         this.config = config;
         this.memory = memory;
         this.clock = clock;
         this.startedNs = clock.now();
         this.log = log;
-        this.life = new Life(log);
-        this.net = new Net(log);
-        this.reload = new Reload(env, config, net, log);
+        this.life = new Lifecycle(log);
+        this.net = new NettyTransport(log);
+        this.reload = new ConfigReloader(env, config, net, log);
     }
 
     /**
@@ -64,21 +69,23 @@
      */
     public static int run(Map<String, String> env, List<Path> with) throws InterruptedException {
         Clock clock = new Clock();
-        Log log = new Log(System.err, clock);
-        NettyLog.passTo(log);
-        Config config;
-        Ours ours;
+        RateLimitedLog log = new RateLimitedLog(System.err, clock);
+        NettyLogHandler.passTo(log);
+        SidecarConfig config;
+        FeatureSettings ours;
         try {
-            config = Config.load(env);
-            ours = with.isEmpty() ? Ours.NONE : Ours.read(with);
+            config = SidecarConfig.load(env);
+            ours = with.isEmpty() ? FeatureSettings.NONE : FeatureSettings.read(with);
         } catch (RuntimeException e) {
-            log.say("config", e instanceof Fault ? e.getMessage() : e.toString());
+            log.say("config", e instanceof InvalidInputException ? e.getMessage() : e.toString());
             return 2;
         }
         // Not even named where it is off: what it needs is not on the bare daemon's class path.
-        Memory memory =
-                ours.remember() == null ? null : new Memory(ours.remember(), config, clock, log);
-        Serve serve = new Serve(env, config, memory, clock, log);
+        StatePersistence memory =
+                ours.remember() == null
+                        ? null
+                        : new StatePersistence(ours.remember(), config, clock, log);
+        SidecarServer serve = new SidecarServer(env, config, memory, clock, log);
         Runtime.getRuntime().addShutdownHook(new Thread(serve::stop, "stop"));
         AtomicInteger code = new AtomicInteger();
         serve.reload.listen();
@@ -86,7 +93,7 @@
             // Discovery may have a long line, so it is asked while the rehearsal goes on.
             serve.net.soon(serve::prepare);
         }
-        Rehearsal.play(
+        WarmUp.play(
                 config,
                 played -> {
                     log.say("life", played.toString());
@@ -125,7 +132,7 @@
     }
 
     private void start(AtomicInteger code) {
-        if (life.is(Life.Phase.ENDED)) {
+        if (life.is(Lifecycle.Phase.ENDED)) {
             return;
         }
         if (stages == null) {
@@ -144,7 +151,9 @@
 
     /** Puts the stages together and asks discovery for the list. */
     private void prepare() {
-        stages = new Stages(memory == null ? config : memory.startsFrom(), net, clock, log, life);
+        stages =
+                new SidecarComponents(
+                        memory == null ? config : memory.startsFrom(), net, clock, log, life);
         if (!config.settings().listMustBeAsked()) {
             stages.discovery.watch();
         }
@@ -155,7 +164,7 @@
      * long.
      */
     private void listenOnceListed(AtomicInteger code) {
-        if (life.is(Life.Phase.ENDED)) {
+        if (life.is(Lifecycle.Phase.ENDED)) {
             return;
         }
         if (stages.discovery.settled() || clock.now() >= startedNs + LIST_WITHIN_NS) {
@@ -172,7 +181,7 @@
                 f -> {
                     if (f.isSuccess()) {
                         stages.clients.listensAt(listening.channel());
-                        life.enter(Life.Phase.SERVING);
+                        life.enter(Lifecycle.Phase.SERVING);
                     } else if (tries > 1) {
                         net.after(LISTEN_AGAIN_NS, () -> listen(tries - 1, code));
                     } else {
@@ -197,14 +206,14 @@
 
     /** Runs when the process is told to stop, which it does when this returns. */
     private void stop() {
-        if (life.is(Life.Phase.ENDED)) {
+        if (life.is(Lifecycle.Phase.ENDED)) {
             return;
         }
         net.soon(
                 () -> {
-                    if (life.is(Life.Phase.STARTING)) {
+                    if (life.is(Lifecycle.Phase.STARTING)) {
                         end();
-                    } else if (life.enter(Life.Phase.LEAVING)) {
+                    } else if (life.enter(Lifecycle.Phase.LEAVING)) {
                         net.after(LEAVING_NS, this::finish);
                     }
                 });
@@ -217,11 +226,11 @@
     }
 
     private void finish() {
-        life.enter(Life.Phase.FINISHING);
+        life.enter(Lifecycle.Phase.FINISHING);
         stages.clients.finish();
         long longest =
                 config.settings().routes().stream()
-                        .mapToLong(Settings.Route::timeoutNs)
+                        .mapToLong(Settings.RouteSettings::timeoutNs)
                         .max()
                         .orElse(0);
         net.after(longest + SLACK_NS, this::end);
@@ -235,7 +244,7 @@
     }
 
     private void end() {
-        if (life.enter(Life.Phase.ENDED)) {
+        if (life.enter(Lifecycle.Phase.ENDED)) {
             if (memory != null) {
                 memory.last();
             }
--- a/sidecar/src/main/java/mulleinlever/sidecar/Address.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/SocketAddresses.java
@@ -8,8 +8,8 @@
  * Reads address:port. Names are refused: looking one up would stall the event loop, and there is no
  * DNS.
  */
-final class Address {
-    private Address() {}
+final class SocketAddresses {
+    private SocketAddresses() {}
 
     /** The same form for the same address, however it was written. */
     static String text(InetSocketAddress address) {
--- a/sidecar/src/main/java/mulleinlever/sidecar/Memory.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/StatePersistence.java
@@ -12,23 +12,23 @@
 import java.util.concurrent.Future;
 import java.util.stream.Collectors;
 import java.util.zip.CRC32C;
-import mulleinlever.Learned;
-import mulleinlever.News;
+import mulleinlever.LearnedState;
 import mulleinlever.PodEntry;
+import mulleinlever.RolloutStatus;
 import mulleinlever.Settings;
-import mulleinlever.disk.FolderDisk;
-import mulleinlever.settings.Ours;
+import mulleinlever.disk.FileSystemDirectory;
+import mulleinlever.settings.FeatureSettings;
 import mulleinlever.settings.Version;
-import mulleinlever.state.Ageing;
-import mulleinlever.state.Capture;
-import mulleinlever.state.Keeper;
-import mulleinlever.state.Kept;
-import mulleinlever.state.Taking;
+import mulleinlever.state.SnapshotBuilder;
+import mulleinlever.state.SnapshotFilter;
+import mulleinlever.state.StateDecay;
+import mulleinlever.state.StateSnapshot;
+import mulleinlever.state.StateStore;
 
 /**
  * What is kept over a restart: read before the first client comes, and captured from time to time.
  */
-final class Memory {
+final class StatePersistence {
     private static final Path MACHINE = Path.of("/etc/machine-id");
 
     /** Between two slices of a capture the loop turns to its connections. */
@@ -36,33 +36,37 @@
 
     private static final int MOST_LINES = 3;
 
-    private final Ours.Remember set;
-    private final Config config;
+    private final FeatureSettings.StateSettings set;
+    private final SidecarConfig config;
     private final Clock clock;
-    private final Log log;
-    private final Keeper keeper;
+    private final RateLimitedLog log;
+    private final StateStore keeper;
     private final SplittableRandom random;
     private final long start;
-    private final Future<Keeper.Found> opening;
-    private Keeper.Found found;
+    private final Future<StateStore.LoadResult> opening;
+    private StateStore.LoadResult found;
     private long ageNs;
-    private Net net;
-    private Stages stages;
+    private NettyTransport net;
+    private SidecarComponents stages;
 
     /** Begins to read, on a thread of its own. */
-    Memory(Ours.Remember set, Config config, Clock clock, Log log) {
+    StatePersistence(
+            FeatureSettings.StateSettings set,
+            SidecarConfig config,
+            Clock clock,
+            RateLimitedLog log) {
         this.set = set;
         this.config = config;
         this.clock = clock;
         this.log = log;
-        FolderDisk disk = new FolderDisk(set.folder());
+        FileSystemDirectory disk = new FileSystemDirectory(set.folder());
         try {
             disk.make();
         } catch (IOException e) {
             // The keeper says so at each step that needs it.
         }
         keeper =
-                new Keeper(
+                new StateStore(
                         disk, set.keep(), set.mostBytes(), config.name(), l -> log.say("state", l));
         // The seed alone may stand in a file and be the same at each start.
         random = new SplittableRandom(config.seed() ^ clock.now());
@@ -83,7 +87,7 @@
             log.say("state", "nothing taken: no whole file in " + set.folder());
             found = null;
         } else {
-            ageNs = Ageing.age(found.kept().head().unixMs(), clock.now());
+            ageNs = StateDecay.age(found.kept().head().unixMs(), clock.now());
         }
     }
 
@@ -91,18 +95,18 @@
      * The configuration to start from: the list that was kept where it is newer, news that allow
      * less.
      */
-    Config startsFrom() {
+    SidecarConfig startsFrom() {
         if (found == null) {
             return config;
         }
-        Kept kept = found.kept();
-        News tighter = Taking.tighter(kept.news(), config.news());
+        StateSnapshot kept = found.kept();
+        RolloutStatus tighter = SnapshotFilter.tighter(kept.news(), config.news());
         if (tighter != null) {
             log.say(
                     "state",
                     "build " + tighter.build() + " stays " + tighter.phase() + ", as it was kept");
         }
-        boolean list = Taking.listHolds(kept, ageNs, config.known().version());
+        boolean list = SnapshotFilter.listHolds(kept, ageNs, config.known().version());
         if (list) {
             log.say(
                     "state",
@@ -112,7 +116,7 @@
                 list ? list(kept) : config.known(), tighter == null ? config.news() : tighter);
     }
 
-    private static PodList list(Kept kept) {
+    private static PodList list(StateSnapshot kept) {
         Map<String, String> addresses = new LinkedHashMap<>();
         kept.pods().forEach(p -> addresses.put(p.learned().is().id(), p.address()));
         List<PodEntry> entries = kept.pods().stream().map(p -> p.learned().is()).toList();
@@ -123,11 +127,11 @@
      * On the loop, before the first client: gives the policy what still holds, then captures from
      * time to time.
      */
-    void begin(Net on, Stages of) {
+    void begin(NettyTransport on, SidecarComponents of) {
         net = on;
         stages = of;
         if (found != null) {
-            Taking.Taken taken = Taking.of(found.kept(), ageNs, here());
+            SnapshotFilter.RestoreResult taken = SnapshotFilter.of(found.kept(), ageNs, here());
             taken.learned().forEach(l -> stages.policy.recall(clock.now(), l));
             boolean moved = !found.kept().head().machine().equals(machine());
             log.say(
@@ -143,25 +147,25 @@
     }
 
     private String age() {
-        return ageNs == Ageing.UNKNOWN ? "of unknown age" : ageNs / 1_000_000 / 1e3 + " s old";
+        return ageNs == StateDecay.UNKNOWN ? "of unknown age" : ageNs / 1_000_000 / 1e3 + " s old";
     }
 
-    private Taking.Here here() {
+    private SnapshotFilter.RestoreContext here() {
         Map<String, PodEntry> pods = new HashMap<>();
         Map<String, String> addresses = new HashMap<>();
         stages.policy
                 .learned(clock.now())
                 .forEachRemaining(
                         l -> {
-                            if (l instanceof Learned.OfPod p) {
+                            if (l instanceof LearnedState.PodStats p) {
                                 pods.put(p.is().id(), p.is());
                                 addresses.put(p.is().id(), stages.addressOf(p.is().id()));
                             }
                         });
-        return new Taking.Here(
+        return new SnapshotFilter.RestoreContext(
                 config.settings().zone(),
                 config.settings().routes().stream()
-                        .map(Settings.Route::name)
+                        .map(Settings.RouteSettings::name)
                         .collect(Collectors.toSet()),
                 pods,
                 addresses);
@@ -181,11 +185,11 @@
                 });
     }
 
-    private Capture capture() {
-        return new Capture(stages.policy.learned(clock.now()), stages::addressOf);
+    private SnapshotBuilder capture() {
+        return new SnapshotBuilder(stages.policy.learned(clock.now()), stages::addressOf);
     }
 
-    private void slice(Capture c) {
+    private void slice(SnapshotBuilder c) {
         if (c.slice(clock::now, clock.now() + set.sliceNs())) {
             keeper.offer(kept(c));
             later();
@@ -194,9 +198,9 @@
         }
     }
 
-    private Kept kept(Capture c) {
+    private StateSnapshot kept(SnapshotBuilder c) {
         return c.kept(
-                new Kept.Head(
+                new StateSnapshot.Header(
                         Version.TEXT,
                         config.name(),
                         machine(),
@@ -211,7 +215,7 @@
     /** When nothing is in hand any more; all at once, since nobody waits. */
     void last() {
         if (stages != null) {
-            Capture c = capture();
+            SnapshotBuilder c = capture();
             c.slice(clock::now, Long.MAX_VALUE);
             keeper.offer(kept(c));
         }
--- a/sidecar/src/main/java/mulleinlever/sidecar/Send.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/TryDispatcher.java
@@ -4,35 +4,36 @@
 import io.netty.buffer.ByteBufUtil;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFuture;
-import mulleinlever.Ending;
+import mulleinlever.TryOutcome;
 
 /** Fourth stage: puts an upstream try on a connection to its pod, and abandons it. */
-final class Send {
+final class TryDispatcher {
     private static final int HEAD = 5;
 
-    private final Net net;
+    private final NettyTransport net;
     private final Clock clock;
-    private final Book book;
-    private final Pods pods;
+    private final ReqRegistry book;
+    private final PodConnectionPool pods;
 
-    Send(Net net, Clock clock, Book book, Pods pods) {
+    TryDispatcher(NettyTransport net, Clock clock, ReqRegistry book, PodConnectionPool pods) {
         this.net = net;
         this.clock = clock;
         this.book = book;
         this.pods = pods;
     }
 
-    void start(Held held, String pod, long writeWithinNs, long limitNs) {
+    void start(PendingCommand held, String pod, long writeWithinNs, long limitNs) {
         long now = clock.now();
-        Upstream t =
-                new Upstream(held, held.tries.size(), pod, now, now + writeWithinNs, now + limitNs);
+        UpstreamTry t =
+                new UpstreamTry(
+                        held, held.tries.size(), pod, now, now + writeWithinNs, now + limitNs);
         held.tries.add(t);
         if (held.answered || limitNs <= 0) {
-            net.soon(() -> book.ended(t, Ending.MOOT, null));
+            net.soon(() -> book.ended(t, TryOutcome.MOOT, null));
             return;
         }
-        t.limit = net.after(limitNs, () -> end(t, Ending.TIMEOUT));
-        PodLink link = pods.idle(pod);
+        t.limit = net.after(limitNs, () -> end(t, TryOutcome.TIMEOUT));
+        PodConnection link = pods.idle(pod);
         long restNs = link == null ? 0 : link.restNs(now);
         if (link == null) {
             connect(t);
@@ -43,29 +44,29 @@
         }
     }
 
-    void connect(Upstream t) {
+    void connect(UpstreamTry t) {
         if (!pods.open(t, this)) {
-            net.soon(() -> book.ended(t, Ending.CONNECT_FAILED, null));
+            net.soon(() -> book.ended(t, TryOutcome.CONNECT_FAILED, null));
         }
     }
 
     /** Closing is what tells the pod to stop. */
-    void cancel(Upstream t) {
+    void cancel(UpstreamTry t) {
         if (!t.ended()) {
             abandon(t);
-            net.soon(() -> book.ended(t, Ending.CANCELLED, null));
+            net.soon(() -> book.ended(t, TryOutcome.CANCELLED, null));
         }
     }
 
     /** What was not written whole has not run, however it ended. */
-    void end(Upstream t, Ending ending) {
+    void end(UpstreamTry t, TryOutcome ending) {
         abandon(t);
-        book.ended(t, t.written ? ending : Ending.CONNECT_FAILED, null);
+        book.ended(t, t.written ? ending : TryOutcome.CONNECT_FAILED, null);
     }
 
-    private static void abandon(Upstream t) {
+    private static void abandon(UpstreamTry t) {
         if (t.link != null) {
-            PodLink link = t.link;
+            PodConnection link = t.link;
             t.link = null;
             link.abandon();
         }
@@ -75,11 +76,11 @@
      * The text goes on as it was read but for the time that is left: a new head, then the parts
      * around it.
      */
-    void write(Upstream t, PodLink link) {
+    void write(UpstreamTry t, PodConnection link) {
         if (clock.now() > t.writeByNs) {
             t.link = null;
             link.spare();
-            net.soon(() -> end(t, Ending.CONNECT_FAILED));
+            net.soon(() -> end(t, TryOutcome.CONNECT_FAILED));
             return;
         }
         t.link = link;
--- a/sidecar/src/main/java/mulleinlever/sidecar/Upstream.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/UpstreamTry.java
@@ -1,11 +1,11 @@
 package mulleinlever.sidecar;
 
 import java.util.concurrent.Future;
-import mulleinlever.Ending;
+import mulleinlever.TryOutcome;
 
 /** One upstream try, from the module's call until its end is booked. */
-final class Upstream {
-    final Held held;
+final class UpstreamTry {
+    final PendingCommand held;
     final int no;
     final String pod;
     final long calledNs;
@@ -14,16 +14,17 @@
     final long writeByNs;
 
     final long untilNs;
-    PodLink link;
+    PodConnection link;
     Future<?> limit;
 
     /** Whether the last byte of the req was handed to the network: from then on it may have run. */
     boolean written;
 
     /** How it ended; null until it has. */
-    Ending how;
+    TryOutcome how;
 
-    Upstream(Held held, int no, String pod, long calledNs, long writeByNs, long untilNs) {
+    UpstreamTry(
+            PendingCommand held, int no, String pod, long calledNs, long writeByNs, long untilNs) {
         this.held = held;
         this.no = no;
         this.pod = pod;
--- a/sidecar/src/main/java/mulleinlever/sidecar/Rehearsal.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/WarmUp.java
@@ -22,7 +22,7 @@
  * compiled: at a part of a core the reqs of the first seconds, and the compiling that they set off,
  * would come late by seconds.
  */
-final class Rehearsal {
+final class WarmUp {
     /**
      * Enough for what each req passes to be loaded and mostly compiled; no longer, since others
      * wait for us.
@@ -33,25 +33,26 @@
     private static final int CLIENTS = 8;
     private static final byte[] ROW = row();
 
-    private final Config config;
-    private final Consumer<Rehearsal> then;
+    private final SidecarConfig config;
+    private final Consumer<WarmUp> then;
     private final Clock clock = new Clock();
-    private final Log quiet = new Log(new PrintStream(OutputStream.nullOutputStream()), clock);
-    private final Net net = new InnerNet(quiet);
+    private final RateLimitedLog quiet =
+            new RateLimitedLog(new PrintStream(OutputStream.nullOutputStream()), clock);
+    private final NettyTransport net = new InProcessTransport(quiet);
     private final long startNs = clock.now();
     private int asked;
     private int ended;
     private int completed;
     private boolean over;
 
-    private Rehearsal(Config config, Consumer<Rehearsal> then) {
+    private WarmUp(SidecarConfig config, Consumer<WarmUp> then) {
         this.config = config;
         this.then = then;
     }
 
     /** Calls back once, on a thread of its own. */
-    static void play(Config config, Consumer<Rehearsal> then) {
-        Rehearsal r = new Rehearsal(config, then);
+    static void play(SidecarConfig config, Consumer<WarmUp> then) {
+        WarmUp r = new WarmUp(config, then);
         r.net.after(LONGEST_NS, r::end);
         r.net.soon(r::begin);
     }
@@ -66,13 +67,14 @@
     }
 
     private void begin() {
-        Stages stages = new Stages(config, net, clock, quiet, new Life(quiet));
+        SidecarComponents stages =
+                new SidecarComponents(config, net, clock, quiet, new Lifecycle(quiet));
         stages.policy.listConfirmed(clock.now());
         Set<String> addresses = new TreeSet<>(config.known().addresses().values());
         for (String a : addresses) {
-            InetSocketAddress at = Address.of(a);
+            InetSocketAddress at = SocketAddresses.of(a);
             if (at != null) {
-                net.listen(at, Pod::new);
+                net.listen(at, StubPod::new);
             }
         }
         stages.clients.listensAt(net.listen(config.listen(), stages::client).channel());
@@ -80,7 +82,7 @@
             net.connect(
                     config.listen(),
                     LONGEST_NS,
-                    new Client(),
+                    new WarmUpClient(),
                     cause -> quiet.say("life", cause.toString()));
         }
     }
@@ -94,14 +96,14 @@
     }
 
     /** Asks again as soon as it has its answer. */
-    private final class Client extends ChannelInboundHandlerAdapter {
-        private Frames frames;
+    private final class WarmUpClient extends ChannelInboundHandlerAdapter {
+        private PostgresMessageDecoder frames;
         private boolean waits;
 
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
-            frames = new Frames(ctx.alloc());
-            ctx.writeAndFlush(Replies.opening());
+            frames = new PostgresMessageDecoder(ctx.alloc());
+            ctx.writeAndFlush(PostgresMessages.opening());
         }
 
         @Override
@@ -123,9 +125,9 @@
 
         private void ask(ChannelHandlerContext ctx) {
             waits = true;
-            List<Settings.Route> routes = config.settings().routes();
-            Settings.Route route = routes.get(asked++ % routes.size());
-            boolean read = route.repeat() == Settings.Repeat.RETRIABLE;
+            List<Settings.RouteSettings> routes = config.settings().routes();
+            Settings.RouteSettings route = routes.get(asked++ % routes.size());
+            boolean read = route.repeat() == Settings.RetrySafety.RETRIABLE;
             String text =
                     String.format(
                                     read
@@ -159,13 +161,13 @@
     }
 
     /** Answers at once. */
-    private static final class Pod extends ChannelInboundHandlerAdapter {
-        private Frames frames;
+    private static final class StubPod extends ChannelInboundHandlerAdapter {
+        private PostgresMessageDecoder frames;
         private boolean started;
 
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
-            frames = new Frames(ctx.alloc());
+            frames = new PostgresMessageDecoder(ctx.alloc());
         }
 
         @Override
@@ -179,7 +181,7 @@
                         () ->
                                 asked
                                         ? ctx.alloc().buffer(ROW.length).writeBytes(ROW)
-                                        : Replies.welcome());
+                                        : PostgresMessages.welcome());
             }
         }
     }
--- a/sidecar/src/test/java/mulleinlever/sidecar/PatienceTest.java
+++ b/sidecar/src/test/java/mulleinlever/sidecar/AdaptiveConnectTimeoutTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Of the class that decides how long to wait by what was seen of late. */
-class PatienceTest {
+class AdaptiveConnectTimeoutTest {
     private static final long MS = 1_000_000L;
     private static final long MOST = 250 * MS;
 
@@ -39,7 +39,7 @@
     void agreesWithThePlainModel() {
         for (int seed = 0; seed < 50; seed++) {
             var random = new SplittableRandom(seed);
-            Patience p = new Patience(MOST);
+            AdaptiveConnectTimeout p = new AdaptiveConnectTimeout(MOST);
             List<Seen> all = new ArrayList<>();
             double bad = random.nextDouble();
             long now = 1_000_000 * MS;
@@ -62,7 +62,7 @@
 
     @Test
     void waitsAllThatIsAllowedWhereHardlyAnyComeUp() {
-        Patience p = new Patience(MOST);
+        AdaptiveConnectTimeout p = new AdaptiveConnectTimeout(MOST);
         for (int i = 0; i < 30; i++) {
             p.up(i, 10 * MS);
         }
@@ -71,6 +71,6 @@
             p.tooLate(30);
         }
         assertEquals(MOST, p.limitNs(30));
-        assertTrue(new Patience(MOST).limitNs(0) == MOST);
+        assertTrue(new AdaptiveConnectTimeout(MOST).limitNs(0) == MOST);
     }
 }
--- a/sidecar/src/test/java/mulleinlever/sidecar/DecodersTest.java
+++ b/sidecar/src/test/java/mulleinlever/sidecar/DecodersTest.java
@@ -17,7 +17,7 @@
 import java.util.SplittableRandom;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
-import mulleinlever.settings.Fault;
+import mulleinlever.settings.InvalidInputException;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
@@ -55,7 +55,7 @@
                 all.writeByte(type).writeInt(4 + body.length()).writeBytes(body.getBytes());
                 expected.add(type + body);
             }
-            Frames frames = new Frames(ByteBufAllocator.DEFAULT);
+            PostgresMessageDecoder frames = new PostgresMessageDecoder(ByteBufAllocator.DEFAULT);
             List<ByteBuf> kept = new ArrayList<>();
             List<String> types = new ArrayList<>();
             for (ByteBuf piece : cut(bytes(all), random)) {
@@ -78,9 +78,9 @@
     @ParameterizedTest
     @CsvSource({"0", "3", "-1", "200000", "2147483647"})
     void aLengthThatCannotBeIsAFault(int length) {
-        Frames frames = new Frames(ByteBufAllocator.DEFAULT);
+        PostgresMessageDecoder frames = new PostgresMessageDecoder(ByteBufAllocator.DEFAULT);
         frames.add(Unpooled.buffer().writeByte('Q').writeInt(length));
-        assertThrows(Fault.class, () -> frames.next(true));
+        assertThrows(InvalidInputException.class, () -> frames.next(true));
     }
 
     private static final Pattern FORM = Pattern.compile("(?s).*/\\*((?:(?!/\\*).)*)\\*/\\s*");
@@ -226,9 +226,10 @@
         assertEquals(List.of("ended"), got);
     }
 
-    private static Chunked lines(List<String> got) {
-        Log log = new Log(new PrintStream(OutputStream.nullOutputStream()), new Clock());
-        return new Chunked(null, 100, log, "test") {
+    private static ChunkedHttpConnection lines(List<String> got) {
+        RateLimitedLog log =
+                new RateLimitedLog(new PrintStream(OutputStream.nullOutputStream()), new Clock());
+        return new ChunkedHttpConnection(null, 100, log, "test") {
             @Override
             String says() {
                 return "";
@@ -269,10 +270,12 @@
             })
     void aFaultyConfigurationIsNamedByItsKey(String there, String instead, String message) {
         String known = "{\"generation\":1,\"instances\":[]}";
-        String good = StandIns.config("127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3", known, 99);
-        assertEquals(99, Config.read(good, Map.of()).sockets());
+        String good =
+                SidecarTestBase.config("127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3", known, 99);
+        assertEquals(99, SidecarConfig.read(good, Map.of()).sockets());
         String bad = good.replace(there, instead == null ? "" : instead);
-        Fault fault = assertThrows(Fault.class, () -> Config.read(bad, Map.of()));
+        InvalidInputException fault =
+                assertThrows(InvalidInputException.class, () -> SidecarConfig.read(bad, Map.of()));
         assertEquals(
                 message,
                 fault.getMessage()
--- a/sidecar/src/test/java/mulleinlever/sidecar/FailingCallsTest.java
+++ b/sidecar/src/test/java/mulleinlever/sidecar/DescriptorExhaustionTest.java
@@ -13,10 +13,10 @@
 
 /** The program while system calls fail for want of descriptors, and after. */
 @Timeout(90)
-class FailingCallsTest extends StandIns {
+class DescriptorExhaustionTest extends SidecarTestBase {
     private static final int DESCRIPTORS = 80;
 
-    FailingCallsTest() throws IOException {}
+    DescriptorExhaustionTest() throws IOException {}
 
     /** Connections that say nothing, more than the process has descriptors for. */
     private List<Socket> exhaust() throws Exception {
--- a/sidecar/src/test/java/mulleinlever/sidecar/HeldUpTest.java
+++ b/sidecar/src/test/java/mulleinlever/sidecar/ProcessPauseTest.java
@@ -20,13 +20,13 @@
  * written.
  */
 @Timeout(90)
-class HeldUpTest extends StandIns {
+class ProcessPauseTest extends SidecarTestBase {
     private static final Pattern ID = Pattern.compile("id=([0-9a-f]+)");
 
     /** {@code windowNs} of the tests' configuration. */
     private static final long WINDOW_MS = 400;
 
-    HeldUpTest() throws IOException {}
+    ProcessPauseTest() throws IOException {}
 
     private void signal(String name) throws Exception {
         assertEquals(
@@ -43,9 +43,9 @@
     }
 
     /** A server that takes so long to let a connection in. */
-    private Listener slowToLetIn(long ms, Answers answers) throws IOException {
-        Listener server =
-                new Listener(
+    private FakeServer slowToLetIn(long ms, PodBehavior answers) throws IOException {
+        FakeServer server =
+                new FakeServer(
                         (in, out) -> {
                             in.skipBytes(in.readInt() - 4);
                             Thread.sleep(ms);
@@ -68,7 +68,7 @@
     void aRepeatIsWrittenWithinItsWindowOrNotAtAll() throws Exception {
         Map<String, Long> firstMs = new ConcurrentHashMap<>();
         List<Long> gaps = new ArrayList<>();
-        Answers failsLate =
+        PodBehavior failsLate =
                 (q, out) -> {
                     firstMs.putIfAbsent(id(q), System.nanoTime() / 1_000_000);
                     Thread.sleep(290);
--- a/sidecar/src/test/java/mulleinlever/sidecar/AgainTest.java
+++ b/sidecar/src/test/java/mulleinlever/sidecar/ReconnectBackoffTest.java
@@ -7,7 +7,7 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-class AgainTest {
+class ReconnectBackoffTest {
     private static final long MS = 1_000_000L;
     private static final long S = 1_000 * MS;
 
@@ -18,13 +18,15 @@
      * stays down.
      */
     private static int mostCallsASecond(int sidecars, double callsPerSecond, long failsAfterNs) {
-        Again[] all = new Again[sidecars];
+        ReconnectBackoff[] all = new ReconnectBackoff[sidecars];
         var agenda = new PriorityQueue<Call>((a, b) -> Long.compare(a.atNs, b.atNs));
         for (int i = 0; i < sidecars; i++) {
-            all[i] = new Again(300 * MS, Again.mostFor(sidecars, callsPerSecond), i);
+            all[i] =
+                    new ReconnectBackoff(
+                            300 * MS, ReconnectBackoff.mostFor(sidecars, callsPerSecond), i);
             agenda.add(new Call(0, i));
         }
-        int grown = (int) (2 * Again.mostFor(sidecars, callsPerSecond) / S) + 3;
+        int grown = (int) (2 * ReconnectBackoff.mostFor(sidecars, callsPerSecond) / S) + 3;
         int[] inSecond = new int[grown + 40];
         while (agenda.peek().atNs < (grown + 40) * S) {
             Call c = agenda.poll();
@@ -66,7 +68,7 @@
             var random = new SplittableRandom(seed);
             long first = 1 + random.nextLong(500 * MS);
             long most = random.nextLong(5 * S);
-            Again a = new Again(first, most, seed);
+            ReconnectBackoff a = new ReconnectBackoff(first, most, seed);
             long bound = Math.max(first, most);
             long now = 0;
             int inRow = 0;
@@ -88,8 +90,8 @@
 
     @Test
     void oddFiguresStayBounded() {
-        assertEquals(60 * S, Again.mostFor(1000, -5));
-        assertEquals(60 * S, Again.mostFor(1000, Double.NaN));
-        assertEquals(0, Again.mostFor(3, Double.POSITIVE_INFINITY));
+        assertEquals(60 * S, ReconnectBackoff.mostFor(1000, -5));
+        assertEquals(60 * S, ReconnectBackoff.mostFor(1000, Double.NaN));
+        assertEquals(0, ReconnectBackoff.mostFor(3, Double.POSITIVE_INFINITY));
     }
 }
--- a/sidecar/src/test/java/mulleinlever/sidecar/ServeMain.java
+++ b/sidecar/src/test/java/mulleinlever/sidecar/ServeMain.java
@@ -14,6 +14,6 @@
     public static void main(String[] args) throws InterruptedException {
         List<Path> with =
                 Arrays.stream(args).skip(1).filter(a -> !a.equals("--with")).map(Path::of).toList();
-        System.exit(Serve.run(System.getenv(), with));
+        System.exit(SidecarServer.run(System.getenv(), with));
     }
 }
--- a/sidecar/src/test/java/mulleinlever/sidecar/SocketsTest.java
+++ b/sidecar/src/test/java/mulleinlever/sidecar/SidecarProcessTest.java
@@ -22,12 +22,12 @@
 
 /** Starts the program and speaks to it over sockets. */
 @Timeout(60)
-class SocketsTest extends StandIns {
-    SocketsTest() throws IOException {}
+class SidecarProcessTest extends SidecarTestBase {
+    SidecarProcessTest() throws IOException {}
 
     @Test
     void passesTheReqOnAndTheRowBack() throws Exception {
-        Listener pod = pod((q, out) -> give(out, "v"));
+        FakeServer pod = pod((q, out) -> give(out, "v"));
         start();
         // What was rehearsed before the start stayed inside.
         assertTrue(pod.told.isEmpty());
@@ -82,7 +82,7 @@
     @Test
     void valuesOf64KiBPassBothWays() throws Exception {
         String large = "x".repeat(64 * 1024);
-        Listener pod = pod((q, out) -> give(out, large));
+        FakeServer pod = pod((q, out) -> give(out, large));
         start();
         try (Client c = new Client()) {
             String hex = "\\x" + "9f".repeat(64 * 1024);
@@ -93,7 +93,7 @@
 
     @Test
     void aRowCutShortNeverReachesTheClient() throws Exception {
-        Answers cut =
+        PodBehavior cut =
                 (q, out) -> {
                     byte[] row = served("broken".getBytes(StandardCharsets.UTF_8));
                     out.write(row, 0, row.length - 25);
@@ -158,7 +158,7 @@
 
     @Test
     void hungPodsCostATimeLimitNoMore() throws Exception {
-        Listener hung =
+        FakeServer hung =
                 pod(
                         (q, out) -> {
                             Thread.sleep(30_000);
@@ -176,7 +176,7 @@
 
     @Test
     void oneWhoLeavesTakesTheTryAlong() throws Exception {
-        Listener pod =
+        FakeServer pod =
                 pod(
                         (q, out) -> {
                             // Until the other side ends the connection.
@@ -274,7 +274,7 @@
 
     @Test
     void aCopyOfAnAnswerIsNotTheNextOnes() throws Exception {
-        Listener pod =
+        FakeServer pod =
                 pod(
                         (q, out) -> {
                             var twice = new ByteArrayOutputStream();
@@ -319,7 +319,7 @@
 
     @Test
     void noiseOnAnIdleConnectionCostsOnlyThatConnection() throws Exception {
-        Listener pod =
+        FakeServer pod =
                 pod(
                         (q, out) -> {
                             give(out, "v");
@@ -339,7 +339,7 @@
 
     @Test
     void idleConnectionsToPodsGoBeforeTheirTime() throws Exception {
-        Listener pod = pod((q, out) -> give(out, "v"));
+        FakeServer pod = pod((q, out) -> give(out, "v"));
         start();
         try (Client c = new Client()) {
             assertEquals("TDvC", c.ask(get("1", 800)));
@@ -358,7 +358,7 @@
         until(() -> platform.told.contains("NOTIFY") && discovery.told.size() == 1);
         assertEquals("GET /discovery/hosts?stream=1&index=7 HTTP/1.1", discovery.told.get(0));
         Thread.sleep(300);
-        for (Listener l : List.of(platform, discovery)) {
+        for (FakeServer l : List.of(platform, discovery)) {
             for (Socket s : l.open) {
                 s.close();
             }
@@ -390,8 +390,8 @@
 
     @Test
     void nothingGoesToAPodThatDrains() throws Exception {
-        Listener leaving = pod((q, out) -> give(out, "v"));
-        Listener staying = pod((q, out) -> give(out, "v"));
+        FakeServer leaving = pod((q, out) -> give(out, "v"));
+        FakeServer staying = pod((q, out) -> give(out, "v"));
         start();
         try (Client c = new Client()) {
             for (int i = 0; i < 20; i++) {
@@ -466,10 +466,10 @@
                 });
         start();
         until(() -> platform.told.contains("NOTIFY") && discovery.told.size() == 1);
-        Listener oldDiscovery = discovery;
-        Listener oldPlatform = platform;
-        discovery = new Listener(this::discover);
-        platform = new Listener(this::stage);
+        FakeServer oldDiscovery = discovery;
+        FakeServer oldPlatform = platform;
+        discovery = new FakeServer(this::discover);
+        platform = new FakeServer(this::stage);
         try (Client open = new Client()) {
             open.query(get("slow", 1400));
             until(() -> pods.get(0).told.size() == 1);
@@ -536,7 +536,7 @@
             // It takes connections and says nothing, as one does that is paused. The other is in
             // the zone that idle
             // sidecars leave alone.
-            Listener mute = new Listener((in, out) -> Thread.sleep(30_000));
+            FakeServer mute = new FakeServer((in, out) -> Thread.sleep(30_000));
             pods.addAll(List.of(mute, mute));
             extraLines.add(list(8, false, entry(51, 1, "ready"), entry(50, 1, "ready")));
             long slowest = 0;
--- a/sidecar/src/test/java/mulleinlever/sidecar/StandIns.java
+++ b/sidecar/src/test/java/mulleinlever/sidecar/SidecarTestBase.java
@@ -30,21 +30,21 @@
  * The program in a process of its own, among stand-ins for pods, discovery, the platform and
  * clients.
  */
-abstract class StandIns {
+abstract class SidecarTestBase {
     /** What serves one connection of a stand-in. */
-    interface Serving {
+    interface ConnectionHandler {
         void serve(DataInputStream in, DataOutputStream out) throws Exception;
     }
 
     /** A stand-in that listens; it keeps what it was told, and its open connections. */
-    final class Listener implements Closeable {
+    final class FakeServer implements Closeable {
         volatile ServerSocket at = new ServerSocket(0, 100, InetAddress.getLoopbackAddress());
-        private final Serving serving;
+        private final ConnectionHandler serving;
         final List<String> told = new CopyOnWriteArrayList<>();
         final List<Socket> open = new CopyOnWriteArrayList<>();
         volatile int ended;
 
-        Listener(Serving serving) throws IOException {
+        FakeServer(ConnectionHandler serving) throws IOException {
             this.serving = serving;
             accept(at);
             all.add(this);
@@ -99,11 +99,11 @@
         }
     }
 
-    interface Work {
+    interface ThrowingRunnable {
         void run() throws Exception;
     }
 
-    static void thread(Work work) {
+    static void thread(ThrowingRunnable work) {
         Thread t =
                 new Thread(
                         () -> {
@@ -118,16 +118,16 @@
     }
 
     /** How a pod answers a query; false ends the connection. */
-    interface Answers {
+    interface PodBehavior {
         boolean to(String query, DataOutputStream out) throws Exception;
     }
 
     final List<Closeable> all = new ArrayList<>();
-    final List<Listener> pods = new ArrayList<>();
+    final List<FakeServer> pods = new ArrayList<>();
     final List<String> extraLines = new CopyOnWriteArrayList<>();
     // Which those are may change within a test, as it may for the program.
-    volatile Listener discovery = new Listener(this::discover);
-    volatile Listener platform = new Listener(this::stage);
+    volatile FakeServer discovery = new FakeServer(this::discover);
+    volatile FakeServer platform = new FakeServer(this::stage);
     volatile boolean silent;
     volatile String ballotAnswer = "OK 1 2 live 1 5000";
     volatile String progress = "* progress 1 2 live 1 5000";
@@ -151,7 +151,7 @@
     int port;
     @TempDir Path folder;
 
-    StandIns() throws IOException {}
+    SidecarTestBase() throws IOException {}
 
     @AfterEach
     void end() throws Exception {
@@ -163,10 +163,10 @@
         }
     }
 
-    Listener pod(Answers answers) throws IOException {
-        Listener[] self = new Listener[1];
+    FakeServer pod(PodBehavior answers) throws IOException {
+        FakeServer[] self = new FakeServer[1];
         self[0] =
-                new Listener(
+                new FakeServer(
                         (in, out) -> {
                             in.skipBytes(in.readInt() - 4);
                             out.write(
@@ -439,7 +439,7 @@
     }
 
     /** Ends all open connections of a stand-in. */
-    static void cut(Listener listener) throws IOException {
+    static void cut(FakeServer listener) throws IOException {
         for (Socket s : listener.open) {
             s.close();
         }
--- a/sidecar/src/test/java/mulleinlever/sidecar/Soak.java
+++ b/sidecar/src/test/java/mulleinlever/sidecar/SoakRun.java
@@ -20,7 +20,7 @@
  * when and to whom is drawn from the seed. Whatever breaks a rule is collected; times are
  * milliseconds of the monotonic clock.
  */
-final class Soak extends StandIns {
+final class SoakRun extends SidecarTestBase {
     private static final Pattern ID = Pattern.compile("'([^']*)'.*id=([0-9a-f]+),c=(\\w+)");
     private static final int SERVERS = 6;
     private static final int CLIENTS = 4;
@@ -37,7 +37,7 @@
 
     private static final long FOREVER = Long.MAX_VALUE / 2;
 
-    private enum Mode {
+    private enum DiscoveryMode {
         RIGHT,
         CROWDED,
         SILENT,
@@ -45,7 +45,7 @@
     }
 
     /** One server: what the list says of it, since when, and how it behaves. */
-    private final class Server {
+    private final class FaultyPod {
         final int number;
         volatile String state = "ready";
         volatile long leftMs = FOREVER;
@@ -57,7 +57,7 @@
         volatile int errors;
         volatile long delayMs;
 
-        Server(int number) throws IOException {
+        FaultyPod(int number) throws IOException {
             this.number = number;
             pod(this::answer);
         }
@@ -120,7 +120,7 @@
 
     private final long seed;
     private final SplittableRandom random;
-    private final List<Server> servers = new ArrayList<>();
+    private final List<FaultyPod> servers = new ArrayList<>();
     private final Map<String, long[]> ran = new ConcurrentHashMap<>();
     private final Queue<String> broken = new ConcurrentLinkedQueue<>();
     private final Queue<String> story = new ConcurrentLinkedQueue<>();
@@ -128,20 +128,20 @@
     private final AtomicInteger asked = new AtomicInteger();
     private final AtomicInteger ids = new AtomicInteger();
     private final long startMs = System.nanoTime() / 1_000_000;
-    private volatile Mode mode = Mode.RIGHT;
+    private volatile DiscoveryMode mode = DiscoveryMode.RIGHT;
     private volatile int version = 7;
     private volatile long outageEndsMs;
     private volatile long movedMs = -FOREVER;
     private volatile long killedMs = -FOREVER;
     private volatile boolean over;
 
-    Soak(long seed) throws IOException {
+    SoakRun(long seed) throws IOException {
         this.seed = seed;
         this.random = new SplittableRandom(seed);
         this.folder = Files.createTempDirectory("soak");
-        this.discovery = new Listener(this::serveList);
+        this.discovery = new FakeServer(this::serveList);
         for (int i = 0; i < SERVERS; i++) {
-            servers.add(new Server(i));
+            servers.add(new FaultyPod(i));
         }
     }
 
@@ -160,7 +160,7 @@
     private void serveList(DataInputStream in, DataOutputStream out) throws Exception {
         line(in);
         while (!line(in).isEmpty()) {}
-        if (mode == Mode.CROWDED) {
+        if (mode == DiscoveryMode.CROWDED) {
             Thread.sleep(1_000);
             out.writeBytes("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
             return;
@@ -168,7 +168,7 @@
         out.writeBytes("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
         int told = -1;
         while (true) {
-            while (mode == Mode.SILENT) {
+            while (mode == DiscoveryMode.SILENT) {
                 Thread.sleep(20);
             }
             int at = version;
@@ -180,7 +180,7 @@
                                 .filter(s -> !s.state.equals("gone"))
                                 .map(s -> entry(s.number, 1, s.state))
                                 .toArray(String[]::new);
-                List<Server> leaving =
+                List<FaultyPod> leaving =
                         servers.stream().filter(s -> !s.state.equals("ready")).toList();
                 chunk(out, list(at, true, entries) + "\n");
                 leaving.stream()
@@ -195,16 +195,16 @@
     }
 
     private void chunk(DataOutputStream out, String text) throws Exception {
-        int step = mode == Mode.SLOW ? 150 : text.length();
+        int step = mode == DiscoveryMode.SLOW ? 150 : text.length();
         for (int i = 0; i < text.length(); i += step) {
             String part = text.substring(i, Math.min(text.length(), i + step));
             out.writeBytes(Integer.toHexString(part.length()) + "\r\n" + part + "\r\n");
-            Thread.sleep(mode == Mode.SLOW ? 200 : 0);
+            Thread.sleep(mode == DiscoveryMode.SLOW ? 200 : 0);
         }
     }
 
     /** The list changes, and with it what the server does. */
-    private void change(Server s, String state) {
+    private void change(FaultyPod s, String state) {
         if (s.leftMs == FOREVER && !state.equals("ready")) {
             s.leftMs = now();
         }
@@ -218,7 +218,7 @@
     }
 
     /** It drains, ends, listens again before it is listed, and is listed. */
-    private void replace(Server s, long drainsMs, long gone, long unlisted) {
+    private void replace(FaultyPod s, long drainsMs, long gone, long unlisted) {
         thread(
                 () -> {
                     change(s, "draining");
@@ -234,7 +234,7 @@
     }
 
     private void event() throws Exception {
-        Server s = servers.get(random.nextInt(SERVERS));
+        FaultyPod s = servers.get(random.nextInt(SERVERS));
         int what = random.nextInt(12);
         tell("event " + what);
         switch (what) {
@@ -250,15 +250,15 @@
             }
             case 3 -> {
                 s.delayMs = 0;
-                mode = now() > outageEndsMs ? Mode.SLOW : mode;
+                mode = now() > outageEndsMs ? DiscoveryMode.SLOW : mode;
             }
-            case 4, 5 -> mode = now() > outageEndsMs ? Mode.RIGHT : mode;
+            case 4, 5 -> mode = now() > outageEndsMs ? DiscoveryMode.RIGHT : mode;
             case 6 -> cut(discovery);
             case 7 -> cut(platform);
             case 8 -> hold();
             case 9 -> {
-                Listener old = discovery;
-                discovery = new Listener(this::serveList);
+                FakeServer old = discovery;
+                discovery = new FakeServer(this::serveList);
                 configure(256);
                 movedMs = now();
                 hangUp();
@@ -290,7 +290,7 @@
      * count as told.
      */
     private void beginOutage() throws IOException {
-        mode = random.nextBoolean() ? Mode.CROWDED : Mode.SILENT;
+        mode = random.nextBoolean() ? DiscoveryMode.CROWDED : DiscoveryMode.SILENT;
         outageEndsMs = now() + 8_000 + random.nextInt(4_000);
         tell("discovery is " + mode + " until " + outageEndsMs);
         cut(discovery);
@@ -380,7 +380,7 @@
                 event();
             }
             tell("calm");
-            mode = Mode.RIGHT;
+            mode = DiscoveryMode.RIGHT;
             servers.forEach(
                     s -> {
                         s.resets = 0;
--- a/sidecar/src/test/java/mulleinlever/sidecar/SoakTest.java
+++ b/sidecar/src/test/java/mulleinlever/sidecar/SoakTest.java
@@ -34,7 +34,7 @@
         for (long seed : seeds()) {
             Callable<List<String>> run =
                     () -> {
-                        Soak soak = new Soak(seed);
+                        SoakRun soak = new SoakRun(seed);
                         List<String> broken = soak.play();
                         System.out.println(
                                 "soak seed "
--- a/sidecar/src/test/java/mulleinlever/sidecar/StaleListTest.java
+++ b/sidecar/src/test/java/mulleinlever/sidecar/StalePodListTest.java
@@ -15,7 +15,7 @@
 
 /** A sidecar whose discovery can be reached but serves nobody, while the servers change. */
 @Timeout(90)
-class StaleListTest extends StandIns {
+class StalePodListTest extends SidecarTestBase {
     private static final long SECOND = 1_000_000_000L;
 
     /** A change counts as told this long after discovery had it, whether it arrived or not. */
@@ -35,8 +35,8 @@
     /** A list that is written twenty characters each half a second. */
     private volatile String slowly;
 
-    StaleListTest() throws IOException {
-        discovery = new Listener(this::discoverInLine);
+    StalePodListTest() throws IOException {
+        discovery = new FakeServer(this::discoverInLine);
     }
 
     private void discoverInLine(DataInputStream in, DataOutputStream out) throws Exception {
@@ -81,7 +81,7 @@
     @Test
     void aProcessThatWasNeverToldAListSendsNothingByTheOneItStartedWith() throws Exception {
         crowded = true;
-        Listener server = pod((q, out) -> give(out, "v"));
+        FakeServer server = pod((q, out) -> give(out, "v"));
         start();
         try (Client client = new Client()) {
             long fromNs = System.nanoTime();
@@ -121,7 +121,7 @@
     // same again.
     @Test
     void anIndentedListIsTakenLikeAnyOther() throws Exception {
-        Listener leaving = pod((q, out) -> give(out, "v"));
+        FakeServer leaving = pod((q, out) -> give(out, "v"));
         pod((q, out) -> give(out, "v"));
         start();
         try (Client client = new Client()) {
@@ -140,7 +140,7 @@
     // beginning.
     @Test
     void aListThatComesSlowlyIsWaitedFor() throws Exception {
-        Listener leaving = pod((q, out) -> give(out, "v"));
+        FakeServer leaving = pod((q, out) -> give(out, "v"));
         pod((q, out) -> give(out, "v"));
         start();
         until(() -> discovery.told.size() == 1);
@@ -198,12 +198,12 @@
     void aServerThatLeftIsNotUsedOnceItsRemovalCountsAsToldThoughNoListArrived() throws Exception {
         List<Long> sentToP0 = new CopyOnWriteArrayList<>();
         boolean[] drains = {false};
-        Answers recorded =
+        PodBehavior recorded =
                 (q, out) -> {
                     sentToP0.add(System.nanoTime());
                     return drains[0] ? refuse(out, "53300") : give(out, "v");
                 };
-        Listener leaving = pod(recorded);
+        FakeServer leaving = pod(recorded);
         pod((q, out) -> give(out, "v"));
         start();
         until(() -> discovery.told.size() == 1);
--- a/sidecar/src/test/java/mulleinlever/sidecar/MemoryTest.java
+++ b/sidecar/src/test/java/mulleinlever/sidecar/StatePersistenceTest.java
@@ -11,15 +11,15 @@
 import java.util.SplittableRandom;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
-import mulleinlever.disk.FolderDisk;
-import mulleinlever.state.Keeper;
+import mulleinlever.disk.FileSystemDirectory;
+import mulleinlever.state.StateStore;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
 /** What is kept over real restarts and real kills of a real process. */
 @Timeout(120)
-class MemoryTest extends StandIns {
+class StatePersistenceTest extends SidecarTestBase {
     private static final long MOST = 1 << 20;
 
     /** How often the process is killed; more for a long run, outside CI. */
@@ -27,7 +27,7 @@
 
     private Path state;
 
-    MemoryTest() throws IOException {}
+    StatePersistenceTest() throws IOException {}
 
     @BeforeEach
     void remembers() throws IOException {
@@ -44,13 +44,13 @@
                         + more);
     }
 
-    private Keeper.Found newest() throws IOException {
-        return Keeper.newest(new FolderDisk(state), MOST, "n0");
+    private StateStore.LoadResult newest() throws IOException {
+        return StateStore.newest(new FileSystemDirectory(state), MOST, "n0");
     }
 
     private long sequence() {
         try {
-            return Keeper.sequence(newest().file());
+            return StateStore.sequence(newest().file());
         } catch (IOException | RuntimeException e) {
             return 0;
         }
@@ -94,7 +94,7 @@
                 taken);
         // A pod that listens elsewhere now is not the one that was slow.
         kill();
-        pods.set(2, new Listener((in, out) -> {}));
+        pods.set(2, new FakeServer((in, out) -> {}));
         start();
         taken = logged().lines().filter(l -> l.contains("state: state-")).findFirst().orElseThrow();
         assertTrue(taken.contains("1 pods at another address"), taken);
@@ -109,7 +109,9 @@
         for (int i = 0; i < KILLS; i++) {
             start();
             assertFalse(logged().contains("passed over"), logged());
-            assertTrue(before == 0 || logged().contains("state: " + Keeper.name(before)), logged());
+            assertTrue(
+                    before == 0 || logged().contains("state: " + StateStore.name(before)),
+                    logged());
             AtomicInteger served = new AtomicInteger();
             thread(
                     () -> {
@@ -151,18 +153,18 @@
         pod((q, out) -> give(out, "v"));
         Files.createDirectories(state);
         // Whoever opens a pipe waits for its other end: for ever here.
-        pipe(Keeper.name(40));
+        pipe(StateStore.name(40));
         start();
         assertTrue(logged().contains("took longer than 1000 ms"), logged());
         try (Client c = new Client()) {
             assertEquals("TDvC", c.ask(get("1", 800)));
         }
         stop();
-        Files.delete(state.resolve(Keeper.name(40)));
+        Files.delete(state.resolve(StateStore.name(40)));
         start();
         long at = sequence();
         for (long n = at + 3; n < at + 60; n++) {
-            pipe(Keeper.name(n) + ".tmp");
+            pipe(StateStore.name(n) + ".tmp");
         }
         until(() -> sequence() > at);
         try (Client c = new Client()) {
@@ -188,13 +190,14 @@
         until(() -> sequence() >= 3);
         stop();
         long last = sequence();
-        Path file = state.resolve(Keeper.name(last));
+        Path file = state.resolve(StateStore.name(last));
         byte[] bytes = Files.readAllBytes(file);
         bytes[bytes.length / 2] ^= 4;
         Files.write(file, bytes);
         start();
-        assertTrue(logged().contains("passed over " + Keeper.name(last) + ": at byte "), logged());
-        assertTrue(logged().contains("state: " + Keeper.name(last - 1)), logged());
+        assertTrue(
+                logged().contains("passed over " + StateStore.name(last) + ": at byte "), logged());
+        assertTrue(logged().contains("state: " + StateStore.name(last - 1)), logged());
     }
 
     @Test
--- a/sidecar/src/test/java/mulleinlever/sidecar/RehearsalTest.java
+++ b/sidecar/src/test/java/mulleinlever/sidecar/WarmUpTest.java
@@ -10,24 +10,25 @@
 import org.junit.jupiter.api.Test;
 
 /** What passes all stages before the first client comes. */
-class RehearsalTest {
+class WarmUpTest {
     private static final String POD =
             "{\"instanceId\":\"p0\",\"hostPort\":\"127.0.0.9:6543\",\"zone\":\"a\","
                     + "\"machineType\":\"m\",\"cell\":0,\"lifecycle\":\"ready\",\"weight\":1.0,\"startedAtMs\":0,\"build\":1}";
 
-    private static BlockingQueue<Rehearsal> play(String pods) {
+    private static BlockingQueue<WarmUp> play(String pods) {
         String known = "{\"generation\":7,\"reset\":true,\"instances\":[" + pods + "]}";
         // Addresses at which nothing listens: whatever goes out of the process fails.
-        String text = StandIns.config("127.0.0.9:1", "127.0.0.9:2", "127.0.0.9:3", known, 256);
-        var played = new LinkedBlockingQueue<Rehearsal>();
-        Rehearsal.play(Config.read(text, Map.of()), played::add);
+        String text =
+                SidecarTestBase.config("127.0.0.9:1", "127.0.0.9:2", "127.0.0.9:3", known, 256);
+        var played = new LinkedBlockingQueue<WarmUp>();
+        WarmUp.play(SidecarConfig.read(text, Map.of()), played::add);
         return played;
     }
 
     @Test
     void itsReqsCompleteAndNoneLeavesTheProcess() throws Exception {
         var played = play(POD);
-        assertEquals(Rehearsal.REQS, played.poll(20, TimeUnit.SECONDS).completed());
+        assertEquals(WarmUp.REQS, played.poll(20, TimeUnit.SECONDS).completed());
         assertNull(played.poll(2, TimeUnit.SECONDS), "called back twice");
     }
 
