--- a/state/src/main/java/mulleinlever/state/Capture.java
+++ b/state/src/main/java/mulleinlever/state/SnapshotBuilder.java
@@ -5,30 +5,30 @@
 import java.util.List;
 import java.util.function.Function;
 import java.util.function.LongSupplier;
-import mulleinlever.Learned;
-import mulleinlever.News;
+import mulleinlever.LearnedState;
 import mulleinlever.PodEntry;
+import mulleinlever.RolloutStatus;
 
 /**
  * One capture under way. It is taken in slices, so that the event loop of a sidecar with ten
  * thousand pods is never held for long; what changes between two slices is taken as it is when its
  * turn comes.
  */
-public final class Capture {
+public final class SnapshotBuilder {
     /** Pieces between two looks at the clock: some microseconds of work. */
     private static final int BETWEEN_LOOKS = 16;
 
-    private final Iterator<Learned> pieces;
+    private final Iterator<LearnedState> pieces;
     private final Function<String, String> addresses;
-    private final List<Kept.OfPod> pods = new ArrayList<>();
-    private final List<Learned> learned = new ArrayList<>();
+    private final List<StateSnapshot.PodSnapshot> pods = new ArrayList<>();
+    private final List<LearnedState> learned = new ArrayList<>();
 
     /**
      * @param pieces what a policy gives out
      * @param addresses where a pod listens, by its id; null for pods whose address is not known,
      *     which are left out
      */
-    public Capture(Iterator<Learned> pieces, Function<String, String> addresses) {
+    public SnapshotBuilder(Iterator<LearnedState> pieces, Function<String, String> addresses) {
         this.pieces = pieces;
         this.addresses = addresses;
     }
@@ -44,20 +44,20 @@
         return true;
     }
 
-    private void take(Learned one) {
-        if (!(one instanceof Learned.OfPod p)) {
+    private void take(LearnedState one) {
+        if (!(one instanceof LearnedState.PodStats p)) {
             learned.add(one);
             return;
         }
         String address =
                 p.is().state() == PodEntry.State.GONE ? null : addresses.apply(p.is().id());
         if (address != null) {
-            pods.add(new Kept.OfPod(address, p));
+            pods.add(new StateSnapshot.PodSnapshot(address, p));
         }
     }
 
     /** What was captured, under a head whose number the keeper gives. */
-    public Kept kept(Kept.Head head, News news) {
-        return new Kept(head, news, pods, learned);
+    public StateSnapshot kept(StateSnapshot.Header head, RolloutStatus news) {
+        return new StateSnapshot(head, news, pods, learned);
     }
 }
--- a/state/src/main/java/mulleinlever/state/Taking.java
+++ b/state/src/main/java/mulleinlever/state/SnapshotFilter.java
@@ -6,30 +6,30 @@
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.stream.Collectors;
-import mulleinlever.Learned;
-import mulleinlever.News;
+import mulleinlever.LearnedState;
 import mulleinlever.PodEntry;
+import mulleinlever.RolloutStatus;
 
 /**
  * Which of what was kept still holds here and now, and why the rest does not. What is taken is a
  * prior and no right: nothing in it lets a restarted sidecar do more than one that starts with
  * nothing.
  */
-public final class Taking {
+public final class SnapshotFilter {
     /**
      * Where the sidecar stands at its start.
      *
      * @param pods the list that it starts from, by id
      * @param addresses where each listens, by id, as address and port
      */
-    public record Here(
+    public record RestoreContext(
             String zone,
             Set<String> routes,
             Map<String, PodEntry> pods,
             Map<String, String> addresses) {}
 
     /** What is taken, and how many were left out for each reason, by the reason. */
-    public record Taken(List<Learned> learned, Map<String, Integer> leftOut) {
+    public record RestoreResult(List<LearnedState> learned, Map<String, Integer> leftOut) {
         /** For one line of a log: how many of each sort. */
         @Override
         public String toString() {
@@ -37,7 +37,9 @@
                     learned.stream()
                             .collect(
                                     Collectors.groupingBy(
-                                            Taking::sort, TreeMap::new, Collectors.counting()));
+                                            SnapshotFilter::sort,
+                                            TreeMap::new,
+                                            Collectors.counting()));
             String taken =
                     sorts.isEmpty()
                             ? "nothing"
@@ -54,10 +56,10 @@
         }
     }
 
-    private Taking() {}
+    private SnapshotFilter() {}
 
-    private static String sort(Learned one) {
-        return switch (Ageing.group(one)) {
+    private static String sort(LearnedState one) {
+        return switch (StateDecay.group(one)) {
             case PODS -> "pods";
             case LINKS -> "links";
             case ROUTES -> "routes";
@@ -67,25 +69,25 @@
     }
 
     /** What holds of all that was kept, after that age. */
-    public static Taken of(Kept kept, long ageNs, Here here) {
-        List<Learned> taken = new ArrayList<>();
+    public static RestoreResult of(StateSnapshot kept, long ageNs, RestoreContext here) {
+        List<LearnedState> taken = new ArrayList<>();
         Map<String, Integer> leftOut = new TreeMap<>();
-        for (Kept.OfPod p : kept.pods()) {
+        for (StateSnapshot.PodSnapshot p : kept.pods()) {
             sift(p.learned(), misfit(p, kept, here), ageNs, taken, leftOut);
         }
-        for (Learned one : kept.learned()) {
+        for (LearnedState one : kept.learned()) {
             sift(one, misfit(one, kept, here), ageNs, taken, leftOut);
         }
-        return new Taken(taken, leftOut);
+        return new RestoreResult(taken, leftOut);
     }
 
     private static void sift(
-            Learned one,
+            LearnedState one,
             String misfit,
             long ageNs,
-            List<Learned> taken,
+            List<LearnedState> taken,
             Map<String, Integer> leftOut) {
-        Learned aged = misfit == null ? Ageing.aged(one, ageNs) : null;
+        LearnedState aged = misfit == null ? StateDecay.aged(one, ageNs) : null;
         if (aged != null) {
             taken.add(aged);
         } else {
@@ -94,7 +96,8 @@
     }
 
     /** Why a pod's past is not its own any more; null where it is. */
-    private static String misfit(Kept.OfPod p, Kept kept, Here here) {
+    private static String misfit(
+            StateSnapshot.PodSnapshot p, StateSnapshot kept, RestoreContext here) {
         PodEntry then = p.learned().is();
         PodEntry now = here.pods().get(then.id());
         if (now == null || now.state() == PodEntry.State.GONE) {
@@ -109,14 +112,15 @@
         return kept.head().zone().equals(here.zone()) ? null : "seen from another zone";
     }
 
-    private static String misfit(Learned one, Kept kept, Here here) {
-        if (one instanceof Learned.OfLinks && !kept.head().zone().equals(here.zone())) {
+    private static String misfit(LearnedState one, StateSnapshot kept, RestoreContext here) {
+        if (one instanceof LearnedState.ConnectionStats
+                && !kept.head().zone().equals(here.zone())) {
             return "seen from another zone";
         }
         String route =
-                one instanceof Learned.OfRoute r
+                one instanceof LearnedState.RouteStats r
                         ? r.route()
-                        : one instanceof Learned.OfBaseline b ? b.route() : "";
+                        : one instanceof LearnedState.DetectorBaseline b ? b.route() : "";
         return route.isEmpty() || here.routes().contains(route) ? null : "of no route here";
     }
 
@@ -125,23 +129,27 @@
      * for none). A list that names too little or old addresses costs tries, until discovery tells
      * better.
      */
-    public static boolean listHolds(Kept kept, long ageNs, long otherVersion) {
+    public static boolean listHolds(StateSnapshot kept, long ageNs, long otherVersion) {
         return kept.head().listVersion() > otherVersion
                 && !kept.pods().isEmpty()
-                && Ageing.left(Ageing.Group.LIST, ageNs) > 0;
+                && StateDecay.left(StateDecay.Category.LIST, ageNs) > 0;
     }
 
     /**
      * The news that was kept where it allows less than what is told at the start, else null. What
      * allows more is never remembered: a cap that has been lowered meanwhile would be passed.
      */
-    public static News tighter(News kept, News told) {
-        boolean back = kept.phase() == News.Phase.REVERTING || kept.phase() == News.Phase.WITHDRAWN;
+    public static RolloutStatus tighter(RolloutStatus kept, RolloutStatus told) {
+        boolean back =
+                kept.phase() == RolloutStatus.Phase.REVERTING
+                        || kept.phase() == RolloutStatus.Phase.WITHDRAWN;
         boolean sooner =
                 kept.build() > told.build()
                         || kept.build() == told.build()
-                                && (told.phase() == News.Phase.ON_TRIAL
-                                        || told.phase() == News.Phase.RELEASED);
-        return back && sooner ? new News(kept.build(), kept.stage(), kept.phase(), 0, 0) : null;
+                                && (told.phase() == RolloutStatus.Phase.ON_TRIAL
+                                        || told.phase() == RolloutStatus.Phase.RELEASED);
+        return back && sooner
+                ? new RolloutStatus(kept.build(), kept.stage(), kept.phase(), 0, 0)
+                : null;
     }
 }
--- a/state/src/main/java/mulleinlever/state/Ageing.java
+++ b/state/src/main/java/mulleinlever/state/StateDecay.java
@@ -1,13 +1,13 @@
 package mulleinlever.state;
 
-import mulleinlever.Learned;
+import mulleinlever.LearnedState;
 
 /**
  * How what was remembered fades by the time that passed, and when a whole group of it is dropped.
  * It knows no clock: the age is told, in nanoseconds, or {@link #UNKNOWN} where the clock was set
  * back or the file comes from another.
  */
-public final class Ageing {
+public final class StateDecay {
     /**
      * No age that can be believed. What changes within minutes is dropped then, the rest counts
      * half.
@@ -23,7 +23,7 @@
     private static final double LEAST = 0.1;
 
     /** What fades alike: its half-life, and the age beyond which nothing of it is taken. */
-    public enum Group {
+    public enum Category {
         /**
          * A slow or hung pod is restarted or recovers within minutes; wrong suspicion of it costs
          * room.
@@ -47,14 +47,14 @@
         final long mostNs;
         final boolean agelessToo;
 
-        Group(long halfLifeNs, long mostNs, boolean agelessToo) {
+        Category(long halfLifeNs, long mostNs, boolean agelessToo) {
             this.halfLifeNs = halfLifeNs;
             this.mostNs = mostNs;
             this.agelessToo = agelessToo;
         }
     }
 
-    private Ageing() {}
+    private StateDecay() {}
 
     /**
      * The age of what was captured at a Unix time in milliseconds, by a clock that may have been
@@ -66,32 +66,34 @@
     }
 
     /** The part of a figure's weight that is left; 0 where the group is dropped. */
-    public static double left(Group group, long ageNs) {
+    public static double left(Category group, long ageNs) {
         if (ageNs == UNKNOWN) {
             return group.agelessToo ? 0.5 : 0;
         }
         return ageNs > group.mostNs ? 0 : Math.pow(0.5, (double) ageNs / group.halfLifeNs);
     }
 
-    static Group group(Learned one) {
-        return one instanceof Learned.OfPod
-                ? Group.PODS
-                : one instanceof Learned.OfLinks
-                        ? Group.LINKS
-                        : one instanceof Learned.OfRoute
-                                ? Group.ROUTES
-                                : one instanceof Learned.OfBaseline ? Group.BASELINE : Group.KEYS;
+    static Category group(LearnedState one) {
+        return one instanceof LearnedState.PodStats
+                ? Category.PODS
+                : one instanceof LearnedState.ConnectionStats
+                        ? Category.LINKS
+                        : one instanceof LearnedState.RouteStats
+                                ? Category.ROUTES
+                                : one instanceof LearnedState.DetectorBaseline
+                                        ? Category.BASELINE
+                                        : Category.KEYS;
     }
 
     /** What is left of one thing learned; null where nothing is. */
-    public static Learned aged(Learned one, long ageNs) {
+    public static LearnedState aged(LearnedState one, long ageNs) {
         double left = left(group(one), ageNs);
         if (left == 0) {
             return null;
         }
-        if (one instanceof Learned.OfPod p) {
-            Learned.OfPod aged =
-                    new Learned.OfPod(
+        if (one instanceof LearnedState.PodStats p) {
+            LearnedState.PodStats aged =
+                    new LearnedState.PodStats(
                             p.is(),
                             faded(p.slowness(), left),
                             faded(p.late(), left),
@@ -100,29 +102,32 @@
                     ? aged
                     : null;
         }
-        if (one instanceof Learned.OfLinks l) {
-            Learned.OfLinks aged =
-                    new Learned.OfLinks(faded(l.refused(), left), faded(l.unanswered(), left));
+        if (one instanceof LearnedState.ConnectionStats l) {
+            LearnedState.ConnectionStats aged =
+                    new LearnedState.ConnectionStats(
+                            faded(l.refused(), left), faded(l.unanswered(), left));
             return aged.refused().weight() + aged.unanswered().weight() > 0 ? aged : null;
         }
-        if (one instanceof Learned.OfRoute r) {
-            Learned.OfRoute aged =
-                    new Learned.OfRoute(
+        if (one instanceof LearnedState.RouteStats r) {
+            LearnedState.RouteStats aged =
+                    new LearnedState.RouteStats(
                             r.route(), r.build(), faded(r.times(), left), faded(r.usual(), left));
             return aged.times().weight() + aged.usual().weight() > 0 ? aged : null;
         }
-        if (one instanceof Learned.OfBaseline b) {
+        if (one instanceof LearnedState.DetectorBaseline b) {
             double samples = b.samples() * left;
             return samples < 1
                     ? null
-                    : new Learned.OfBaseline(
+                    : new LearnedState.DetectorBaseline(
                             b.build(), b.route(), b.ofLate(), b.mean(), b.deviation(), samples);
         }
         return one;
     }
 
-    private static Learned.Figure faded(Learned.Figure f, double left) {
+    private static LearnedState.WeightedMean faded(LearnedState.WeightedMean f, double left) {
         double weight = f.weight() * left;
-        return weight < LEAST ? new Learned.Figure(0, 0) : new Learned.Figure(f.mean(), weight);
+        return weight < LEAST
+                ? new LearnedState.WeightedMean(0, 0)
+                : new LearnedState.WeightedMean(f.mean(), weight);
     }
 }
--- a/state/src/main/java/mulleinlever/state/StateFault.java
+++ b/state/src/main/java/mulleinlever/state/StateFileException.java
@@ -4,7 +4,7 @@
  * A file that is not taken, and why; the message names the file and, where there is one, the place
  * in it.
  */
-public final class StateFault extends Exception {
+public final class StateFileException extends Exception {
     private static final long serialVersionUID = 1L;
 
     /** The kinds, each with the exit code by which scripts can tell it. */
@@ -31,7 +31,7 @@
 
     public final transient Kind kind;
 
-    StateFault(Kind kind, String message) {
+    StateFileException(Kind kind, String message) {
         super(message);
         this.kind = kind;
     }
--- a/state/src/main/java/mulleinlever/state/Format.java
+++ b/state/src/main/java/mulleinlever/state/StateFileFormat.java
@@ -10,9 +10,9 @@
 import java.util.List;
 import java.util.function.Consumer;
 import java.util.zip.CRC32C;
-import mulleinlever.Learned;
-import mulleinlever.News;
+import mulleinlever.LearnedState;
 import mulleinlever.PodEntry;
+import mulleinlever.RolloutStatus;
 import org.apache.avro.AvroRuntimeException;
 import org.apache.avro.Schema;
 import org.apache.avro.generic.GenericData;
@@ -30,7 +30,7 @@
  * writer wrote. Each section's head and body have a checksum of their own, and no length is
  * believed before its head's has proved true.
  */
-final class Format {
+final class StateFileFormat {
     static final int VERSION = 1;
     static final byte[] MAGIC = {(byte) 0x89, 'M', 'L', 'S', 'T', '\r', '\n', 0x1a};
     private static final int HEAD = 20;
@@ -50,7 +50,7 @@
         PODS,
         KEYS;
 
-        private final int kind = Format.kind((name() + " ").substring(0, 4));
+        private final int kind = StateFileFormat.kind((name() + " ").substring(0, 4));
         private final Schema schema = schema(name());
 
         private static Schema schema(String of) {
@@ -64,7 +64,7 @@
                         case "PODS" -> "pod";
                         default -> "key";
                     };
-            try (InputStream in = Format.class.getResourceAsStream(file + ".avsc")) {
+            try (InputStream in = StateFileFormat.class.getResourceAsStream(file + ".avsc")) {
                 return new Schema.Parser().parse(in);
             } catch (IOException e) {
                 throw new UncheckedIOException(e);
@@ -72,7 +72,7 @@
         }
     }
 
-    private Format() {}
+    private StateFileFormat() {}
 
     static int kind(String name) {
         return ByteBuffer.wrap(name.getBytes(StandardCharsets.US_ASCII)).getInt();
@@ -89,17 +89,25 @@
 
     // ---- Writing.
 
-    static byte[] write(Kept kept) {
+    static byte[] write(StateSnapshot kept) {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         out.writeBytes(MAGIC);
         out.writeBytes(ByteBuffer.allocate(4).putInt(VERSION).array());
-        section(out, Section.HEAD, List.of(kept.head()), Format::put);
-        section(out, Section.NEWS, List.of(kept.news()), Format::put);
-        section(out, Section.LINK, only(kept, Learned.OfLinks.class), Format::put);
-        section(out, Section.ROUT, only(kept, Learned.OfRoute.class), Format::put);
-        section(out, Section.BASE, only(kept, Learned.OfBaseline.class), Format::put);
-        section(out, Section.PODS, kept.pods(), Format::put);
-        section(out, Section.KEYS, only(kept, Learned.OfKey.class), Format::put);
+        section(out, Section.HEAD, List.of(kept.head()), StateFileFormat::put);
+        section(out, Section.NEWS, List.of(kept.news()), StateFileFormat::put);
+        section(
+                out,
+                Section.LINK,
+                only(kept, LearnedState.ConnectionStats.class),
+                StateFileFormat::put);
+        section(out, Section.ROUT, only(kept, LearnedState.RouteStats.class), StateFileFormat::put);
+        section(
+                out,
+                Section.BASE,
+                only(kept, LearnedState.DetectorBaseline.class),
+                StateFileFormat::put);
+        section(out, Section.PODS, kept.pods(), StateFileFormat::put);
+        section(out, Section.KEYS, only(kept, LearnedState.KeyBuild.class), StateFileFormat::put);
         section(
                 out,
                 END,
@@ -109,7 +117,7 @@
         return out.toByteArray();
     }
 
-    private static <T> List<T> only(Kept kept, Class<T> type) {
+    private static <T> List<T> only(StateSnapshot kept, Class<T> type) {
         return kept.learned().stream().filter(type::isInstance).map(type::cast).toList();
     }
 
@@ -163,7 +171,7 @@
         return (int) crc.getValue();
     }
 
-    private static void put(GenericRecord r, Kept.Head h) {
+    private static void put(GenericRecord r, StateSnapshot.Header h) {
         r.put("writer", h.writer());
         r.put("instance", h.instance());
         r.put("machine", h.machine());
@@ -174,26 +182,26 @@
         r.put("listVersion", h.listVersion());
     }
 
-    private static void put(GenericRecord r, News n) {
+    private static void put(GenericRecord r, RolloutStatus n) {
         r.put("build", n.build());
         r.put("stage", n.stage());
         r.put("phase", n.phase().name());
         r.put("cap", n.cap());
     }
 
-    private static void put(GenericRecord r, Learned.OfLinks l) {
+    private static void put(GenericRecord r, LearnedState.ConnectionStats l) {
         put(r, "refused", "refusedWeight", l.refused());
         put(r, "unanswered", "unansweredWeight", l.unanswered());
     }
 
-    private static void put(GenericRecord r, Learned.OfRoute l) {
+    private static void put(GenericRecord r, LearnedState.RouteStats l) {
         r.put("route", l.route());
         r.put("build", l.build());
         put(r, "timesNs", "timesWeight", l.times());
         put(r, "usualNs", "usualWeight", l.usual());
     }
 
-    private static void put(GenericRecord r, Learned.OfBaseline l) {
+    private static void put(GenericRecord r, LearnedState.DetectorBaseline l) {
         r.put("build", l.build());
         r.put("route", l.route());
         r.put("ofLate", l.ofLate());
@@ -202,7 +210,7 @@
         r.put("samples", l.samples());
     }
 
-    private static void put(GenericRecord r, Kept.OfPod p) {
+    private static void put(GenericRecord r, StateSnapshot.PodSnapshot p) {
         PodEntry is = p.learned().is();
         r.put("id", is.id());
         r.put("address", p.address());
@@ -218,12 +226,13 @@
         r.put("strikes", p.learned().strikes());
     }
 
-    private static void put(GenericRecord r, Learned.OfKey k) {
+    private static void put(GenericRecord r, LearnedState.KeyBuild k) {
         r.put("key", k.key());
         r.put("build", k.build());
     }
 
-    private static void put(GenericRecord r, String mean, String weight, Learned.Figure f) {
+    private static void put(
+            GenericRecord r, String mean, String weight, LearnedState.WeightedMean f) {
         r.put(mean, f.mean());
         r.put(weight, f.weight());
     }
@@ -236,7 +245,8 @@
      * @param file what faults name it
      * @param leftOut hears of each section that a later writer added and we do not know
      */
-    static Kept read(String file, byte[] bytes, Consumer<String> leftOut) throws StateFault {
+    static StateSnapshot read(String file, byte[] bytes, Consumer<String> leftOut)
+            throws StateFileException {
         return new Reader(file, bytes, leftOut).read();
     }
 
@@ -244,10 +254,10 @@
         private final String file;
         private final ByteBuffer in;
         private final Consumer<String> leftOut;
-        private Kept.Head head;
-        private News news;
-        private final List<Kept.OfPod> pods = new ArrayList<>();
-        private final List<Learned> learned = new ArrayList<>();
+        private StateSnapshot.Header head;
+        private RolloutStatus news;
+        private final List<StateSnapshot.PodSnapshot> pods = new ArrayList<>();
+        private final List<LearnedState> learned = new ArrayList<>();
         private int sections;
 
         Reader(String file, byte[] bytes, Consumer<String> leftOut) {
@@ -256,52 +266,52 @@
             this.leftOut = leftOut;
         }
 
-        private StateFault fault(StateFault.Kind kind, int at, String what) {
-            return new StateFault(kind, file + ": at byte " + at + ": " + what);
+        private StateFileException fault(StateFileException.Kind kind, int at, String what) {
+            return new StateFileException(kind, file + ": at byte " + at + ": " + what);
         }
 
-        Kept read() throws StateFault {
+        StateSnapshot read() throws StateFileException {
             byte[] magic = new byte[Math.min(MAGIC.length, in.remaining())];
             in.get(magic);
             for (int i = 0; i < magic.length; i++) {
                 if (magic[i] != MAGIC[i]) {
-                    throw fault(StateFault.Kind.FOREIGN, i, "not a file of state");
+                    throw fault(StateFileException.Kind.FOREIGN, i, "not a file of state");
                 }
             }
             need(4, "the version");
             int version = in.getInt();
             if (version > VERSION) {
                 throw fault(
-                        StateFault.Kind.NEWER,
+                        StateFileException.Kind.NEWER,
                         8,
                         "format " + version + ", and we know up to " + VERSION);
             }
             if (version < 1) {
-                throw fault(StateFault.Kind.CORRUPT, 8, "no such format: " + version);
+                throw fault(StateFileException.Kind.CORRUPT, 8, "no such format: " + version);
             }
             while (section()) {
                 sections++;
             }
             if (in.hasRemaining()) {
                 throw fault(
-                        StateFault.Kind.CORRUPT,
+                        StateFileException.Kind.CORRUPT,
                         in.position(),
                         in.remaining() + " bytes behind the end");
             }
             if (head == null || news == null) {
-                throw fault(StateFault.Kind.CORRUPT, 12, "no head or no news");
+                throw fault(StateFileException.Kind.CORRUPT, 12, "no head or no news");
             }
-            return new Kept(head, news, List.copyOf(pods), List.copyOf(learned));
+            return new StateSnapshot(head, news, List.copyOf(pods), List.copyOf(learned));
         }
 
-        private void need(long n, String what) throws StateFault {
+        private void need(long n, String what) throws StateFileException {
             if (in.remaining() < n) {
-                throw fault(StateFault.Kind.CUT, in.position(), "ends within " + what);
+                throw fault(StateFileException.Kind.CUT, in.position(), "ends within " + what);
             }
         }
 
         /** False at the end. */
-        private boolean section() throws StateFault {
+        private boolean section() throws StateFileException {
             int from = in.position();
             need(HEAD, "a section's head");
             int kind = in.getInt();
@@ -310,7 +320,7 @@
             int length = in.getInt();
             if (in.getInt() != crc(in.array(), from, from + HEAD - 4)) {
                 throw fault(
-                        StateFault.Kind.CORRUPT,
+                        StateFileException.Kind.CORRUPT,
                         from,
                         "a section's head differs from its checksum");
             }
@@ -321,21 +331,23 @@
                     || count < 0
                     || count > length) {
                 throw fault(
-                        StateFault.Kind.CORRUPT, from, "lengths that can't be in section " + name);
+                        StateFileException.Kind.CORRUPT,
+                        from,
+                        "lengths that can't be in section " + name);
             }
             int body = in.position();
             need(schemaLength + (long) length + 4, "section " + name);
             in.position(body + schemaLength + length);
             if (in.getInt() != crc(in.array(), body, body + schemaLength + length)) {
                 throw fault(
-                        StateFault.Kind.CORRUPT,
+                        StateFileException.Kind.CORRUPT,
                         body,
                         "section " + name + " differs from its checksum");
             }
             if (kind == END) {
                 if (length != 8 || in.getLong(body) != from || count != sections) {
                     throw fault(
-                            StateFault.Kind.CORRUPT,
+                            StateFileException.Kind.CORRUPT,
                             from,
                             "the end does not fit what comes before it");
                 }
@@ -351,7 +363,7 @@
                         length);
             } catch (IOException | RuntimeException e) {
                 throw fault(
-                        StateFault.Kind.CORRUPT,
+                        StateFileException.Kind.CORRUPT,
                         body,
                         "section " + name + " makes no sense: " + e.getMessage());
             }
@@ -377,7 +389,7 @@
                 switch (s) {
                     case HEAD ->
                             head =
-                                    new Kept.Head(
+                                    new StateSnapshot.Header(
                                             text(r, "writer"),
                                             text(r, "instance"),
                                             text(r, "machine"),
@@ -388,27 +400,27 @@
                                             (Long) r.get("listVersion"));
                     case NEWS ->
                             news =
-                                    new News(
+                                    new RolloutStatus(
                                             (Integer) r.get("build"),
                                             (Integer) r.get("stage"),
-                                            News.Phase.valueOf(text(r, "phase")),
+                                            RolloutStatus.Phase.valueOf(text(r, "phase")),
                                             number(r, "cap"),
                                             0);
                     case LINK ->
                             learned.add(
-                                    new Learned.OfLinks(
+                                    new LearnedState.ConnectionStats(
                                             figure(r, "refused", "refusedWeight"),
                                             figure(r, "unanswered", "unansweredWeight")));
                     case ROUT ->
                             learned.add(
-                                    new Learned.OfRoute(
+                                    new LearnedState.RouteStats(
                                             text(r, "route"),
                                             (Integer) r.get("build"),
                                             figure(r, "timesNs", "timesWeight"),
                                             figure(r, "usualNs", "usualWeight")));
                     case BASE ->
                             learned.add(
-                                    new Learned.OfBaseline(
+                                    new LearnedState.DetectorBaseline(
                                             (Integer) r.get("build"),
                                             text(r, "route"),
                                             (Boolean) r.get("ofLate"),
@@ -418,7 +430,7 @@
                     case PODS -> pods.add(pod(r));
                     default ->
                             learned.add(
-                                    new Learned.OfKey(
+                                    new LearnedState.KeyBuild(
                                             (Long) r.get("key"), (Integer) r.get("build")));
                 }
             }
@@ -427,7 +439,7 @@
             }
         }
 
-        private static Kept.OfPod pod(GenericRecord r) {
+        private static StateSnapshot.PodSnapshot pod(GenericRecord r) {
             PodEntry is =
                     new PodEntry(
                             text(r, "id"),
@@ -438,9 +450,9 @@
                             PodEntry.State.valueOf(text(r, "state")),
                             number(r, "weight"),
                             (Long) r.get("startedNs"));
-            return new Kept.OfPod(
+            return new StateSnapshot.PodSnapshot(
                     text(r, "address"),
-                    new Learned.OfPod(
+                    new LearnedState.PodStats(
                             is,
                             figure(r, "slowness", "slownessWeight"),
                             figure(r, "late", "lateWeight"),
@@ -451,8 +463,9 @@
             return r.get(field).toString();
         }
 
-        private static Learned.Figure figure(GenericRecord r, String mean, String weight) {
-            return new Learned.Figure(number(r, mean), number(r, weight));
+        private static LearnedState.WeightedMean figure(
+                GenericRecord r, String mean, String weight) {
+            return new LearnedState.WeightedMean(number(r, mean), number(r, weight));
         }
 
         /** No figure of ours is below 0 or endless; one that is would poison every sum it joins. */
--- a/state/src/main/java/mulleinlever/state/Kept.java
+++ b/state/src/main/java/mulleinlever/state/StateSnapshot.java
@@ -1,8 +1,8 @@
 package mulleinlever.state;
 
 import java.util.List;
-import mulleinlever.Learned;
-import mulleinlever.News;
+import mulleinlever.LearnedState;
+import mulleinlever.RolloutStatus;
 
 /**
  * All that is kept of one sidecar, as it stood at one moment.
@@ -11,7 +11,8 @@
  * @param pods the list of pods as last had, and what was learned of each
  * @param learned what was learned besides, pods not among it
  */
-public record Kept(Head head, News news, List<OfPod> pods, List<Learned> learned) {
+public record StateSnapshot(
+        Header head, RolloutStatus news, List<PodSnapshot> pods, List<LearnedState> learned) {
     /**
      * Whose it is and when it was captured.
      *
@@ -24,7 +25,7 @@
      * @param unixMs the machine's wall clock
      * @param listVersion discovery's, of the list; -1 without a list
      */
-    public record Head(
+    public record Header(
             String writer,
             String instance,
             String machine,
@@ -33,15 +34,15 @@
             long sequence,
             long unixMs,
             long listVersion) {
-        Head numbered(long next) {
-            return new Head(writer, instance, machine, zone, start, next, unixMs, listVersion);
+        Header numbered(long next) {
+            return new Header(writer, instance, machine, zone, start, next, unixMs, listVersion);
         }
     }
 
     /** A pod where it listened, as address and port. */
-    public record OfPod(String address, Learned.OfPod learned) {}
+    public record PodSnapshot(String address, LearnedState.PodStats learned) {}
 
-    Kept numbered(long sequence) {
-        return new Kept(head.numbered(sequence), news, pods, learned);
+    StateSnapshot numbered(long sequence) {
+        return new StateSnapshot(head.numbered(sequence), news, pods, learned);
     }
 }
--- a/state/src/main/java/mulleinlever/state/Keeper.java
+++ b/state/src/main/java/mulleinlever/state/StateStore.java
@@ -16,7 +16,7 @@
 import java.util.function.Consumer;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
-import mulleinlever.disk.Disk;
+import mulleinlever.disk.Directory;
 
 /**
  * Keeps one sidecar's state in a folder: reads the newest file that is whole, and writes new ones,
@@ -27,7 +27,7 @@
  * <p>A file is written under another name, forced, renamed, and the folder forced: at each moment
  * the newest file that bears its name and was forced is whole.
  */
-public final class Keeper {
+public final class StateStore {
     /** Pieces that a file is written in. */
     private static final int PIECE = 1 << 16;
 
@@ -38,9 +38,9 @@
     public static final String LOCK = "lock";
 
     /** What a read found: null where nothing was whole, and a line for each file passed over. */
-    public record Found(String file, Kept kept, List<String> passedOver) {}
+    public record LoadResult(String file, StateSnapshot kept, List<String> passedOver) {}
 
-    private final Disk disk;
+    private final Directory disk;
     private final int keep;
     private final long mostBytes;
     private final String instance;
@@ -57,7 +57,8 @@
      * @param instance whose files are taken
      * @param log hears one line for each thing worth telling, on the keeper's thread
      */
-    public Keeper(Disk disk, int keep, long mostBytes, String instance, Consumer<String> log) {
+    public StateStore(
+            Directory disk, int keep, long mostBytes, String instance, Consumer<String> log) {
         this.disk = disk;
         this.keep = keep;
         this.mostBytes = mostBytes;
@@ -99,12 +100,12 @@
     }
 
     /** Takes the lock and reads the newest whole file, on the keeper's thread. */
-    public Future<Found> open() {
+    public Future<LoadResult> open() {
         return thread.submit(this::begin);
     }
 
     /** What {@link #open} found, if it is done within a time; else null, and the log hears why. */
-    public Found await(Future<Found> opening, long withinNs) throws InterruptedException {
+    public LoadResult await(Future<LoadResult> opening, long withinNs) throws InterruptedException {
         try {
             return opening.get(withinNs, TimeUnit.NANOSECONDS);
         } catch (TimeoutException e) {
@@ -120,7 +121,7 @@
         return null;
     }
 
-    private Found begin() {
+    private LoadResult begin() {
         try {
             return holds() ? newest(disk, mostBytes, instance) : null;
         } catch (IOException e) {
@@ -154,43 +155,46 @@
     }
 
     private static long highest(List<String> names) {
-        return names.stream().mapToLong(Keeper::sequence).filter(n -> n >= 0).max().orElse(0);
+        return names.stream().mapToLong(StateStore::sequence).filter(n -> n >= 0).max().orElse(0);
     }
 
     /** The newest whole file of a folder, that of an instance if one is named. */
-    public static Found newest(Disk disk, long mostBytes, String instance) throws IOException {
+    public static LoadResult newest(Directory disk, long mostBytes, String instance)
+            throws IOException {
         List<String> names = new ArrayList<>(disk.list());
         names.removeIf(n -> sequence(n) < 0);
         Collections.reverse(names);
         List<String> passedOver = new ArrayList<>();
         for (String name : names) {
             try {
-                Kept kept = read(disk, name, mostBytes, passedOver::add);
+                StateSnapshot kept = read(disk, name, mostBytes, passedOver::add);
                 if (instance != null && !kept.head().instance().equals(instance)) {
                     passedOver.add(
                             name + ": is of " + kept.head().instance() + ", not of " + instance);
                 } else {
-                    return new Found(name, kept, passedOver);
+                    return new LoadResult(name, kept, passedOver);
                 }
-            } catch (StateFault e) {
+            } catch (StateFileException e) {
                 passedOver.add(e.getMessage());
             }
         }
-        return new Found(null, null, passedOver);
+        return new LoadResult(null, null, passedOver);
     }
 
     /** One file, whole. */
-    public static Kept read(Disk disk, String name, long mostBytes, Consumer<String> leftOut)
-            throws StateFault {
+    public static StateSnapshot read(
+            Directory disk, String name, long mostBytes, Consumer<String> leftOut)
+            throws StateFileException {
         byte[] bytes;
         try {
             bytes = disk.read(name, mostBytes);
-        } catch (Disk.TooLong e) {
-            throw new StateFault(StateFault.Kind.TOO_LONG, e.getMessage());
+        } catch (Directory.FileTooLargeException e) {
+            throw new StateFileException(StateFileException.Kind.TOO_LONG, e.getMessage());
         } catch (IOException e) {
-            throw new StateFault(StateFault.Kind.UNREADABLE, name + ": can't be read: " + e);
+            throw new StateFileException(
+                    StateFileException.Kind.UNREADABLE, name + ": can't be read: " + e);
         }
-        return Format.read(name, bytes, l -> leftOut.accept(name + ": left out " + l));
+        return StateFileFormat.read(name, bytes, l -> leftOut.accept(name + ": left out " + l));
     }
 
     /**
@@ -198,7 +202,7 @@
      * the one before is still under way and another waits: the disk is slow, and this one is
      * dropped.
      */
-    public boolean offer(Kept next) {
+    public boolean offer(StateSnapshot next) {
         try {
             thread.execute(() -> write(next));
             return true;
@@ -246,7 +250,7 @@
         }
     }
 
-    private void write(Kept next) {
+    private void write(StateSnapshot next) {
         try {
             if (!holds()) {
                 return;
@@ -259,7 +263,7 @@
                 log.accept("off: another sidecar writes to " + disk + ": " + name(there));
                 return;
             }
-            byte[] bytes = Format.write(next.numbered(sequence + 1));
+            byte[] bytes = StateFileFormat.write(next.numbered(sequence + 1));
             if (bytes.length > mostBytes) {
                 tell("not written: " + bytes.length + " bytes, more than " + mostBytes);
                 return;
@@ -275,7 +279,7 @@
 
     private void put(String name, byte[] bytes) throws IOException {
         String unfinished = name + UNFINISHED;
-        try (Disk.Out out = disk.create(unfinished)) {
+        try (Directory.FileOutput out = disk.create(unfinished)) {
             for (int at = 0; at < bytes.length; at += PIECE) {
                 out.write(ByteBuffer.wrap(bytes, at, Math.min(PIECE, bytes.length - at)));
             }
--- a/state/src/test/java/mulleinlever/state/WriteSample.java
+++ b/state/src/test/java/mulleinlever/state/SampleFileWriter.java
@@ -5,15 +5,15 @@
 import java.nio.file.Path;
 
 /**
- * Writes the file that is kept of the format at hand, once, when it lands: {@code WriteSample
+ * Writes the file that is kept of the format at hand, once, when it lands: {@code SampleFileWriter
  * FOLDER}.
  */
-final class WriteSample {
-    private WriteSample() {}
+final class SampleFileWriter {
+    private SampleFileWriter() {}
 
     public static void main(String[] args) throws IOException {
         Files.write(
-                Path.of(args[0], "format-" + Format.VERSION + ".mls"),
-                Format.write(Sample.kept(Format.VERSION, 12)));
+                Path.of(args[0], "format-" + StateFileFormat.VERSION + ".mls"),
+                StateFileFormat.write(SampleSnapshots.kept(StateFileFormat.VERSION, 12)));
     }
 }
--- a/state/src/test/java/mulleinlever/state/TakingTest.java
+++ b/state/src/test/java/mulleinlever/state/SnapshotFilterTest.java
@@ -11,20 +11,20 @@
 import java.util.Objects;
 import java.util.Set;
 import java.util.SplittableRandom;
-import mulleinlever.Learned;
-import mulleinlever.News;
-import mulleinlever.News.Phase;
+import mulleinlever.LearnedState;
 import mulleinlever.PodEntry;
+import mulleinlever.RolloutStatus;
+import mulleinlever.RolloutStatus.Phase;
 import org.junit.jupiter.api.Test;
 
-class TakingTest {
+class SnapshotFilterTest {
     private static final long S = 1_000_000_000L;
 
     /** The list as another start meets it: some pods gone, some started anew, some elsewhere. */
-    private static Taking.Here met(Kept kept, SplittableRandom random) {
+    private static SnapshotFilter.RestoreContext met(StateSnapshot kept, SplittableRandom random) {
         Map<String, PodEntry> pods = new HashMap<>();
         Map<String, String> addresses = new HashMap<>();
-        for (Kept.OfPod p : kept.pods()) {
+        for (StateSnapshot.PodSnapshot p : kept.pods()) {
             PodEntry is = p.learned().is();
             int what = random.nextInt(8);
             if (what == 0) {
@@ -43,7 +43,7 @@
                             is.startedNs() + (what == 3 ? 1 : 0)));
             addresses.put(is.id(), what == 4 ? "10.9.9.9:1" : p.address());
         }
-        return new Taking.Here(
+        return new SnapshotFilter.RestoreContext(
                 random.nextInt(5) == 0 ? "b" : "a", Set.of("get", "other"), pods, addresses);
     }
 
@@ -52,11 +52,11 @@
         SplittableRandom random = new SplittableRandom(8);
         int left = 0;
         for (int round = 0; round < 300; round++) {
-            Kept kept = Sample.kept(round, 20);
-            Taking.Here here = met(kept, random);
-            long age = random.nextInt(6) == 0 ? Ageing.UNKNOWN : random.nextLong(1000 * S);
-            List<Learned> expected = new ArrayList<>();
-            for (Kept.OfPod p : kept.pods()) {
+            StateSnapshot kept = SampleSnapshots.kept(round, 20);
+            SnapshotFilter.RestoreContext here = met(kept, random);
+            long age = random.nextInt(6) == 0 ? StateDecay.UNKNOWN : random.nextLong(1000 * S);
+            List<LearnedState> expected = new ArrayList<>();
+            for (StateSnapshot.PodSnapshot p : kept.pods()) {
                 PodEntry then = p.learned().is();
                 PodEntry now = here.pods().get(then.id());
                 boolean same =
@@ -66,14 +66,15 @@
                                 && now.startedNs() == then.startedNs()
                                 && p.address().equals(here.addresses().get(then.id()));
                 expected.add(
-                        same && here.zone().equals("a") ? Ageing.aged(p.learned(), age) : null);
+                        same && here.zone().equals("a") ? StateDecay.aged(p.learned(), age) : null);
             }
-            for (Learned l : kept.learned()) {
+            for (LearnedState l : kept.learned()) {
                 boolean ofPut = l.toString().contains("route=put");
-                boolean elsewhere = l instanceof Learned.OfLinks && !here.zone().equals("a");
-                expected.add(ofPut || elsewhere ? null : Ageing.aged(l, age));
+                boolean elsewhere =
+                        l instanceof LearnedState.ConnectionStats && !here.zone().equals("a");
+                expected.add(ofPut || elsewhere ? null : StateDecay.aged(l, age));
             }
-            Taking.Taken taken = Taking.of(kept, age, here);
+            SnapshotFilter.RestoreResult taken = SnapshotFilter.of(kept, age, here);
             assertEquals(expected.stream().filter(Objects::nonNull).toList(), taken.learned());
             int out = taken.leftOut().values().stream().mapToInt(n -> n).sum();
             assertEquals(expected.size(), taken.learned().size() + out);
@@ -84,7 +85,7 @@
 
     @Test
     void theLineSaysWhatWasTakenAndWhatNot() {
-        Kept kept = Sample.kept(1, 3);
+        StateSnapshot kept = SampleSnapshots.kept(1, 3);
         Map<String, PodEntry> pods = new HashMap<>();
         Map<String, String> addresses = new HashMap<>();
         kept.pods()
@@ -95,7 +96,12 @@
                             addresses.put(p.learned().is().id(), p.address());
                         });
         String line =
-                Taking.of(kept, 0, new Taking.Here("a", Set.of("put"), pods, addresses)).toString();
+                SnapshotFilter.of(
+                                kept,
+                                0,
+                                new SnapshotFilter.RestoreContext(
+                                        "a", Set.of("put"), pods, addresses))
+                        .toString();
         assertTrue(
                 line.matches(
                         "(\\d baselines, )(\\d keys, )?1 links, 2 pods, 1 routes; left out: 1 baselines of no route "
@@ -105,14 +111,14 @@
 
     @Test
     void aListIsTakenOnlyIfNewerThanTheOneToldAndNotOld() {
-        Kept kept = Sample.kept(1, 3);
-        assertTrue(Taking.listHolds(kept, 0, 40));
-        assertTrue(Taking.listHolds(kept, 3600 * S, -1));
+        StateSnapshot kept = SampleSnapshots.kept(1, 3);
+        assertTrue(SnapshotFilter.listHolds(kept, 0, 40));
+        assertTrue(SnapshotFilter.listHolds(kept, 3600 * S, -1));
         assertTrue(
-                !Taking.listHolds(kept, 3601 * S, -1)
-                        && !Taking.listHolds(kept, 0, 41)
-                        && !Taking.listHolds(kept, Ageing.UNKNOWN, 40)
-                        && !Taking.listHolds(Sample.kept(1, 0), 0, 40));
+                !SnapshotFilter.listHolds(kept, 3601 * S, -1)
+                        && !SnapshotFilter.listHolds(kept, 0, 41)
+                        && !SnapshotFilter.listHolds(kept, StateDecay.UNKNOWN, 40)
+                        && !SnapshotFilter.listHolds(SampleSnapshots.kept(1, 0), 0, 40));
     }
 
     @Test
@@ -120,13 +126,13 @@
         for (Phase then : Phase.values()) {
             for (Phase now : Phase.values()) {
                 for (int build = 41; build <= 43; build++) {
-                    News kept = new News(build, 2, then, 0.7, 0);
-                    News told = new News(42, 1, now, 0.2, 500);
-                    News taken = Taking.tighter(kept, told);
+                    RolloutStatus kept = new RolloutStatus(build, 2, then, 0.7, 0);
+                    RolloutStatus told = new RolloutStatus(42, 1, now, 0.2, 500);
+                    RolloutStatus taken = SnapshotFilter.tighter(kept, told);
                     boolean back = then == Phase.REVERTING || then == Phase.WITHDRAWN;
                     boolean forth = now == Phase.ON_TRIAL || now == Phase.RELEASED;
                     if (back && (build == 43 || build == 42 && forth)) {
-                        assertEquals(new News(build, 2, then, 0, 0), taken);
+                        assertEquals(new RolloutStatus(build, 2, then, 0, 0), taken);
                     } else {
                         assertNull(taken);
                     }
--- a/state/src/test/java/mulleinlever/state/FormatTest.java
+++ b/state/src/test/java/mulleinlever/state/StateFileFormatTest.java
@@ -22,59 +22,60 @@
 import org.apache.avro.io.EncoderFactory;
 import org.junit.jupiter.api.Test;
 
-class FormatTest {
-    private static Kept read(byte[] bytes) throws StateFault {
-        return Format.read("x.mls", bytes, l -> {});
+class StateFileFormatTest {
+    private static StateSnapshot read(byte[] bytes) throws StateFileException {
+        return StateFileFormat.read("x.mls", bytes, l -> {});
     }
 
-    private static StateFault.Kind kindOf(byte[] bytes) {
-        StateFault f = assertThrows(StateFault.class, () -> read(bytes));
+    private static StateFileException.Kind kindOf(byte[] bytes) {
+        StateFileException f = assertThrows(StateFileException.class, () -> read(bytes));
         assertTrue(f.getMessage().startsWith("x.mls: at byte "), f.getMessage());
         return f.kind;
     }
 
     @Test
-    void whatWasWrittenIsRead() throws StateFault {
+    void whatWasWrittenIsRead() throws StateFileException {
         for (int seed = 0; seed < 200; seed++) {
-            Kept kept = Sample.kept(seed, seed % 20);
-            assertEquals(kept, read(Format.write(kept)));
+            StateSnapshot kept = SampleSnapshots.kept(seed, seed % 20);
+            assertEquals(kept, read(StateFileFormat.write(kept)));
         }
     }
 
     /** A file of each format that ever landed, made by the writer of that time. */
     @Test
-    void filesOfEachEarlierFormatAreRead() throws IOException, StateFault {
-        for (int format = 1; format <= Format.VERSION; format++) {
+    void filesOfEachEarlierFormatAreRead() throws IOException, StateFileException {
+        for (int format = 1; format <= StateFileFormat.VERSION; format++) {
             try (InputStream in =
-                    FormatTest.class.getResourceAsStream("format-" + format + ".mls")) {
-                assertEquals(Sample.kept(format, 12), read(in.readAllBytes()));
+                    StateFileFormatTest.class.getResourceAsStream("format-" + format + ".mls")) {
+                assertEquals(SampleSnapshots.kept(format, 12), read(in.readAllBytes()));
             }
         }
     }
 
     @Test
     void cutAnywhereItIsRefused() {
-        byte[] whole = Format.write(Sample.kept(3, 4));
+        byte[] whole = StateFileFormat.write(SampleSnapshots.kept(3, 4));
         for (int n = 0; n < whole.length; n++) {
-            assertEquals(StateFault.Kind.CUT, kindOf(Arrays.copyOf(whole, n)), "at " + n);
+            assertEquals(StateFileException.Kind.CUT, kindOf(Arrays.copyOf(whole, n)), "at " + n);
         }
-        assertEquals(StateFault.Kind.CORRUPT, kindOf(Arrays.copyOf(whole, whole.length + 1)));
+        assertEquals(
+                StateFileException.Kind.CORRUPT, kindOf(Arrays.copyOf(whole, whole.length + 1)));
     }
 
     @Test
     void withAnyBitFlippedItIsRefused() {
-        byte[] whole = Format.write(Sample.kept(3, 2));
+        byte[] whole = StateFileFormat.write(SampleSnapshots.kept(3, 2));
         for (int at = 0; at < whole.length; at++) {
             for (int bit = 0; bit < 8; bit++) {
                 byte[] one = whole.clone();
                 one[at] ^= (byte) (1 << bit);
-                StateFault.Kind kind = kindOf(one);
+                StateFileException.Kind kind = kindOf(one);
                 assertEquals(
                         at < 8
-                                ? StateFault.Kind.FOREIGN
-                                : at < 12 && bytes(one, 8) > Format.VERSION
-                                        ? StateFault.Kind.NEWER
-                                        : StateFault.Kind.CORRUPT,
+                                ? StateFileException.Kind.FOREIGN
+                                : at < 12 && bytes(one, 8) > StateFileFormat.VERSION
+                                        ? StateFileException.Kind.NEWER
+                                        : StateFileException.Kind.CORRUPT,
                         kind,
                         "at " + at);
             }
@@ -95,7 +96,7 @@
             byte[] behindMagic =
                     new ByteArrayOutputStream() {
                         {
-                            writeBytes(Format.MAGIC);
+                            writeBytes(StateFileFormat.MAGIC);
                             writeBytes(new byte[] {0, 0, 0, 1});
                             writeBytes(noise);
                         }
@@ -106,7 +107,7 @@
 
     private static byte[] behindMagic(int version, byte[]... parts) {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
-        out.writeBytes(Format.MAGIC);
+        out.writeBytes(StateFileFormat.MAGIC);
         out.writeBytes(ByteBuffer.allocate(4).putInt(version).array());
         for (byte[] p : parts) {
             out.writeBytes(p);
@@ -118,14 +119,16 @@
     void aLengthIsNotBelievedBeforeItsBytesAreThere() {
         for (int claimed : new int[] {Integer.MAX_VALUE, Integer.MAX_VALUE - 30, -1}) {
             for (int field = 1; field < 4; field++) {
-                ByteBuffer head = ByteBuffer.allocate(20).putInt(Format.kind("PODS"));
+                ByteBuffer head = ByteBuffer.allocate(20).putInt(StateFileFormat.kind("PODS"));
                 head.putInt(4 * field, claimed);
                 CRC32C crc = new CRC32C();
                 crc.update(head.array(), 0, 16);
                 head.putInt(16, (int) crc.getValue());
-                StateFault.Kind kind = kindOf(behindMagic(1, head.array(), new byte[100]));
+                StateFileException.Kind kind = kindOf(behindMagic(1, head.array(), new byte[100]));
                 assertEquals(
-                        field == 3 && claimed > 0 ? StateFault.Kind.CUT : StateFault.Kind.CORRUPT,
+                        field == 3 && claimed > 0
+                                ? StateFileException.Kind.CUT
+                                : StateFileException.Kind.CORRUPT,
                         kind);
             }
         }
@@ -133,8 +136,12 @@
 
     private static byte[] section(String kind, String schema, int count, byte[] records) {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
-        Format.section(
-                out, Format.kind(kind), schema.getBytes(StandardCharsets.UTF_8), count, records);
+        StateFileFormat.section(
+                out,
+                StateFileFormat.kind(kind),
+                schema.getBytes(StandardCharsets.UTF_8),
+                count,
+                records);
         return out.toByteArray();
     }
 
@@ -144,9 +151,9 @@
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         out.write(file, 0, end);
         out.writeBytes(more);
-        Format.section(
+        StateFileFormat.section(
                 out,
-                Format.kind("END "),
+                StateFileFormat.kind("END "),
                 new byte[0],
                 sections,
                 ByteBuffer.allocate(8).putLong(out.size()).array());
@@ -161,13 +168,17 @@
                 "{\"type\":\"record\",\"name\":\"Key\",\"namespace\":\"mulleinlever.state\",\"fields\":"
                         + "[{\"name\":\"t\",\"type\":\"string\"},{\"name\":\"key\",\"type\":\"long\"},"
                         + "{\"name\":\"build\",\"type\":\"int\"}]}";
-        byte[] file = with(Format.write(Sample.kept(1, 1)), 8, section("KEYS", schema, 1, records));
-        assertEquals(StateFault.Kind.CORRUPT, kindOf(file));
+        byte[] file =
+                with(
+                        StateFileFormat.write(SampleSnapshots.kept(1, 1)),
+                        8,
+                        section("KEYS", schema, 1, records));
+        assertEquals(StateFileException.Kind.CORRUPT, kindOf(file));
     }
 
     @Test
     void aSectionThatMakesNoSenseIsRefusedThoughItsChecksumHolds() {
-        byte[] sound = Format.write(Sample.kept(1, 1));
+        byte[] sound = StateFileFormat.write(SampleSnapshots.kept(1, 1));
         for (String schema :
                 List.of(
                         "",
@@ -175,25 +186,31 @@
                         "\"int\"",
                         "{\"type\":\"record\",\"name\":\"Key\",\"fields\":[]}")) {
             assertEquals(
-                    StateFault.Kind.CORRUPT,
+                    StateFileException.Kind.CORRUPT,
                     kindOf(with(sound, 8, section("KEYS", schema, 1, new byte[] {1}))));
         }
         assertEquals(
-                StateFault.Kind.CORRUPT,
+                StateFileException.Kind.CORRUPT,
                 kindOf(with(sound, 9, section("KEYS", "{}", 0, new byte[0]))));
     }
 
     @Test
     void aNewerFormatIsSaidToBeOne() {
-        assertEquals(StateFault.Kind.NEWER, kindOf(behindMagic(Format.VERSION + 1, new byte[50])));
+        assertEquals(
+                StateFileException.Kind.NEWER,
+                kindOf(behindMagic(StateFileFormat.VERSION + 1, new byte[50])));
     }
 
     @Test
-    void whatALaterWriterAddedIsLeftOutAndTold() throws IOException, StateFault {
-        Kept kept = Sample.kept(1, 3);
-        byte[] file = with(Format.write(kept), 8, section("MORE", "{}", 1, new byte[] {1, 2, 3}));
+    void whatALaterWriterAddedIsLeftOutAndTold() throws IOException, StateFileException {
+        StateSnapshot kept = SampleSnapshots.kept(1, 3);
+        byte[] file =
+                with(
+                        StateFileFormat.write(kept),
+                        8,
+                        section("MORE", "{}", 1, new byte[] {1, 2, 3}));
         List<String> leftOut = new ArrayList<>();
-        assertEquals(kept, Format.read("x", file, leftOut::add));
+        assertEquals(kept, StateFileFormat.read("x", file, leftOut::add));
         assertEquals(List.of("section MORE of a later writer"), leftOut);
         // A field more in a record that we know, and one less that has a default.
         Schema later =
@@ -213,10 +230,10 @@
         BinaryEncoder encoder = EncoderFactory.get().binaryEncoder(records, null);
         new GenericDatumWriter<GenericRecord>(later).write(r, encoder);
         encoder.flush();
-        Kept got =
+        StateSnapshot got =
                 read(
                         with(
-                                Format.write(kept),
+                                StateFileFormat.write(kept),
                                 8,
                                 section("ROUT", later.toString(), 1, records.toByteArray())));
         assertEquals(kept.learned().size() + 1, got.learned().size());
@@ -224,7 +241,7 @@
                 got.learned()
                         .toString()
                         .contains(
-                                "OfRoute[route=later, build=42, times=Figure[mean=3.0, weight=2.0], "
-                                        + "usual=Figure[mean=0.0, weight=0.0]]"));
+                                "RouteStats[route=later, build=42, times=WeightedMean[mean=3.0, weight=2.0], "
+                                        + "usual=WeightedMean[mean=0.0, weight=0.0]]"));
     }
 }
