--- a/Makefile
+++ b/Makefile
@@ -31,7 +31,7 @@
 classes:
 	mvn -q -B -ntp -DskipTests package
 	mvn -q -B -ntp test -pl sidecar -am -DfailIfNoTests=false -Dsurefire.failIfNoSpecifiedTests=false \
-	    -Dtest='SidecarProcessTest#toldToStopItAnswersAllAndLeaves' \
+	    -Dtest='SidecarProcessTest#gracefulShutdownFinishesReqs' \
 	    -Dsidecar.classpath=$(CURDIR)/cli/target/mulleinlever.jar -Dsidecar.main=mulleinlever.cli.Main \
 	    -Dsidecar.flags="-XX:+UseSerialGC -Dio.netty.jfr.enabled=false -XX:DumpLoadedClassList=$(CURDIR)/deploy/classes.lst"
 
--- a/cli/src/main/java/mulleinlever/cli/Commands.java
+++ b/cli/src/main/java/mulleinlever/cli/Commands.java
@@ -13,11 +13,11 @@
 
     /** Runs one line; the exit code. */
     public static int run(String[] args) {
-        return line().execute(args);
+        return createCommandLine().execute(args);
     }
 
     /** What a file refuses is told in one line; any other fault is ours, and told whole. */
-    static CommandLine line() {
+    static CommandLine createCommandLine() {
         return new CommandLine(new RootCommand())
                 .setExecutionExceptionHandler(
                         (e, at, parsed) -> {
--- a/cli/src/main/java/mulleinlever/cli/StateCommand.java
+++ b/cli/src/main/java/mulleinlever/cli/StateCommand.java
@@ -48,7 +48,7 @@
 
     private static StateSnapshot read(Path file, List<String> leftOut) throws StateFileException {
         Path whole = file.toAbsolutePath();
-        return StateStore.read(
+        return StateStore.readFile(
                 new FileSystemDirectory(whole.getParent()),
                 whole.getFileName().toString(),
                 MOST_BYTES,
@@ -84,13 +84,13 @@
                 StateSnapshot kept;
                 if (Files.isDirectory(file)) {
                     StateStore.LoadResult found =
-                            StateStore.newest(new FileSystemDirectory(file), MOST_BYTES, null);
-                    found.passedOver().forEach(l -> err.println(file + "/" + l));
-                    if (found.kept() == null) {
+                            StateStore.readNewest(new FileSystemDirectory(file), MOST_BYTES, null);
+                    found.skippedFiles().forEach(l -> err.println(file + "/" + l));
+                    if (found.snapshot() == null) {
                         err.println(file + ": no whole file of state");
                         return StateFileException.Kind.UNREADABLE.exitCode;
                     }
-                    kept = found.kept();
+                    kept = found.snapshot();
                 } else {
                     kept = read(file, notes);
                 }
@@ -107,10 +107,10 @@
             Map<String, Object> all = new LinkedHashMap<>();
             all.put("head", kept.head());
             Map<String, Object> news = new LinkedHashMap<>();
-            news.put("build", kept.news().build());
-            news.put("stage", kept.news().stage());
-            news.put("phase", kept.news().phase());
-            news.put("cap", kept.news().cap());
+            news.put("build", kept.rolloutStatus().build());
+            news.put("stage", kept.rolloutStatus().stage());
+            news.put("phase", kept.rolloutStatus().phase());
+            news.put("cap", kept.rolloutStatus().cap());
             all.put("news", news);
             all.put("links", only(kept, LearnedState.ConnectionStats.class));
             all.put("routes", only(kept, LearnedState.RouteStats.class));
@@ -123,12 +123,13 @@
         }
 
         private static <T> List<T> only(StateSnapshot kept, Class<T> type) {
-            return kept.learned().stream().filter(type::isInstance).map(type::cast).toList();
+            return kept.learnedValues().stream().filter(type::isInstance).map(type::cast).toList();
         }
 
         private static String table(StateSnapshot kept) {
             StateSnapshot.Header h = kept.head();
-            long ageNs = StateDecay.age(h.unixMs(), System.currentTimeMillis() * 1_000_000L);
+            long ageNs =
+                    StateDecay.computeAgeNs(h.unixMs(), System.currentTimeMillis() * 1_000_000L);
             StringBuilder s = new StringBuilder();
             line(
                     s,
@@ -142,16 +143,16 @@
                     "number %d, captured %s, %s",
                     h.sequence(),
                     Instant.ofEpochMilli(h.unixMs()),
-                    ageNs == StateDecay.UNKNOWN
+                    ageNs == StateDecay.UNKNOWN_AGE_NS
                             ? "later than now"
                             : ageNs / 1_000_000_000L + " s ago");
             line(
                     s,
                     "build %d stage %d %s, cap %.2f; list %d",
-                    kept.news().build(),
-                    kept.news().stage(),
-                    kept.news().phase(),
-                    kept.news().cap(),
+                    kept.rolloutStatus().build(),
+                    kept.rolloutStatus().stage(),
+                    kept.rolloutStatus().phase(),
+                    kept.rolloutStatus().cap(),
                     h.listVersion());
             for (LearnedState.ConnectionStats l : only(kept, LearnedState.ConnectionStats.class)) {
                 line(
@@ -310,7 +311,7 @@
             FileSystemDirectory disk = new FileSystemDirectory(folder);
             List<String> names = new ArrayList<>(disk.list());
             Collections.reverse(names);
-            try (Closeable lock = disk.lock(StateStore.LOCK)) {
+            try (Closeable lock = disk.tryLock(StateStore.LOCK_FILE_NAME)) {
                 if (lock == null) {
                     spec.commandLine()
                             .getErr()
@@ -319,15 +320,15 @@
                 }
                 int whole = 0;
                 for (String name : names) {
-                    String why = StateStore.unfinished(name) ? "unfinished" : null;
-                    if (StateStore.sequence(name) >= 0) {
+                    String why = StateStore.isTemporaryFile(name) ? "unfinished" : null;
+                    if (StateStore.parseSequence(name) >= 0) {
                         try {
-                            StateStore.read(disk, name, MOST_BYTES, l -> {});
+                            StateStore.readFile(disk, name, MOST_BYTES, l -> {});
                             why = whole++ < keep ? null : "older";
                         } catch (StateFileException e) {
                             // What a later program wrote is sound to that one.
                             why =
-                                    e.kind == StateFileException.Kind.NEWER
+                                    e.kind == StateFileException.Kind.UNSUPPORTED_VERSION
                                             ? null
                                             : "not whole: " + e.getMessage();
                         }
@@ -345,7 +346,7 @@
                         }
                     }
                 }
-                disk.force();
+                disk.forceDirectory();
                 return 0;
             }
         }
--- a/cli/src/test/java/mulleinlever/cli/ArchitectureTest.java
+++ b/cli/src/test/java/mulleinlever/cli/ArchitectureTest.java
@@ -11,20 +11,21 @@
 /** Arrows point down only, and what decides touches nothing outside. */
 @AnalyzeClasses(packages = "mulleinlever", importOptions = ImportOption.DoNotIncludeTests.class)
 class ArchitectureTest {
-    private static final String[] JDK = {"java.lang..", "java.util..", "java.math.."};
+    private static final String[] JDK_PACKAGES = {"java.lang..", "java.util..", "java.math.."};
 
     /** Neither files, sockets, threads nor a clock: time and chance are arguments. */
     @ArchTest
-    static final ArchRule DECISIONS_ARE_PURE =
+    static final ArchRule CORE_DEPENDS_ONLY_ON_JDK =
             classes()
                     .that()
                     .resideInAPackage("mulleinlever")
                     .should()
                     .onlyDependOnClassesThat()
-                    .resideInAnyPackage("mulleinlever", JDK[0], JDK[1], JDK[2]);
+                    .resideInAnyPackage(
+                            "mulleinlever", JDK_PACKAGES[0], JDK_PACKAGES[1], JDK_PACKAGES[2]);
 
     @ArchTest
-    static final ArchRule DECISIONS_SHARE_NO_THREADS =
+    static final ArchRule CORE_USES_NO_CONCURRENCY =
             noClasses()
                     .that()
                     .resideInAPackage("mulleinlever")
@@ -33,7 +34,7 @@
                     .resideInAPackage("java.util.concurrent..");
 
     @ArchTest
-    static final ArchRule DECISIONS_READ_NO_CLOCK =
+    static final ArchRule CORE_READS_NO_CLOCK_OR_RANDOM =
             noClasses()
                     .that()
                     .resideInAPackage("mulleinlever")
@@ -45,7 +46,7 @@
                     .callMethod(Math.class, "random");
 
     @ArchTest
-    static final ArchRule SETTINGS_KNOW_ONLY_DECISIONS =
+    static final ArchRule SETTINGS_DO_NOT_DEPEND_ON_FRONT_ENDS =
             noClasses()
                     .that()
                     .resideInAPackage("mulleinlever.settings..")
@@ -59,7 +60,7 @@
 
     /** What subsystems decide is as pure as what the policy does, wherever it lies. */
     @ArchTest
-    static final ArchRule SUBSYSTEMS_DECIDE_PURELY =
+    static final ArchRule STATE_LOGIC_DEPENDS_ONLY_ON_CORE =
             classes()
                     .that()
                     .haveFullyQualifiedName("mulleinlever.state.StateDecay")
@@ -70,10 +71,14 @@
                     .should()
                     .onlyDependOnClassesThat()
                     .resideInAnyPackage(
-                            "mulleinlever", "mulleinlever.state", JDK[0], JDK[1], JDK[2]);
+                            "mulleinlever",
+                            "mulleinlever.state",
+                            JDK_PACKAGES[0],
+                            JDK_PACKAGES[1],
+                            JDK_PACKAGES[2]);
 
     @ArchTest
-    static final ArchRule FOLDERS_KNOW_NOBODY =
+    static final ArchRule DISK_DEPENDS_ONLY_ON_JDK =
             classes()
                     .that()
                     .resideInAPackage("mulleinlever.disk..")
@@ -82,7 +87,7 @@
                     .resideInAnyPackage("mulleinlever.disk..", "java..");
 
     @ArchTest
-    static final ArchRule STATE_KNOWS_NO_FRONT =
+    static final ArchRule STATE_DOES_NOT_DEPEND_ON_FRONT_ENDS =
             noClasses()
                     .that()
                     .resideInAPackage("mulleinlever.state..")
@@ -96,7 +101,7 @@
                             "io.netty..");
 
     @ArchTest
-    static final ArchRule FRONTS_ARE_PEERS =
+    static final ArchRule SIDECAR_DOES_NOT_DEPEND_ON_DRILL_OR_CLI =
             noClasses()
                     .that()
                     .resideInAPackage("mulleinlever.sidecar..")
@@ -105,7 +110,7 @@
                     .resideInAnyPackage("mulleinlever.drill..", "mulleinlever.cli..");
 
     @ArchTest
-    static final ArchRule THE_BENCH_KNOWS_NO_SOCKETS =
+    static final ArchRule DRILL_DOES_NOT_DEPEND_ON_SIDECAR_CLI_OR_NETTY =
             noClasses()
                     .that()
                     .resideInAPackage("mulleinlever.drill..")
--- a/cli/src/test/java/mulleinlever/cli/MainTest.java
+++ b/cli/src/test/java/mulleinlever/cli/MainTest.java
@@ -20,7 +20,7 @@
 class MainTest {
     @TempDir Path folder;
 
-    private record ProcessResult(int code, String out, String err) {}
+    private record ProcessResult(int exitCode, String stdout, String stderr) {}
 
     private ProcessResult run(String input, String... args)
             throws IOException, InterruptedException {
@@ -59,31 +59,31 @@
         "serve --wiht x, 2, --with",
         "serve --with gone.toml, 2, config: LB_CONFIG needs"
     })
-    void helpGoesOutAndFaultsGoToTheErrors(String line, int code, String says) throws Exception {
+    void printsHelpToStdoutAndErrorsToStderr(String line, int code, String says) throws Exception {
         ProcessResult r = run("", line.isEmpty() ? new String[0] : line.split(" "));
-        assertEquals(code, r.code, r.err);
-        String shown = code == 0 ? r.out : r.err;
+        assertEquals(code, r.exitCode, r.stderr);
+        String shown = code == 0 ? r.stdout : r.stderr;
         assertTrue(shown.contains(says), shown);
-        assertEquals("", code == 0 ? r.err : r.out);
+        assertEquals("", code == 0 ? r.stderr : r.stdout);
     }
 
     @Test
-    void versionIsTheBuilds() throws Exception {
+    void versionMatchesBuild() throws Exception {
         ProcessResult r = run("", "--version");
-        assertTrue(r.out.matches("mulleinlever \\d+\\.\\d+\\.\\d+(-SNAPSHOT)?\\R"), r.out);
+        assertTrue(r.stdout.matches("mulleinlever \\d+\\.\\d+\\.\\d+(-SNAPSHOT)?\\R"), r.stdout);
     }
 
     @Test
-    void todaysLinesKeepWorking() throws Exception {
+    void existingCommandLinesKeepWorking() throws Exception {
         ProcessResult drill = run("TICK\ttimeNs=1\tframe=7\nEND\n", "drill");
         assertEquals(new ProcessResult(0, "EOR\tframe=7\n", ""), drill);
         ProcessResult bad = run("HELLO\n", "drill");
-        assertEquals(2, bad.code);
-        assertEquals("line 1: expected TICK, found HELLO\n", bad.err);
+        assertEquals(2, bad.exitCode);
+        assertEquals("line 1: expected TICK, found HELLO\n", bad.stderr);
         ProcessResult serve = run("", "serve");
-        assertEquals(2, serve.code);
+        assertEquals(2, serve.exitCode);
         assertTrue(
-                serve.err.endsWith("config: LB_CONFIG needs the path of the configuration\n"),
-                serve.err);
+                serve.stderr.endsWith("config: LB_CONFIG needs the path of the configuration\n"),
+                serve.stderr);
     }
 }
--- a/cli/src/test/java/mulleinlever/cli/StateCommandTest.java
+++ b/cli/src/test/java/mulleinlever/cli/StateCommandTest.java
@@ -32,7 +32,8 @@
     private int run(Object... args) {
         StringWriter o = new StringWriter();
         StringWriter e = new StringWriter();
-        CommandLine line = Commands.line().setOut(new PrintWriter(o)).setErr(new PrintWriter(e));
+        CommandLine line =
+                Commands.createCommandLine().setOut(new PrintWriter(o)).setErr(new PrintWriter(e));
         int code = line.execute(Arrays.stream(args).map(String::valueOf).toArray(String[]::new));
         out = o.toString();
         err = e.toString();
@@ -40,11 +41,11 @@
     }
 
     @BeforeEach
-    void threeFiles() throws Exception {
+    void writeThreeFiles() throws Exception {
         StateStore k = new StateStore(new FileSystemDirectory(folder), 9, 1 << 20, "n3", l -> {});
-        k.open().get();
+        k.openAsync().get();
         for (int i = 0; i < 3; i++) {
-            while (!k.idle()) {
+            while (!k.isIdle()) {
                 Thread.sleep(1);
             }
             k.offer(kept(System.currentTimeMillis()));
@@ -70,7 +71,7 @@
     }
 
     @Test
-    void showTellsAllThatIsKept() throws Exception {
+    void showPrintsAllSavedState() throws Exception {
         assertEquals(0, run("state", "show", folder));
         for (String part :
                 List.of(
@@ -84,7 +85,7 @@
                         "1 keys that can't go back")) {
             assertTrue(out.contains(part), part + " in " + out);
         }
-        assertEquals(0, run("state", "show", "--json", folder.resolve(StateStore.name(2))));
+        assertEquals(0, run("state", "show", "--json", folder.resolve(StateStore.fileName(2))));
         JsonNode all = new ObjectMapper().readTree(out);
         assertEquals(2, all.at("/head/sequence").asInt());
         assertEquals("10.0.0.1:6543", all.at("/pods/0/address").asText());
@@ -97,10 +98,10 @@
     }
 
     @Test
-    void checkTellsEachFaultByItsExitCode() throws Exception {
-        Path sound = folder.resolve(StateStore.name(1));
+    void checkReportsEachFaultByExitCode() throws Exception {
+        Path sound = folder.resolve(StateStore.fileName(1));
         byte[] bytes = Files.readAllBytes(sound);
-        assertEquals(0, run("state", "check", sound, folder.resolve(StateStore.name(3))));
+        assertEquals(0, run("state", "check", sound, folder.resolve(StateStore.fileName(3))));
         assertTrue(out.contains("state-000000000001.mls: sound, number 1 of n3, 1 pods"), out);
         assertEquals(3, run("state", "check", folder.resolve("none")));
         assertEquals(
@@ -129,17 +130,17 @@
     }
 
     @Test
-    void pruneLeavesTheNewestWholeOnes() throws Exception {
-        Files.writeString(folder.resolve(StateStore.name(4)), "not whole");
-        Files.writeString(folder.resolve(StateStore.name(5) + ".tmp"), "unfinished");
+    void pruneKeepsNewestIntactFiles() throws Exception {
+        Files.writeString(folder.resolve(StateStore.fileName(4)), "not whole");
+        Files.writeString(folder.resolve(StateStore.fileName(5) + ".tmp"), "unfinished");
         Files.writeString(folder.resolve("notes.tmp"), "not ours");
         assertEquals(0, run("state", "prune", "--dry-run", folder));
         assertEquals(4, out.lines().filter(l -> l.startsWith("would delete state-")).count());
         assertEquals(0, run("state", "prune", "--keep", 2, folder));
         assertEquals(
-                List.of("lock", "notes.tmp", StateStore.name(2), StateStore.name(3)),
+                List.of("lock", "notes.tmp", StateStore.fileName(2), StateStore.fileName(3)),
                 new FileSystemDirectory(folder).list());
-        try (var lock = new FileSystemDirectory(folder).lock(StateStore.LOCK)) {
+        try (var lock = new FileSystemDirectory(folder).tryLock(StateStore.LOCK_FILE_NAME)) {
             assertEquals(1, run("state", "prune", folder));
             assertTrue(err.contains("a sidecar that runs holds it") && lock != null, err);
         }
@@ -150,8 +151,8 @@
     }
 
     @Test
-    void showOfAFolderSaysWhatItPassedOver() throws Exception {
-        Files.writeString(folder.resolve(StateStore.name(4)), "not whole");
+    void showOfFolderReportsSkippedFiles() throws Exception {
+        Files.writeString(folder.resolve(StateStore.fileName(4)), "not whole");
         assertEquals(0, run("state", "show", folder));
         assertEquals(folder + "/state-000000000004.mls: at byte 0: not a file of state\n", err);
         assertEquals(3, run("state", "show", Files.createDirectory(folder.resolve("empty"))));
--- a/core/src/main/java/mulleinlever/BuildByKey.java
+++ b/core/src/main/java/mulleinlever/BuildByKey.java
@@ -16,11 +16,11 @@
      */
     private long[] keys = new long[16];
 
-    int of(long key) {
+    int newestBuildOf(long key) {
         return builds.getOrDefault(key, 0);
     }
 
-    void answered(long key, int build) {
+    void recordAnswer(long key, int build) {
         int n = builds.size();
         builds.merge(key, build, Math::max);
         if (builds.size() > n) {
@@ -29,8 +29,8 @@
         }
     }
 
-    Stream<LearnedState> learned() {
+    Stream<LearnedState> toLearned() {
         return IntStream.range(0, builds.size())
-                .mapToObj(i -> new LearnedState.KeyBuild(keys[i], of(keys[i])));
+                .mapToObj(i -> new LearnedState.KeyBuild(keys[i], newestBuildOf(keys[i])));
     }
 }
--- a/core/src/main/java/mulleinlever/BuildOutcomes.java
+++ b/core/src/main/java/mulleinlever/BuildOutcomes.java
@@ -6,23 +6,23 @@
 final class BuildOutcomes {
     /** Tries of which a share went wrong. */
     private static final class FailureShare {
-        final DecayingSum of;
-        final DecayingSum wrong;
-        double ever;
+        final DecayingSum total;
+        final DecayingSum bad;
+        double totalEver;
 
         FailureShare(long halfLifeNs) {
-            of = new DecayingSum(halfLifeNs);
-            wrong = new DecayingSum(halfLifeNs);
+            total = new DecayingSum(halfLifeNs);
+            bad = new DecayingSum(halfLifeNs);
         }
 
         void add(long nowNs, double n, double k) {
-            of.add(nowNs, n);
-            wrong.add(nowNs, k);
-            ever += n;
+            total.add(nowNs, n);
+            bad.add(nowNs, k);
+            totalEver += n;
         }
 
-        double read(long nowNs) {
-            return Math.min(1, wrong.read(nowNs) / Math.max(1, of.read(nowNs)));
+        double shareAt(long nowNs) {
+            return Math.min(1, bad.valueAt(nowNs) / Math.max(1, total.valueAt(nowNs)));
         }
     }
 
@@ -47,42 +47,42 @@
         places[places.length - 1].add(nowNs, n, k);
     }
 
-    void own(long nowNs, int route, boolean hasFailed, boolean wasLate) {
+    void recordTry(long nowNs, int route, boolean hasFailed, boolean wasLate) {
         add(failed, nowNs, route, 1, hasFailed ? 1 : 0);
         add(late, nowNs, route, 1, wasLate ? 1 : 0);
         add(flagged, nowNs, route, 1, 0);
     }
 
-    void tallied(long nowNs, int route, double n, double k, double timed, double slow) {
+    void recordTally(long nowNs, int route, double n, double k, double timed, double slow) {
         add(failed, nowNs, route, n, k);
         add(late, nowNs, route, timed, timed > 0 ? slow : 0);
     }
 
-    void flag(long nowNs, int route) {
+    void recordComplaint(long nowNs, int route) {
         add(flagged, nowNs, route, 0, 1);
     }
 
-    double failed(long nowNs, int place) {
-        return failed[place].read(nowNs);
+    double failedShare(long nowNs, int place) {
+        return failed[place].shareAt(nowNs);
     }
 
-    double late(long nowNs, int place) {
-        return late[place].read(nowNs);
+    double lateShare(long nowNs, int place) {
+        return late[place].shareAt(nowNs);
     }
 
-    double flags(long nowNs, int place) {
-        return flagged[place].wrong.read(nowNs);
+    double complaintCount(long nowNs, int place) {
+        return flagged[place].bad.valueAt(nowNs);
     }
 
-    double relayed(long nowNs, int place) {
-        return flagged[place].of.read(nowNs);
+    double tryCount(long nowNs, int place) {
+        return flagged[place].total.valueAt(nowNs);
     }
 
-    double seen(long nowNs, int place, boolean inTime) {
-        return (inTime ? late : failed)[place].of.read(nowNs);
+    double outcomeCount(long nowNs, int place, boolean inTime) {
+        return (inTime ? late : failed)[place].total.valueAt(nowNs);
     }
 
-    double ever(int place, boolean inTime) {
-        return (inTime ? late : failed)[place].ever;
+    double totalOutcomeCount(int place, boolean inTime) {
+        return (inTime ? late : failed)[place].totalEver;
     }
 }
--- a/core/src/main/java/mulleinlever/ConcurrencyLimiter.java
+++ b/core/src/main/java/mulleinlever/ConcurrencyLimiter.java
@@ -41,27 +41,27 @@
      * A req came whose tries take so long of late, in nanoseconds, and are wanted within the
      * objective.
      */
-    void wanted(long nowNs, double meanNs, double objectiveNs) {
+    void recordDemand(long nowNs, double meanNs, double objectiveNs) {
         wanted.add(nowNs, Math.min(meanNs, AT_EASE * objectiveNs) / 1e9);
     }
 
-    boolean free() {
+    boolean hasCapacity() {
         return open < most;
     }
 
-    int open() {
+    int openTryCount() {
         return open;
     }
 
-    double most() {
+    double limit() {
         return most;
     }
 
-    void begun() {
+    void onTryStarted() {
         open++;
     }
 
-    void ended() {
+    void onTryEnded() {
         open--;
     }
 
@@ -69,34 +69,34 @@
      * How long a try took, in shares of its latency objective; what was never answered counts as
      * just late.
      */
-    void took(long nowNs, double part, boolean unanswered) {
+    void recordLatency(long nowNs, double part, boolean unanswered) {
         ease.add(nowNs, unanswered ? Math.min(1, part) : part);
     }
 
-    double ease(long nowNs) {
-        return ease.read(nowNs, 0, 1);
+    double latencyRatio(long nowNs) {
+        return ease.meanAt(nowNs, 0, 1);
     }
 
-    boolean strained(long nowNs) {
-        return ease(nowNs) > AT_EASE;
+    boolean isOverloaded(long nowNs) {
+        return latencyRatio(nowNs) > AT_EASE;
     }
 
     /**
      * How long the reqs before it in line take to be sent, if tries take so long; in nanoseconds.
      */
-    double waitNs(int before, double completedPerSecond, double meanNs) {
+    double estimatedQueueWaitNs(int before, double completedPerSecond, double meanNs) {
         return before / Math.max(Math.max(1, completedPerSecond) / 1e9, most / meanNs);
     }
 
     /** At each tick, with the number of pods that may be used. */
-    void adjust(long nowNs, int pods) {
+    void adjustLimit(long nowNs, int pods) {
         double least = least(nowNs, pods);
         most = Math.max(most, least);
         // Of a few answers chance alone makes the mean lie above its own by as much again over the
         // root of
         // their number.
-        double seen = Math.max(1, ease.figure(nowNs).weight());
-        double tense = ease(nowNs) / (1 + 1 / Math.sqrt(seen)) / AT_EASE;
+        double seen = Math.max(1, ease.snapshot(nowNs).weight());
+        double tense = latencyRatio(nowNs) / (1 + 1 / Math.sqrt(seen)) / AT_EASE;
         if (tense > 1) {
             most = Math.max(least, most * (1 - 0.1 * Math.min(1, tense - 1)));
         } else if (open > 0.8 * most) {
@@ -105,7 +105,7 @@
     }
 
     /** Before the first pods are known there is none. */
-    void pods(long nowNs, int pods) {
+    void initializeLimit(long nowNs, int pods) {
         most = most == 0 && pods > 0 ? FIRST * least(nowNs, pods) : most;
     }
 
@@ -116,6 +116,6 @@
      * long, and no longer.
      */
     private double least(long nowNs, int pods) {
-        return Math.max(Math.max(2, LEAST_A_POD * pods / sidecars), wanted.perSecond(nowNs));
+        return Math.max(Math.max(2, LEAST_A_POD * pods / sidecars), wanted.ratePerSecond(nowNs));
     }
 }
--- a/core/src/main/java/mulleinlever/DecayingMean.java
+++ b/core/src/main/java/mulleinlever/DecayingMean.java
@@ -19,17 +19,17 @@
         count.add(nowNs, n);
     }
 
-    LearnedState.WeightedMean figure(long nowNs) {
-        double n = count.read(nowNs);
-        return new LearnedState.WeightedMean(n > 0 ? sum.read(nowNs) / n : 0, n);
+    LearnedState.WeightedMean snapshot(long nowNs) {
+        double n = count.valueAt(nowNs);
+        return new LearnedState.WeightedMean(n > 0 ? sum.valueAt(nowNs) / n : 0, n);
     }
 
     /** Takes a remembered mean, for so many outcomes at most. */
-    void recall(long nowNs, LearnedState.WeightedMean f, double most) {
+    void restore(long nowNs, LearnedState.WeightedMean f, double most) {
         add(nowNs, f.mean(), Math.min(f.weight(), most));
     }
 
-    double read(long nowNs, double lean, double leanCount) {
-        return (sum.read(nowNs) + lean * leanCount) / (count.read(nowNs) + leanCount);
+    double meanAt(long nowNs, double lean, double leanCount) {
+        return (sum.valueAt(nowNs) + lean * leanCount) / (count.valueAt(nowNs) + leanCount);
     }
 }
--- a/core/src/main/java/mulleinlever/DecayingSum.java
+++ b/core/src/main/java/mulleinlever/DecayingSum.java
@@ -15,10 +15,10 @@
 
     public void add(long nowNs, double x) {
         firstNs = firstNs == Long.MIN_VALUE ? nowNs : firstNs;
-        sum = read(nowNs) + x;
+        sum = valueAt(nowNs) + x;
     }
 
-    public double read(long nowNs) {
+    public double valueAt(long nowNs) {
         if (nowNs > atNs) {
             sum *= Math.exp(-LN_2 * (nowNs - atNs) / halfLifeNs);
             atNs = nowNs;
@@ -30,11 +30,15 @@
      * The rate behind the sum; one that began lately has had no time to fill up, which is made
      * good.
      */
-    double perSecond(long nowNs) {
+    double ratePerSecond(long nowNs) {
         if (firstNs == Long.MIN_VALUE) {
             return 0;
         }
         double sinceNs = Math.max(1e9, nowNs - firstNs);
-        return read(nowNs) * LN_2 * 1e9 / halfLifeNs / (1 - Math.exp(-LN_2 * sinceNs / halfLifeNs));
+        return valueAt(nowNs)
+                * LN_2
+                * 1e9
+                / halfLifeNs
+                / (1 - Math.exp(-LN_2 * sinceNs / halfLifeNs));
     }
 }
--- a/core/src/main/java/mulleinlever/ExposureBudget.java
+++ b/core/src/main/java/mulleinlever/ExposureBudget.java
@@ -17,28 +17,28 @@
         this.routes = routes;
     }
 
-    double[] of(int build) {
+    double[] tokensOf(int build) {
         return left.computeIfAbsent(build, b -> new double[routes]);
     }
 
-    void earn(RolloutStatus news, int route) {
+    void accrue(RolloutStatus news, int route) {
         left.forEach(
                 (build, saved) ->
                         saved[lane(route)] =
                                 Math.min(
-                                        rollout.uncounted(),
+                                        rollout.exposureBurst(),
                                         saved[lane(route)] + news.capOf(build, rollout)));
     }
 
-    boolean enough(int build, int route) {
-        return of(build)[lane(route)] >= 1;
+    boolean hasToken(int build, int route) {
+        return tokensOf(build)[lane(route)] >= 1;
     }
 
-    void spend(int build, int route) {
-        of(build)[lane(route)]--;
+    void consume(int build, int route) {
+        tokensOf(build)[lane(route)]--;
     }
 
     private int lane(int route) {
-        return rollout.countedByRoute() ? route : 0;
+        return rollout.isExposurePerRoute() ? route : 0;
     }
 }
--- a/core/src/main/java/mulleinlever/LearnedState.java
+++ b/core/src/main/java/mulleinlever/LearnedState.java
@@ -1,8 +1,8 @@
 package mulleinlever;
 
 /**
- * One thing that a {@link Policy} learned, as plain values: {@link Policy#learned} gives them out,
- * {@link Policy#recall} takes them in. Times are nanoseconds.
+ * One thing that a {@link Policy} learned, as plain values: {@link Policy#exportLearned} gives them
+ * out, {@link Policy#restoreLearned} takes them in. Times are nanoseconds.
  */
 public sealed interface LearnedState {
     /** A mean and the number of outcomes, faded, that it stands for. */
--- a/core/src/main/java/mulleinlever/MovingAverages.java
+++ b/core/src/main/java/mulleinlever/MovingAverages.java
@@ -2,42 +2,45 @@
 
 /** The design's moving averages: the long-term one with its deviation, and the short-term one. */
 class MovingAverages {
-    double mean;
-    double deviation;
-    double recent;
-    double samples;
+    double longTermMean;
+    double longTermDeviation;
+    double shortTermMean;
+    double sampleCount;
 
     MovingAverages(double mean, double samples) {
-        this.mean = mean;
-        this.samples = samples;
+        this.longTermMean = mean;
+        this.sampleCount = samples;
     }
 
-    LearnedState.DetectorBaseline learned(int build, String route, boolean ofLate) {
-        return new LearnedState.DetectorBaseline(build, route, ofLate, mean, deviation, samples);
+    LearnedState.DetectorBaseline toBaseline(int build, String route, boolean ofLate) {
+        return new LearnedState.DetectorBaseline(
+                build, route, ofLate, longTermMean, longTermDeviation, sampleCount);
     }
 
     /** Takes a remembered pair, as learned from so many samples at most, or as many as before. */
-    void recall(LearnedState.DetectorBaseline was, double most) {
-        mean = was.mean();
-        deviation = was.deviation();
-        recent = mean;
-        samples = Math.max(samples, Math.min(most, was.samples()));
+    void restore(LearnedState.DetectorBaseline was, double most) {
+        longTermMean = was.mean();
+        longTermDeviation = was.deviation();
+        shortTermMean = longTermMean;
+        sampleCount = Math.max(sampleCount, Math.min(most, was.samples()));
     }
 
     /** Takes a sample into the long-term pair, with a greater weight while there are few. */
-    void learn(double sample, double weight) {
-        double w = Math.max(weight, 1.0 / ++samples);
-        mean = w * sample + (1 - w) * mean;
-        deviation =
-                Math.sqrt(w * (sample - mean) * (sample - mean) + (1 - w) * deviation * deviation);
+    void updateLongTerm(double sample, double weight) {
+        double w = Math.max(weight, 1.0 / ++sampleCount);
+        longTermMean = w * sample + (1 - w) * longTermMean;
+        longTermDeviation =
+                Math.sqrt(
+                        w * (sample - longTermMean) * (sample - longTermMean)
+                                + (1 - w) * longTermDeviation * longTermDeviation);
     }
 
-    void follow(double sample, double weight) {
-        recent = weight * sample + (1 - weight) * recent;
+    void updateShortTerm(double sample, double weight) {
+        shortTermMean = weight * sample + (1 - weight) * shortTermMean;
     }
 
     /** How many deviations the short-term average lies above the long-term one. */
-    double above(double floor) {
-        return (recent - mean) / Math.max(deviation, floor);
+    double deviationsAboveMean(double floor) {
+        return (shortTermMean - longTermMean) / Math.max(longTermDeviation, floor);
     }
 }
--- a/core/src/main/java/mulleinlever/OpenTryLatenessDetector.java
+++ b/core/src/main/java/mulleinlever/OpenTryLatenessDetector.java
@@ -24,19 +24,21 @@
         this.lastsNs = lastsNs;
     }
 
-    boolean holds(long nowNs) {
+    boolean isSuspected(long nowNs) {
         return nowNs < untilNs;
     }
 
     /** Where the earlier build's open tries are as late, its pods would do no better. */
-    void look(long nowNs, Collection<ReqState> held, RolloutStatus news) {
+    void evaluate(long nowNs, Collection<ReqState> held, RolloutStatus news) {
         int[] out = new int[2];
         int[] late = new int[2];
         for (ReqState rq : held) {
-            for (int no = rq.out.nextSetBit(0); no >= 0; no = rq.out.nextSetBit(no + 1)) {
-                int of = news.onTrial(rq.tries.get(no).build()) ? 1 : 0;
+            for (int no = rq.openTryNumbers.nextSetBit(0);
+                    no >= 0;
+                    no = rq.openTryNumbers.nextSetBit(no + 1)) {
+                int of = news.isBuildOnTrial(rq.tries.get(no).build()) ? 1 : 0;
                 out[of]++;
-                late[of] += rq.lateAlready(nowNs, no) ? 1 : 0;
+                late[of] += rq.isOpenTryLate(nowNs, no) ? 1 : 0;
             }
         }
         if (late[1] >= TRIES && late[1] > PART * out[1] && late[0] <= PART * out[0]) {
--- a/core/src/main/java/mulleinlever/Pod.java
+++ b/core/src/main/java/mulleinlever/Pod.java
@@ -5,80 +5,84 @@
 /** A pod as this sidecar knows it: its line of the list, and what its tries have shown. */
 final class Pod {
     final String id;
-    PodEntry is;
+    PodEntry listEntry;
 
     /** When it started, by our own clock; 0 for long ago. */
     long startedNs;
 
     /** One for all pods that lie there. */
-    ZoneReachability zone;
+    ZoneReachability zoneReachability;
 
-    int open;
-    long owesSinceNs;
-    long heardNs = Long.MIN_VALUE / 2;
+    int openTryCount;
+    long unansweredSinceNs;
+    long lastAnswerNs = Long.MIN_VALUE / 2;
 
     /**
      * When the last request that it has served was sent, and when a connection to it last failed.
      */
-    long servedSentNs = Long.MIN_VALUE / 2;
-
-    long brokeNs = Long.MIN_VALUE / 2;
-    int strikes;
-    long sickUntilNs;
-    final DecayingMean slowness;
-    final DecayingMean late;
-    double coldLeft;
+    long lastServedSentNs = Long.MIN_VALUE / 2;
+
+    long lastConnectionFailureNs = Long.MIN_VALUE / 2;
+    int failureScore;
+    long ejectedUntilNs;
+    final DecayingMean relativeLatency;
+    final DecayingMean lateShare;
+    double slowStartTokens;
     private long coldAtNs;
     private long goneSinceNs;
 
     Pod(PodEntry is, long halfLifeNs) {
         this.id = is.id();
-        this.is = is;
+        this.listEntry = is;
         this.startedNs = is.startedNs();
-        this.slowness = new DecayingMean(halfLifeNs);
-        this.late = new DecayingMean(2 * halfLifeNs);
+        this.relativeLatency = new DecayingMean(halfLifeNs);
+        this.lateShare = new DecayingMean(2 * halfLifeNs);
     }
 
     /** It owes answers and has given none for long. */
-    boolean silent(long nowNs, double afterNs) {
-        return open > 0 && nowNs - owesSinceNs > afterNs;
+    boolean isUnresponsive(long nowNs, double afterNs) {
+        return openTryCount > 0 && nowNs - unansweredSinceNs > afterNs;
     }
 
-    void hear(long nowNs, boolean unanswered, boolean unreached) {
+    void onTryEnded(long nowNs, boolean unanswered, boolean unreached) {
         if (!unanswered) {
-            owesSinceNs = nowNs;
-            heardNs = unreached ? Long.MIN_VALUE / 2 : nowNs;
+            unansweredSinceNs = nowNs;
+            lastAnswerNs = unreached ? Long.MIN_VALUE / 2 : nowNs;
         }
     }
 
-    LearnedState.PodStats learned(long nowNs) {
-        return new LearnedState.PodStats(is, slowness.figure(nowNs), late.figure(nowNs), strikes);
+    LearnedState.PodStats toLearned(long nowNs) {
+        return new LearnedState.PodStats(
+                listEntry,
+                relativeLatency.snapshot(nowNs),
+                lateShare.snapshot(nowNs),
+                failureScore);
     }
 
     /** Takes what was remembered of it; false where that was of another machine under its id. */
-    boolean recall(long nowNs, LearnedState.PodStats was, double most, int mostStrikes) {
-        if (isThatOf(was.is())) {
-            slowness.recall(nowNs, was.slowness(), most);
-            late.recall(nowNs, was.late(), most);
-            strikes = Math.min(mostStrikes, was.strikes());
+    boolean restore(long nowNs, LearnedState.PodStats was, double most, int mostStrikes) {
+        if (isSameInstance(was.is())) {
+            relativeLatency.restore(nowNs, was.slowness(), most);
+            lateShare.restore(nowNs, was.late(), most);
+            failureScore = Math.min(mostStrikes, was.strikes());
         }
-        return isThatOf(was.is());
+        return isSameInstance(was.is());
     }
 
     /** Whether this still is the pod of which that was learned. */
-    boolean isThatOf(PodEntry then) {
-        return is.startedNs() == then.startedNs() && is.build() == then.build();
+    boolean isSameInstance(PodEntry then) {
+        return listEntry.startedNs() == then.startedNs() && listEntry.build() == then.build();
     }
 
-    boolean ready() {
-        return is.state() == PodEntry.State.READY;
+    boolean isReady() {
+        return listEntry.state() == PodEntry.State.READY;
     }
 
     /**
      * How long it has been gone with nothing left open, as far as it was asked; 0 while it is not.
      */
-    long goneFor(long nowNs) {
-        boolean gone = is.state() == PodEntry.State.GONE && open == 0;
+    long idleSinceGoneNs(long nowNs) {
+        boolean gone = listEntry.state() == PodEntry.State.GONE && openTryCount == 0;
         goneSinceNs = gone && goneSinceNs > 0 ? goneSinceNs : nowNs;
         return nowNs - goneSinceNs;
     }
@@ -87,34 +91,34 @@
      * What is saved up for a cold pod at a rate a second, up to a limit, from a random start below
      * 1.
      */
-    double saveCold(long nowNs, double rate, double most, SplittableRandom random) {
-        coldLeft =
+    double refillSlowStartTokens(long nowNs, double rate, double most, SplittableRandom random) {
+        slowStartTokens =
                 coldAtNs == 0
                         ? random.nextDouble()
-                        : Math.min(most, coldLeft + rate * (nowNs - coldAtNs) / 1e9);
+                        : Math.min(most, slowStartTokens + rate * (nowNs - coldAtNs) / 1e9);
         coldAtNs = nowNs;
-        return coldLeft;
+        return slowStartTokens;
     }
 
     /**
      * Takes a new line of the list. An id may come back as another machine: its past counts for
      * nothing.
      */
-    void take(
+    void update(
             PodEntry entry,
             ZoneReachability in,
             PodStartEstimator starts,
             long listTrueNs,
             long nowNs) {
-        if (zone == null || !isThatOf(entry)) {
-            startedNs = starts.startedNs(entry.startedNs(), listTrueNs, nowNs);
+        if (zoneReachability == null || !isSameInstance(entry)) {
+            startedNs = starts.estimateStartNs(entry.startedNs(), listTrueNs, nowNs);
         }
-        if (!isThatOf(entry)) {
-            servedSentNs = Long.MIN_VALUE / 2;
-            strikes = 0;
+        if (!isSameInstance(entry)) {
+            lastServedSentNs = Long.MIN_VALUE / 2;
+            failureScore = 0;
             coldAtNs = 0;
         }
-        is = entry;
-        zone = in;
+        listEntry = entry;
+        zoneReachability = in;
     }
 }
--- a/core/src/main/java/mulleinlever/PodEntry.java
+++ b/core/src/main/java/mulleinlever/PodEntry.java
@@ -16,7 +16,7 @@
         GONE
     }
 
-    PodEntry gone() {
+    PodEntry withStateGone() {
         return new PodEntry(id, zone, kind, cell, build, State.GONE, weight, startedNs);
     }
 }
--- a/core/src/main/java/mulleinlever/PodListLease.java
+++ b/core/src/main/java/mulleinlever/PodListLease.java
@@ -38,7 +38,7 @@
     }
 
     /** The list is true, and changes will be told as they are made. */
-    void confirmed(long nowNs) {
+    void onConfirmed(long nowNs) {
         confirmed = true;
         moved = false;
         unreachedNs = NEVER;
@@ -46,7 +46,7 @@
     }
 
     /** When the list was last known to be true; long ago before that. */
-    long confirmedNs() {
+    long lastConfirmedNs() {
         return confirmedNs;
     }
 
@@ -54,7 +54,7 @@
      * The list that was confirmed no longer is: changes made after that moment may not have been
      * told.
      */
-    void unconfirmedSince(long sinceNs) {
+    void onUnconfirmedSince(long sinceNs) {
         if (confirmed) {
             confirmed = false;
             confirmedNs = sinceNs;
@@ -62,7 +62,7 @@
     }
 
     /** Nobody has said when the list was true: it may be of any age. */
-    void neverConfirmed() {
+    void onNeverConfirmed() {
         confirmed = false;
         confirmedNs = NEVER;
     }
@@ -72,7 +72,7 @@
      * discovery could be reached. From one call that did not reach it to the next the lease does
      * not run; a list of any age is trusted from the first on.
      */
-    void called(boolean reached, long nowNs) {
+    void onDiscoveryCall(boolean reached, long nowNs) {
         if (reached || confirmed) {
             unreachedNs = NEVER;
             return;
@@ -86,29 +86,29 @@
     }
 
     /** What was not told before is to be asked for elsewhere, and counts as told sooner. */
-    void moved() {
+    void onDiscoveryChanged() {
         confirmed = false;
         moved = true;
     }
 
     /** Whether attempts that begin now may go to that server. */
-    boolean covers(long nowNs, Pod server) {
+    boolean allows(long nowNs, Pod server) {
         long lengthNs = (moved ? Math.min(toldAfterNs, TOLD_AFTER_MOVE_NS) : toldAfterNs) + slackNs;
-        return confirmed || nowNs < Math.max(confirmedNs, server.servedSentNs) + lengthNs;
+        return confirmed || nowNs < Math.max(confirmedNs, server.lastServedSentNs) + lengthNs;
     }
 
     /** A server that was sent a request at that time has served it. */
-    void served(Pod server, long sentNs) {
+    void onServed(Pod server, long sentNs) {
         // A connection that broke since may mean that another process listens there, which nobody
         // has told
         // of.
-        if (confirmed || server.brokeNs <= confirmedNs) {
-            server.servedSentNs = Math.max(server.servedSentNs, sentNs);
+        if (confirmed || server.lastConnectionFailureNs <= confirmedNs) {
+            server.lastServedSentNs = Math.max(server.lastServedSentNs, sentNs);
         }
     }
 
     /** A connection to the server could not be made or broke. */
-    void broke(Pod server, long nowNs) {
-        server.brokeNs = nowNs;
+    void onConnectionFailed(Pod server, long nowNs) {
+        server.lastConnectionFailureNs = nowNs;
     }
 }
--- a/core/src/main/java/mulleinlever/PodStartEstimator.java
+++ b/core/src/main/java/mulleinlever/PodStartEstimator.java
@@ -15,7 +15,7 @@
     private boolean trusted = true;
 
     /** The wall clock was stepped: what it tells from now on is not to be relied on. */
-    void stepped() {
+    void onWallClockStepped() {
         trusted = false;
     }
 
@@ -25,7 +25,7 @@
      * @param toldNs as the list tells it; 0 for long ago
      * @param listTrueNs when the list was last true without it
      */
-    long startedNs(long toldNs, long listTrueNs, long nowNs) {
+    long estimateStartNs(long toldNs, long listTrueNs, long nowNs) {
         if (toldNs == 0) {
             return 0;
         }
--- a/core/src/main/java/mulleinlever/Policy.java
+++ b/core/src/main/java/mulleinlever/Policy.java
@@ -188,9 +188,11 @@
             super(mean, samples);
         }
 
-        void judge(double sample, double n, boolean sure) {
-            follow(sample, SHORT_WEIGHT);
-            double above = above(Math.max(DEVIATION_FLOOR, Math.sqrt(sample * (1 - sample) / n)));
+        void evaluate(double sample, double n, boolean sure) {
+            updateShortTerm(sample, SHORT_WEIGHT);
+            double above =
+                    deviationsAboveMean(
+                            Math.max(DEVIATION_FLOOR, Math.sqrt(sample * (1 - sample) / n)));
             boolean held = state == DetectorState.ALARM && above >= ALARM_CLEARS_AT;
             DetectorState open = above > SUSPECT_AT ? DetectorState.SUSPECT : DetectorState.NORMAL;
             state = above > ALARM_AT && sure || held ? DetectorState.ALARM : open;
@@ -265,12 +267,12 @@
         this.rollout = set.rollout();
         this.host = host;
         this.random = new SplittableRandom(seed);
-        this.room = new ConcurrencyLimiter(set.sidecars());
+        this.room = new ConcurrencyLimiter(set.sidecarCount());
         this.lease =
                 new PodListLease(
-                        set.rules().askWithinNs(),
-                        set.rules().stopSendingWithinNs(),
-                        set.limits().connectTimeoutNs());
+                        set.contract().listRefreshWithinNs(),
+                        set.contract().drainGraceNs(),
+                        set.policyLimits().connectTimeoutNs());
         this.exposure = new ExposureBudget(rollout, set.routes().size());
         for (Settings.RouteSettings r : set.routes()) {
             rows.put(r.name(), new RouteState(r, rows.size(), 2 * MEASURE_HALF_LIFE, FIRST_MEAN));
@@ -287,33 +289,33 @@
                         i % 2 == 0
                                 ? new DegradationDetector(0, 0)
                                 : new DegradationDetector(1 - LATE_QUANTILE, 1 / LONG_WEIGHT));
-        host.timer(now + SECOND, "sample");
-        host.timer(now + TICK, "tick");
-        if (set.listMustBeAsked()) {
+        host.scheduleTimer(now + SECOND, "sample");
+        host.scheduleTimer(now + TICK, "tick");
+        if (set.requiresListWatch()) {
             askForList();
         }
     }
 
     // ---- The list of pods.
 
-    public void listWhole(long now, List<PodEntry> entries) {
+    public void onPodListReplaced(long now, List<PodEntry> entries) {
         Map<String, Pod> missing = new HashMap<>(pods);
         entries.forEach(e -> missing.remove(e.id()));
-        missing.values().forEach(p -> p.is = p.is.gone());
-        listChanged(now, entries);
+        missing.values().forEach(p -> p.listEntry = p.listEntry.withStateGone());
+        onPodListUpdated(now, entries);
     }
 
-    public void listChanged(long now, List<PodEntry> entries) {
-        long beforeNs = lease.confirmedNs();
-        listConfirmed(now);
+    public void onPodListUpdated(long now, List<PodEntry> entries) {
+        long beforeNs = lease.lastConfirmedNs();
+        onPodListConfirmed(now);
         for (PodEntry e : entries) {
             ZoneReachability in = zones.computeIfAbsent(e.zone(), z -> new ZoneReachability());
             Pod p = pods.computeIfAbsent(e.id(), id -> new Pod(e, MEASURE_HALF_LIFE));
-            p.take(e, in, starts, beforeNs, now);
+            p.update(e, in, starts, beforeNs, now);
         }
         if (!told) {
             // Until there is news, all but the lowest build counts as on trial.
-            int lowest = pods.values().stream().mapToInt(p -> p.is.build()).min().orElse(0);
+            int lowest = pods.values().stream().mapToInt(p -> p.listEntry.build()).min().orElse(0);
             news = new RolloutStatus(lowest, 0, RolloutStatus.Phase.RELEASED, 1, 0);
         }
         survey(now);
@@ -321,58 +323,60 @@
     }
 
     /** A watch stands and has nothing new to tell. */
-    public void listConfirmed(long now) {
+    public void onPodListConfirmed(long now) {
         watching = true;
         asking = false;
         asksFailed = 0;
-        lease.confirmed(now);
+        lease.onConfirmed(now);
     }
 
     /**
      * Since then nobody has confirmed the list; until that is mended its servers may be used for a
      * while only.
      */
-    public void listUnconfirmed(long sinceNs) {
-        lease.unconfirmedSince(sinceNs);
+    public void onPodListUnconfirmed(long sinceNs) {
+        lease.onUnconfirmedSince(sinceNs);
     }
 
     /** Nobody has confirmed the list that was taken last, and it may be of any age. */
-    public void listNeverConfirmed() {
-        lease.neverConfirmed();
+    public void onPodListNeverConfirmed() {
+        lease.onNeverConfirmed();
     }
 
     /** A call to discovery has ended, and did reach it or found nobody there. */
-    public void listCalled(long now, boolean reached) {
-        lease.called(reached, now);
+    public void onDiscoveryCallEnded(long now, boolean reached) {
+        lease.onDiscoveryCall(reached, now);
     }
 
     /** Another discovery is being asked from now on. */
-    public void listMoved() {
+    public void onDiscoveryChanged() {
         watching = false;
         asking = true;
-        lease.moved();
+        lease.onDiscoveryChanged();
     }
 
     /** The wall clock by which the list tells starts of servers was stepped. */
-    public void wallClockStepped() {
-        starts.stepped();
+    public void onWallClockStepped() {
+        starts.onWallClockStepped();
     }
 
     private void survey(long now) {
-        pods.values().removeIf(p -> p.goneFor(now) > FORGET_AFTER);
-        listed = new PodSet(pods.values().stream().filter(Pod::ready).toList(), set.zone());
-        whole = listed.only(p -> lease.covers(now, p));
-        onTrial = whole.only(p -> news.onTrial(p.is.build()));
-        notOnTrial = whole.only(p -> !news.onTrial(p.is.build()));
-        onTrial.all().forEach(p -> exposure.of(p.is.build()));
+        pods.values().removeIf(p -> p.idleSinceGoneNs(now) > FORGET_AFTER);
+        listed = new PodSet(pods.values().stream().filter(Pod::isReady).toList(), set.zone());
+        whole = listed.filter(p -> lease.allows(now, p));
+        onTrial = whole.filter(p -> news.isBuildOnTrial(p.listEntry.build()));
+        notOnTrial = whole.filter(p -> !news.isBuildOnTrial(p.listEntry.build()));
+        onTrial.all().forEach(p -> exposure.tokensOf(p.listEntry.build()));
         places = onTrial.all().isEmpty() ? 0 : Math.max(places, notOnTrial.all().size());
-        double slowest = rows.values().stream().mapToDouble(r -> r.meanNs(now)).max().orElse(0);
+        double slowest =
+                rows.values().stream().mapToDouble(r -> r.meanTryTimeNs(now)).max().orElse(0);
         silentAfterNs = SILENCE_MEANS * slowest;
-        room.pods(now, listed.all().size());
+        room.initializeLimit(now, listed.all().size());
         // Pods that take no more connections look like dead ones; either way what answered lately
         // serves.
         linksScarce =
-                refused.read(now, 0, 4) > SCARCE && whole.count(p -> linked(now, p)) > room.open();
+                refused.meanAt(now, 0, 4) > SCARCE
+                        && whole.count(p -> linked(now, p)) > room.openTryCount();
         // Pods that can't be reached would not help those that can.
         long lit = whole.count(p -> !dark(p));
         panic = whole.count(p -> fit(now, p)) < PANIC_PART * lit;
@@ -390,27 +394,27 @@
      * Whether a watch still stands can't be told from this, so it is asked for again, ever more
      * rarely.
      */
-    public void listFailed(long now) {
+    public void onPodListWatchFailed(long now) {
         watching = false;
         asking = false;
-        long most = Math.max(SECOND, set.rules().askWithinNs() / 3);
+        long most = Math.max(SECOND, set.contract().listRefreshWithinNs() / 3);
         long wait = Math.min(SECOND << Math.min(++asksFailed, 4), most);
         askAgainNs = now + wait / 2 + random.nextLong(wait / 2 + 1);
     }
 
     private void askForList() {
         asking = true;
-        host.watchList();
+        host.watchPodList();
     }
 
     // ---- Reqs.
 
-    public void req(long now, Req req) {
+    public void onReq(long now, Req req) {
         ReqState rq = new ReqState(req, rows.get(req.route()), now);
         held.put(req.id(), rq);
         taken.add(now, 1);
-        room.wanted(now, rq.row.meanNs(now), rq.row.is.objectiveNs());
-        exposure.earn(news, rq.row.at);
+        room.recordDemand(now, rq.route.meanTryTimeNs(now), rq.route.settings.latencyObjectiveNs());
+        exposure.accrue(news, rq.route.index);
         if (random.nextDouble() < shedChance(now, rq)) {
             giveUp(now, rq);
         } else {
@@ -424,12 +428,15 @@
      */
     private double shedChance(long now, ReqState rq) {
         double waitNs =
-                room.waitNs(firstTries.size(), completed.perSecond(now), rq.row.meanNs(now));
-        double pressure = waitNs / rq.row.is.objectiveNs() / LINE_WAIT - 0.25;
+                room.estimatedQueueWaitNs(
+                        firstTries.size(),
+                        completed.ratePerSecond(now),
+                        rq.route.meanTryTimeNs(now));
+        double pressure = waitNs / rq.route.settings.latencyObjectiveNs() / LINE_WAIT - 0.25;
         double mean =
-                rows.values().stream().mapToDouble(r -> r.earningsPerNs(now)).average().orElse(0);
+                rows.values().stream().mapToDouble(r -> r.valuePerNs(now)).average().orElse(0);
         return Math.min(
-                0.95, pressure * Math.min(CHEAPEST, Math.pow(mean / rq.row.earningsPerNs(now), 2)));
+                0.95, pressure * Math.min(CHEAPEST, Math.pow(mean / rq.route.valuePerNs(now), 2)));
     }
 
     private void join(long now, ReqState rq) {
@@ -444,9 +451,12 @@
      * When waiting stops making sense: the answer would come after the latency objective, or never.
      */
     private long lastChance(long now, ReqState rq) {
-        double objective = rq.row.is.objectiveNs();
-        double wait = rq.tries.isEmpty() ? LINE_WAIT * objective : objective - rq.row.meanNs(now);
-        return Math.min(rq.arrivedNs + (long) wait, rq.lastRelayNs() - TICK - 2 * set.stepNs());
+        double objective = rq.route.settings.latencyObjectiveNs();
+        double wait =
+                rq.tries.isEmpty()
+                        ? LINE_WAIT * objective
+                        : objective - rq.route.meanTryTimeNs(now);
+        return Math.min(rq.arrivedNs + (long) wait, rq.lastSendNs() - TICK - 2 * set.clockStepNs());
     }
 
     private void serveLines(long now) {
@@ -462,80 +472,80 @@
             if (now >= lastChance(now, rq) && !rq.answered) {
                 giveUp(now, rq);
             }
-            if (rq.answered || !stuck[rq.row.at] && send(now, rq)) {
+            if (rq.answered || !stuck[rq.route.index] && send(now, rq)) {
                 line.remove(rq);
             } else {
-                stuck[rq.row.at] |= rq.tries.isEmpty();
+                stuck[rq.route.index] |= rq.tries.isEmpty();
             }
         }
     }
 
     private boolean send(long now, ReqState rq) {
-        Pod pod = room.free() ? pick(now, rq) : null;
+        Pod pod = room.hasCapacity() ? pick(now, rq) : null;
         if (pod == null) {
             return false;
         }
-        boolean fresh = now < pod.startedNs + FRESH_PART * set.rules().warmAfterNs();
-        Try t = new Try(pod, now, !fresh, pod.is.build(), linked(now, pod));
+        boolean fresh = now < pod.startedNs + FRESH_PART * set.contract().slowStartNs();
+        Try t = new Try(pod, now, !fresh, pod.listEntry.build(), linked(now, pod));
         // No time-out of our own: one that a busy pod misses is work done twice; silent pods show
         // sooner.
-        long limitNs = rq.dueNs - now - set.stepNs();
-        long writeWithinNs = rq.repeatIsBound() ? rq.lastRelayNs() - now - HELD_UP : limitNs;
-        rq.start(t);
-        rq.calledBack = false;
-        pod.owesSinceNs = pod.open++ == 0 ? now : pod.owesSinceNs;
-        room.begun();
+        long limitNs = rq.deadlineNs - now - set.clockStepNs();
+        long writeWithinNs = rq.isRetryScopeBound() ? rq.lastSendNs() - now - HELD_UP : limitNs;
+        rq.addTry(t);
+        rq.failoverPending = false;
+        pod.unansweredSinceNs = pod.openTryCount++ == 0 ? now : pod.unansweredSinceNs;
+        room.onTryStarted();
         if (cold(now, pod)) {
-            pod.coldLeft--;
+            pod.slowStartTokens--;
         }
         if (dark(pod)) {
-            pod.zone.ask(now, SICK_FOR, SICK_FOR << DARK_GROWTH, random);
+            pod.zoneReachability.scheduleNextProbe(now, SICK_FOR, SICK_FOR << DARK_GROWTH, random);
         }
-        if (news.onTrial(t.build())) {
-            exposure.spend(t.build(), rq.row.at);
+        if (news.isBuildOnTrial(t.build())) {
+            exposure.consume(t.build(), rq.route.index);
         }
-        host.relay(rq.is.id(), pod.id, writeWithinNs, limitNs);
+        host.startTry(rq.req.id(), pod.id, writeWithinNs, limitNs);
         return true;
     }
 
-    public void streamBegan(long now, String id) {
+    public void onStreamStarted(long now, String id) {
         ReqState rq = held.get(id);
         if (rq != null) {
             rq.streaming = true;
         }
     }
 
-    public void tryEnded(
+    public void onTryEnded(
             long now, String id, int tryNo, TryOutcome ending, long tookNs, boolean complete) {
         ReqState rq = held.get(id);
         if (rq == null || tryNo < 0 || tryNo >= rq.tries.size()) {
             return;
         }
         Try t = rq.tries.get(tryNo);
-        t.pod().open--;
-        rq.end(tryNo, ending);
-        room.ended();
+        t.pod().openTryCount--;
+        rq.endTry(tryNo, ending);
+        room.onTryEnded();
         if (ending != TryOutcome.MOOT) {
-            measure(now, rq.row, t, ending, tookNs);
+            measure(now, rq.route, t, ending, tookNs);
         }
         if (ending == TryOutcome.OK) {
-            lease.served(t.pod(), t.sentNs());
+            lease.onServed(t.pod(), t.sentNs());
         } else if (ending == TryOutcome.CONNECT_FAILED || ending == TryOutcome.RESET) {
-            lease.broke(t.pod(), now);
+            lease.onConnectionFailed(t.pod(), now);
         }
         // A try called back late was late: else a slow build would hide behind the rescue of its
         // reqs.
         if (ending != TryOutcome.MOOT
-                && (ending != TryOutcome.CANCELLED || tookNs > rq.row.lateNs)) {
-            weigh(now, rq.row, t, ending, tookNs);
+                && (ending != TryOutcome.CANCELLED || tookNs > rq.route.lateThresholdNs)) {
+            weigh(now, rq.route, t, ending, tookNs);
         }
-        if (ending == TryOutcome.OK && rollout.oneWay() && rq.is.key() >= 0) {
-            answeredBy.answered(rq.is.key(), t.build());
+        if (ending == TryOutcome.OK && rollout.keysAreOneWay() && rq.req.key() >= 0) {
+            answeredBy.recordAnswer(rq.req.key(), t.build());
         }
         rq.answered |= complete || rq.streaming;
-        if (!rq.answered && rq.out.isEmpty() && mayGoAgain(now, rq)) {
+        if (!rq.answered && rq.openTryNumbers.isEmpty() && mayGoAgain(now, rq)) {
             join(now, rq);
-        } else if (!rq.answered && rq.out.isEmpty()) {
+        } else if (!rq.answered && rq.openTryNumbers.isEmpty()) {
             giveUp(now, rq);
         }
         settle(rq);
@@ -544,9 +554,9 @@
 
     private boolean mayGoAgain(long now, ReqState rq) {
         return now < lastChance(now, rq)
-                && rq.tries.size() < set.limits().maxTries()
-                && rq.errors < OWN_FAULT
-                && rq.mayRepeat();
+                && rq.tries.size() < set.policyLimits().maxTries()
+                && rq.errorCount < OWN_FAULT
+                && rq.isRetryAllowed();
     }
 
     /**
@@ -555,16 +565,19 @@
      */
     private void giveUp(long now, ReqState rq) {
         rq.answered = true;
-        if (rq.harmlessToShed()) {
-            long backoff = Math.min(set.limits().maxRetryAfterNs(), rq.row.is.objectiveNs() / 4);
-            host.shed(rq.is.id(), set.limits().retryAfter() ? backoff : 0);
+        if (rq.isSafeToShed()) {
+            long backoff =
+                    Math.min(
+                            set.policyLimits().maxRetryAfterNs(),
+                            rq.route.settings.latencyObjectiveNs() / 4);
+            host.shedReq(rq.req.id(), set.policyLimits().canAdviseRetryAfter() ? backoff : 0);
         } else {
-            host.error(rq.is.id());
+            host.failReq(rq.req.id());
         }
         settle(rq);
     }
 
-    public void clientGone(long now, String id) {
+    public void onClientDisconnected(long now, String id) {
         ReqState rq = held.get(id);
         if (rq != null) {
             rq.answered = true;
@@ -573,11 +586,11 @@
     }
 
     private void settle(ReqState rq) {
-        if (rq.answered && set.limits().cancel() && !rq.streaming) {
-            rq.out.stream().forEach(no -> host.cancel(rq.is.id(), no));
+        if (rq.answered && set.policyLimits().canCancel() && !rq.streaming) {
+            rq.openTryNumbers.stream().forEach(no -> host.cancelTry(rq.req.id(), no));
         }
-        if (rq.answered && rq.out.isEmpty()) {
-            held.remove(rq.is.id());
+        if (rq.answered && rq.openTryNumbers.isEmpty()) {
+            held.remove(rq.req.id());
         }
     }
 
@@ -593,7 +606,7 @@
                         : twoChoices(now, rq, random.nextDouble() < part ? onTrial : notOnTrial);
         pod = pod == null ? twoChoices(now, rq, whole) : pod;
         return pod == null
-                ? PodSet.draw(whole.all(), random, DRAWS, p -> allowed(now, rq, p))
+                ? PodSet.pickRandom(whole.all(), random, DRAWS, p -> allowed(now, rq, p))
                 : pod;
     }
 
@@ -604,17 +617,19 @@
      * carry their load and look slow for it.
      */
     private double trialPart(long now) {
-        return rollout.oneWay() && !onTrial.all().isEmpty()
+        return rollout.keysAreOneWay() && !onTrial.all().isEmpty()
                 ? 1
                 : Math.min(
                         trialPods,
-                        state == DetectorState.NORMAL && !doubt.holds(now) ? 1 - KEPT : IN_DOUBT);
+                        state == DetectorState.NORMAL && !doubt.isSuspected(now)
+                                ? 1 - KEPT
+                                : IN_DOUBT);
     }
 
     private Pod twoChoices(long now, ReqState rq, PodSet of) {
         Predicate<Pod> fits = p -> suits(now, rq, p) && allowed(now, rq, p);
-        Pod a = PodSet.draw(of.near(), random, DRAWS, fits);
-        Pod b = PodSet.draw(of.all(), random, DRAWS, fits);
+        Pod a = PodSet.pickRandom(of.local(), random, DRAWS, fits);
+        Pod b = PodSet.pickRandom(of.all(), random, DRAWS, fits);
         return a == null || b != null && load(now, b) < load(now, a) ? b : a;
     }
 
@@ -628,18 +643,25 @@
     }
 
     private boolean linked(long now, Pod p) {
-        return p.open > 0 || now < p.heardNs + set.limits().connectionIdleNs();
+        return p.openTryCount > 0
+                || now < p.lastAnswerNs + set.policyLimits().connectionIdleTimeoutNs();
     }
 
     private double load(long now, Pod p) {
-        double far = set.prices().crossZone() > 0 && !p.is.zone().equals(set.zone()) ? FAR_LOAD : 1;
-        return far * (p.open + 1) * p.slowness.read(now, 1, 2) / Math.max(0.01, p.is.weight());
+        double far =
+                set.prices().crossZone() > 0 && !p.listEntry.zone().equals(set.zone())
+                        ? FAR_LOAD
+                        : 1;
+        return far
+                * (p.openTryCount + 1)
+                * p.relativeLatency.meanAt(now, 1, 2)
+                / Math.max(0.01, p.listEntry.weight());
     }
 
     private boolean allowed(long now, ReqState rq, Pod p) {
-        return p.ready()
-                && lease.covers(now, p)
-                && rq.mayGoTo(p.is)
+        return p.isReady()
+                && lease.allows(now, p)
+                && rq.canSendTo(p.listEntry)
                 && exposureRoom(now, rq, p)
                 && coldRoom(now, p);
     }
@@ -647,38 +669,41 @@
     private void measure(long now, RouteState row, Try t, TryOutcome ending, long tookNs) {
         Pod p = t.pod();
         boolean unanswered = ending == TryOutcome.TIMEOUT || ending == TryOutcome.CANCELLED;
-        room.took(now, tookNs / (double) row.is.objectiveNs(), unanswered);
+        room.recordLatency(now, tookNs / (double) row.settings.latencyObjectiveNs(), unanswered);
         lost.add(now, unanswered && tookNs > silentAfterNs ? 1 : 0);
         if (ending == TryOutcome.CANCELLED) {
             return;
         }
-        if (!t.linked()) {
+        if (!t.wasConnected()) {
             refused.add(now, ending == TryOutcome.CONNECT_FAILED ? 1 : 0);
         }
-        p.hear(now, unanswered, ending == TryOutcome.CONNECT_FAILED);
+        p.onTryEnded(now, unanswered, ending == TryOutcome.CONNECT_FAILED);
         if (unanswered || ending == TryOutcome.CONNECT_FAILED) {
-            p.zone.missed(now, p, DARK_PODS);
+            p.zoneReachability.onNoAnswer(now, p, DARK_PODS);
         } else {
-            p.zone.heard();
+            p.zoneReachability.onAnswer();
         }
         if (ending == TryOutcome.OK || unanswered) {
-            p.slowness.add(now, tookNs / row.meanNs(now));
-            row.times.add(now, tookNs);
+            p.relativeLatency.add(now, tookNs / row.meanTryTimeNs(now));
+            row.tryTimes.add(now, tookNs);
         }
         if (ending == TryOutcome.OK) {
             completed.add(now, 1);
             // A pod that fails half of its tries must not be cleared by one lucky answer.
-            p.strikes = Math.max(0, p.strikes - 1);
+            p.failureScore = Math.max(0, p.failureScore - 1);
         } else if (ending != TryOutcome.FULL) {
-            p.strikes = Math.min(MOST_STRIKES, p.strikes + 2);
-            p.sickUntilNs = now + (SICK_FOR << p.strikes - 2);
+            p.failureScore = Math.min(MOST_STRIKES, p.failureScore + 2);
+            p.ejectedUntilNs = now + (SICK_FOR << p.failureScore - 2);
         }
     }
 
     /** A pod that failed lately rests; then one try at a time shows whether it is back. */
     private boolean fit(long now, Pod p) {
-        boolean rested = p.strikes < SICK_STRIKES || now >= p.sickUntilNs && p.open == 0;
-        return rested && !p.silent(now, silentAfterNs) && (!dark(p) || p.zone.mayAsk(now));
+        boolean rested =
+                p.failureScore < SICK_STRIKES || now >= p.ejectedUntilNs && p.openTryCount == 0;
+        return rested
+                && !p.isUnresponsive(now, silentAfterNs)
+                && (!dark(p) || p.zoneReachability.canProbe(now));
     }
 
     /**
@@ -688,7 +713,7 @@
      * back. What starts anew is left out.
      */
     private static boolean dark(Pod p) {
-        return p.zone.dark(p.startedNs);
+        return p.zoneReachability.isUnreachable(p.startedNs);
     }
 
     /**
@@ -697,19 +722,19 @@
      */
     private void rescue(long now) {
         for (ReqState rq : held.values()) {
-            if (!rq.waitsForOne() || !mayGoAgain(now, rq)) {
+            if (!rq.isWaitingForSingleTry() || !mayGoAgain(now, rq)) {
                 continue;
             }
-            int no = rq.out.nextSetBit(0);
+            int no = rq.openTryNumbers.nextSetBit(0);
             Pod at = rq.tries.get(no).pod();
             double after = dark(at) ? silentAfterNs / SILENCE_MEANS : silentAfterNs;
-            if (set.limits().cancel() && at.silent(now, after)) {
-                rq.calledBack = true;
-                at.strikes = MOST_STRIKES;
-                at.sickUntilNs = now + SICK_FOR;
-                at.zone.missed(now, at, DARK_PODS);
-                host.cancel(rq.is.id(), no);
-            } else if (set.limits().secondCopies() && now >= secondCopyAt(now, rq)) {
+            if (set.policyLimits().canCancel() && at.isUnresponsive(now, after)) {
+                rq.failoverPending = true;
+                at.failureScore = MOST_STRIKES;
+                at.ejectedUntilNs = now + SICK_FOR;
+                at.zoneReachability.onNoAnswer(now, at, DARK_PODS);
+                host.cancelTry(rq.req.id(), no);
+            } else if (set.policyLimits().canHedge() && now >= secondCopyAt(now, rq)) {
                 send(now, rq);
             }
         }
@@ -720,15 +745,15 @@
      * stall.
      */
     private long secondCopyAt(long now, ReqState rq) {
-        double mean = rq.row.meanNs(now);
-        double end = Math.min(rq.arrivedNs + rq.row.is.objectiveNs(), rq.dueNs);
-        double at = Math.max(rq.last().sentNs() + COPY_AFTER * mean, end - COPY_LEAVES * mean);
-        boolean strained = room.strained(now) || lost.read(now, 2 * LOST, 10) < LOST;
+        double mean = rq.route.meanTryTimeNs(now);
+        double end = Math.min(rq.arrivedNs + rq.route.settings.latencyObjectiveNs(), rq.deadlineNs);
+        double at = Math.max(rq.lastTry().sentNs() + COPY_AFTER * mean, end - COPY_LEAVES * mean);
+        boolean strained = room.isOverloaded(now) || lost.meanAt(now, 2 * LOST, 10) < LOST;
         return strained || at + mean > end ? Long.MAX_VALUE : (long) at;
     }
 
     private boolean cold(long now, Pod p) {
-        return p.startedNs > 0 && now < p.startedNs + set.rules().warmAfterNs();
+        return p.startedNs > 0 && now < p.startedNs + set.contract().slowStartNs();
     }
 
     /**
@@ -740,29 +765,33 @@
         if (!cold(now, p)) {
             return true;
         }
-        double age = Math.max(0, now - p.startedNs) / (double) set.rules().warmAfterNs();
-        double can = set.rules().coldShare() + (1 - set.rules().coldShare()) * age;
+        double age = Math.max(0, now - p.startedNs) / (double) set.contract().slowStartNs();
+        double can =
+                set.contract().coldCapacityShare() + (1 - set.contract().coldCapacityShare()) * age;
         // What each pod would complete a second from here if all did alike; before any did, what
         // comes in.
-        double all = completed.perSecond(now) > 0 ? completed.perSecond(now) : taken.perSecond(now);
-        double rate = can * all * p.is.weight() / listed.weight();
-        double most = Math.max(1, rate * set.rules().fallNs() / SECOND);
-        return p.saveCold(now, rate, most, random) >= 1;
+        double all =
+                completed.ratePerSecond(now) > 0
+                        ? completed.ratePerSecond(now)
+                        : taken.ratePerSecond(now);
+        double rate = can * all * p.listEntry.weight() / listed.totalWeight();
+        double most = Math.max(1, rate * set.contract().overloadWindowNs() / SECOND);
+        return p.refillSlowStartTokens(now, rate, most, random) >= 1;
     }
 
     private boolean exposureRoom(long now, ReqState rq, Pod p) {
-        int build = p.is.build();
-        if (news.stands() && build < answeredBy.of(rq.is.key())) {
+        int build = p.listEntry.build();
+        if (news.isActive() && build < answeredBy.newestBuildOf(rq.req.key())) {
             return false;
         }
         boolean shielded =
-                news.stageOf(build) < rollout.shieldedStages()
-                        && rq.row.is.repeat() != Settings.RetrySafety.RETRIABLE;
-        return !news.onTrial(build)
+                news.stageOf(build) < rollout.shieldedStageCount()
+                        && rq.route.settings.retrySafety() != Settings.RetrySafety.IDEMPOTENT;
+        return !news.isBuildOnTrial(build)
                 || news.capOf(build, rollout) > 0
                         && !shielded
-                        && (!rollout.oneWay() || oneWayKey(now, rq, build))
-                        && exposure.enough(build, rq.row.at);
+                        && (!rollout.keysAreOneWay() || oneWayKey(now, rq, build))
+                        && exposure.hasToken(build, rq.route.index);
     }
 
     /**
@@ -771,8 +800,8 @@
      */
     private boolean oneWayKey(long now, ReqState rq, int build) {
         double part = Math.min(ONE_WAY_PART * news.capOf(build, rollout), trialPods);
-        return answeredBy.of(rq.is.key()) == build
-                || new SplittableRandom(rq.is.key()).nextDouble() < part;
+        return answeredBy.newestBuildOf(rq.req.key()) == build
+                || new SplittableRandom(rq.req.key()).nextDouble() < part;
     }
 
     // ---- Judging the build.
@@ -781,16 +810,16 @@
      * An outcome as evidence; pods not yet warm when it was sent, or out of reach, are left out.
      */
     private void weigh(long now, RouteState row, Try t, TryOutcome ending, long tookNs) {
-        if (!t.warm()
+        if (!t.wasPodWarm()
                 || t.build() > news.build()
                 || ending == TryOutcome.CONNECT_FAILED
                 || dark(t.pod())) {
             return;
         }
-        boolean late = tookNs > row.lateNs;
+        boolean late = tookNs > row.lateThresholdNs;
         boolean failed = ending == TryOutcome.ERROR || ending == TryOutcome.RESET;
-        t.pod().late.add(now, late ? 1 : 0);
-        side(t.build()).own(now, row.at, failed, late);
+        t.pod().lateShare.add(now, late ? 1 : 0);
+        side(t.build()).recordTry(now, row.index, failed, late);
         if (ending == TryOutcome.OK) {
             learnLate(now, row, t.build(), tookNs, 1);
         }
@@ -801,9 +830,9 @@
      * forgiven.
      */
     private void learnLate(long now, RouteState row, int build, long tookNs, double n) {
-        if (!news.onTrial() && (build == news.build()) == news.released()) {
-            row.usual.add(now, tookNs, n);
-            row.lateNs = LATE_MEANS * row.usual.read(now, 0, 1e-9);
+        if (!news.isOnTrial() && (build == news.build()) == news.isReleased()) {
+            row.baselineTryTimes.add(now, tookNs, n);
+            row.lateThresholdNs = LATE_MEANS * row.baselineTryTimes.meanAt(now, 0, 1e-9);
         }
     }
 
@@ -812,29 +841,30 @@
      * nothing while pods of the build may have been fresh; else the share late is what times of
      * such a mean have.
      */
-    public void tally(
+    public void onPlatformTally(
             long now, String route, int build, double n, double failed, long meanNs, long ageNs) {
         RouteState row = rows.get(route);
         if (row == null || build > news.build() || !(n > 0) || meanNs <= 0) {
             return;
         }
         double done = Math.max(0, n - failed);
-        long began = now - ageNs - rollout.tallyEveryNs();
+        long began = now - ageNs - rollout.tallyIntervalNs();
         boolean fresh =
                 whole.count(
                                 p ->
-                                        p.is.build() == build
+                                        p.listEntry.build() == build
                                                 && p.startedNs > 0
                                                 && began
                                                         < p.startedNs
                                                                 + FRESH_PART
-                                                                        * set.rules().warmAfterNs())
+                                                                        * set.contract()
+                                                                                .slowStartNs())
                         > 0;
         if (!fresh) {
             learnLate(now, row, build, meanNs, done);
         }
-        double slow = done * Math.exp(-row.lateNs / meanNs);
-        side(build).tallied(now, row.at, n, failed, fresh ? 0 : n, slow);
+        double slow = done * Math.exp(-row.lateThresholdNs / meanNs);
+        side(build).recordTally(now, row.index, n, failed, fresh ? 0 : n, slow);
     }
 
     private BuildOutcomes side(int build) {
@@ -848,14 +878,15 @@
      */
     private double sample(long now, int place, boolean ofLate, DegradationDetector d) {
         double share = share(now, trial, place, ofLate);
-        boolean reference = earlier.ever(place, ofLate) >= OUTCOME_FLOOR;
-        double shift = reference ? share(now, earlier, place, ofLate) - d.mean : 0;
+        boolean reference = earlier.totalOutcomeCount(place, ofLate) >= OUTCOME_FLOOR;
+        double shift = reference ? share(now, earlier, place, ofLate) - d.longTermMean : 0;
         double apart = Math.max(0, Math.min(1, share - Math.max(0, shift)));
         if (!ofLate || place < rows.size() || !reference || now < shakenUntilNs) {
             return apart;
         }
         return Math.max(
-                apart, Math.max(middleLate(now), (earlier.late(now, place) - MINOR) / (1 - MINOR)));
+                apart,
+                Math.max(middleLate(now), (earlier.lateShare(now, place) - MINOR) / (1 - MINOR)));
     }
 
     /** Of the middle pod, which the lesser part can't tilt at all: where each is seen often. */
@@ -863,36 +894,36 @@
         double[] late =
                 whole.all().stream()
                         .filter(p -> !cold(now, p))
-                        .mapToDouble(p -> p.late.read(now, 1 - LATE_QUANTILE, 2))
+                        .mapToDouble(p -> p.lateShare.meanAt(now, 1 - LATE_QUANTILE, 2))
                         .sorted()
                         .toArray();
         return late.length == 0 ? 0 : late[(late.length - 1) / 2];
     }
 
-    public void flagged(long now, String podId, String route) {
+    public void onComplaint(long now, String podId, String route) {
         Pod p = pods.get(podId);
         RouteState row = rows.get(route);
-        if (p != null && row != null && p.is.build() <= news.build()) {
-            side(p.is.build()).flag(now, row.at);
+        if (p != null && row != null && p.listEntry.build() <= news.build()) {
+            side(p.listEntry.build()).recordComplaint(now, row.index);
         }
     }
 
     private double share(long now, BuildOutcomes side, int place, boolean ofLate) {
         if (ofLate) {
-            return side.late(now, place);
+            return side.lateShare(now, place);
         }
         // After a release nothing is left to compare with: what fails then may be the fleet's
         // doing.
-        double failed = side == earlier || news.onTrial() ? side.failed(now, place) : 0;
+        double failed = side == earlier || news.isOnTrial() ? side.failedShare(now, place) : 0;
         return Math.min(1, failed + wrong(now, side, place));
     }
 
     /** One report stands for all the wrong answers that nobody reported. */
     private double wrong(long now, BuildOutcomes side, int place) {
-        double flags = side.flags(now, place);
+        double flags = side.complaintCount(now, place);
         return flags == 0
                 ? 0
-                : flags / rollout.complaintShare() / Math.max(1, side.relayed(now, place));
+                : flags / rollout.complaintReportRate() / Math.max(1, side.tryCount(now, place));
     }
 
     private void judge(long now) {
@@ -902,60 +933,65 @@
         // its
         // neighbours would be forgiven. Nor a release's: its faults would be their own measure.
         BuildOutcomes steady =
-                news.released() && earlier.ever(rows.size(), true) == 0 ? trial : earlier;
+                news.isReleased() && earlier.totalOutcomeCount(rows.size(), true) == 0
+                        ? trial
+                        : earlier;
         boolean learns =
                 state == DetectorState.NORMAL
-                        && (steady == trial || !news.onTrial() && !news.released());
+                        && (steady == trial || !news.isOnTrial() && !news.isReleased());
         for (int i = 0; i < detectors.length; i++) {
             DegradationDetector d = detectors[i];
             int place = i / 2;
             boolean ofLate = i % 2 == 1;
-            if (learns && steady.seen(now, place, ofLate) >= REFERENCE_FLOOR) {
-                d.learn(share(now, steady, place, ofLate), LONG_WEIGHT);
+            if (learns && steady.outcomeCount(now, place, ofLate) >= REFERENCE_FLOOR) {
+                d.updateLongTerm(share(now, steady, place, ofLate), LONG_WEIGHT);
             }
-            double n = trial.seen(now, place, ofLate);
-            double m = earlier.seen(now, place, ofLate);
-            boolean enough = trial.ever(place, ofLate) >= OUTCOME_FLOOR && n >= 1 && m >= 1;
-            if (enough && (!ofLate || news.onTrial())) {
+            double n = trial.outcomeCount(now, place, ofLate);
+            double m = earlier.outcomeCount(now, place, ofLate);
+            boolean enough =
+                    trial.totalOutcomeCount(place, ofLate) >= OUTCOME_FLOOR && n >= 1 && m >= 1;
+            if (enough && (!ofLate || news.isOnTrial())) {
                 boolean sure =
                         ofLate
                                 ? now >= shakenUntilNs
-                                : trial.flags(now, place) > FEW_FLAGS
-                                        || trial.failed(now, place) >= wrong(now, trial, place);
+                                : trial.complaintCount(now, place) > FEW_FLAGS
+                                        || trial.failedShare(now, place)
+                                                >= wrong(now, trial, place);
                 // What it is compared with was seen in so many cases only: that widens the
                 // deviation too.
-                d.judge(sample(now, place, ofLate, d), n * m / (n + m), sure);
+                d.evaluate(sample(now, place, ofLate, d), n * m / (n + m), sure);
             }
             if (d.state.ordinal() > worst.ordinal()) {
                 worst = d.state;
                 why =
                         (ofLate ? ", late" : ", failed or flagged")
-                                + String.format(" %.2f against %.2f", d.recent, d.mean);
+                                + String.format(
+                                        " %.2f against %.2f", d.shortTermMean, d.longTermMean);
             }
         }
         if (worst != state) {
-            host.log(news.name() + ": " + state + " to " + worst + why);
+            host.log(news.label() + ": " + state + " to " + worst + why);
         }
         state = worst;
     }
 
     // ---- News and votes.
 
-    public void news(long now, RolloutStatus n) {
+    public void onRolloutStatus(long now, RolloutStatus n) {
         boolean other = news.build() != n.build();
         if (other) {
-            earlier = news.released() ? trial : earlier;
+            earlier = news.isReleased() ? trial : earlier;
             trial = new BuildOutcomes(rows.size(), SAMPLE_HALF_LIFE, FLAG_HALF_LIFE);
             state = DetectorState.NORMAL;
             for (DegradationDetector d : detectors) {
                 d.state = DetectorState.NORMAL;
-                d.recent = d.mean;
+                d.shortTermMean = d.longTermMean;
             }
         }
         if (other || news.stage() != n.stage() || news.phase() != n.phase()) {
-            host.log(n.name() + " " + n.phase());
-            ballot.clear();
-            everBefore = trial.ever(rows.size(), true);
+            host.log(n.label() + " " + n.phase());
+            ballot.reset();
+            everBefore = trial.totalOutcomeCount(rows.size(), true);
         }
         told = true;
         news = n;
@@ -969,16 +1005,17 @@
      * A vote with no good answer may count: it is cast again, after a pause that differs by
      * sidecar.
      */
-    public void voteAnswered(long now, boolean counts) {
-        ballot.answered(counts, rollout.voteStandsNs(), now + SECOND / 2 + random.nextLong(SECOND));
+    public void onVoteAnswered(long now, boolean counts) {
+        ballot.onAnswer(
+                counts, rollout.voteLifetimeNs(), now + SECOND / 2 + random.nextLong(SECOND));
     }
 
     private RolloutVote verdict(long now) {
-        if (state == DetectorState.ALARM && (news.onTrial() || news.released())) {
+        if (state == DetectorState.ALARM && (news.isOnTrial() || news.isReleased())) {
             return RolloutVote.BACK;
         }
-        if (!news.onTrial() || rollout.control() == Settings.VoteControl.CLOCKED) {
-            return news.onTrial() && state == DetectorState.SUSPECT
+        if (!news.isOnTrial() || rollout.control() == Settings.VoteControl.CLOCKED) {
+            return news.isOnTrial() && state == DetectorState.SUSPECT
                     ? RolloutVote.HOLD
                     : RolloutVote.NONE;
         }
@@ -986,9 +1023,9 @@
         // The last 'on' takes the earlier pods away: it waits for what the build shows under all
         // the load.
         boolean proven =
-                news.stage() < rollout.shares().size() - 1
+                news.stage() < rollout.stageShares().size() - 1
                         || age > rollout.bakeNs() + PROOF_WAIT
-                        || trial.ever(rows.size(), true) >= everBefore + proof();
+                        || trial.totalOutcomeCount(rows.size(), true) >= everBefore + proof();
         return state == DetectorState.NORMAL && age >= rollout.bakeNs() && proven
                 ? RolloutVote.ON
                 : RolloutVote.NONE;
@@ -996,22 +1033,24 @@
 
     private double proof() {
         return Math.max(
-                OUTCOME_FLOOR, PROOF * Math.min(1.0, (double) PROOF_VOTERS / rollout.onVotes()));
+                OUTCOME_FLOOR,
+                PROOF * Math.min(1.0, (double) PROOF_VOTERS / rollout.approveVoteCount()));
     }
 
     private void vote(long now) {
         RolloutVote v = verdict(now);
-        ballot.want(now, v);
+        ballot.setWanted(now, v);
         boolean waits =
-                ballot.asked != null && now < ballot.askedNs + rollout.voteWaitNs() + SECOND
-                        || now < ballot.againNs;
+                ballot.pendingVote != null && now < ballot.sentNs + rollout.voteTimeoutNs() + SECOND
+                        || now < ballot.retryAtNs;
         boolean stands =
-                ballot.standsAt(now) == v && ballot.standsAt(now + rollout.voteStandsNs() / 4) == v;
+                ballot.standingVoteAt(now) == v
+                        && ballot.standingVoteAt(now + rollout.voteLifetimeNs() / 4) == v;
         if (!waits
                 && !stands
                 && (v == RolloutVote.NONE || now >= ballot.wantedSinceNs + standInAfter(now, v))) {
-            ballot.ask(now);
-            host.vote(news.build(), news.stage(), v);
+            ballot.markSent(now);
+            host.castVote(news.build(), news.stage(), v);
         }
     }
 
@@ -1025,40 +1064,45 @@
     private long standInAfter(long now, RolloutVote v) {
         int needed =
                 v == RolloutVote.ON
-                        ? rollout.onVotes()
-                        : v == RolloutVote.HOLD ? rollout.holdVotes() : rollout.backVotes();
+                        ? rollout.approveVoteCount()
+                        : v == RolloutVote.HOLD
+                                ? rollout.holdVoteCount()
+                                : rollout.rollbackVoteCount();
         int voters = rollout.control() == Settings.VoteControl.SINGLE ? VOTERS : needed;
-        int before = news.ranked(set.rank(), set.sidecars());
-        double seen = trial.relayed(now, rows.size());
+        int before = news.voterRank(set.rank(), set.sidecarCount());
+        double seen = trial.tryCount(now, rows.size());
         double step =
                 v == RolloutVote.BACK ? STAND_IN_BACK : STAND_IN_ON * PROOF / Math.max(PROOF, seen);
         if (v == RolloutVote.BACK && rollout.control() != Settings.VoteControl.SINGLE) {
             double least = SECOND / (CALLS_PART * Math.max(1, rollout.votesPerSecond()));
-            step = Math.min(step, Math.max(least, step * STAND_INS / (set.sidecars() - voters)));
+            step =
+                    Math.min(
+                            step,
+                            Math.max(least, step * STAND_INS / (set.sidecarCount() - voters)));
         }
         return (long) (Math.max(0, before - voters + 1) * step);
     }
 
     /** What it goes by just now, for a log. */
     public record Stats(
-            double room,
-            int open,
-            int firstTries,
-            int furtherTries,
-            double ease,
-            int ready,
-            int usable,
-            long fit,
-            long cold,
-            long dark) {}
-
-    public Stats sight(long now) {
+            double tryLimit,
+            int openTryCount,
+            int queuedFirstTryCount,
+            int queuedRetryCount,
+            double meanLatencyRatio,
+            int readyPodCount,
+            int leasedPodCount,
+            long healthyPodCount,
+            long coldPodCount,
+            long unreachablePodCount) {}
+
+    public Stats stats(long now) {
         return new Stats(
-                room.most(),
-                room.open(),
+                room.limit(),
+                room.openTryCount(),
                 firstTries.size(),
                 furtherTries.size(),
-                room.ease(now),
+                room.latencyRatio(now),
                 listed.all().size(),
                 whole.all().size(),
                 whole.count(p -> fit(now, p)),
@@ -1073,38 +1117,40 @@
      * must earn anew is not among it: saved exposure, what cold pods were sent, rates, votes,
      * evidence on the trial.
      */
-    public Iterator<LearnedState> learned(long now) {
+    public Iterator<LearnedState> exportLearned(long now) {
         List<LearnedState> few = new ArrayList<>();
-        few.add(new LearnedState.ConnectionStats(refused.figure(now), lost.figure(now)));
-        rows.values().forEach(r -> few.add(r.learned(now, news.build())));
+        few.add(new LearnedState.ConnectionStats(refused.snapshot(now), lost.snapshot(now)));
+        rows.values().forEach(r -> few.add(r.toLearned(now, news.build())));
         for (int i = 0; i < detectors.length; i++) {
-            few.add(detectors[i].learned(news.build(), routes.get(i / 2), i % 2 == 1));
+            few.add(detectors[i].toBaseline(news.build(), routes.get(i / 2), i % 2 == 1));
         }
-        Stream<LearnedState> ofPods = List.copyOf(pods.values()).stream().map(p -> p.learned(now));
-        return Stream.concat(few.stream(), Stream.concat(ofPods, answeredBy.learned())).iterator();
+        Stream<LearnedState> ofPods =
+                List.copyOf(pods.values()).stream().map(p -> p.toLearned(now));
+        return Stream.concat(few.stream(), Stream.concat(ofPods, answeredBy.toLearned()))
+                .iterator();
     }
 
     /** Takes in, after list and news and before the first req, what an earlier start gave out. */
-    public void recall(long now, LearnedState one) {
+    public void restoreLearned(long now, LearnedState one) {
         if (one instanceof LearnedState.ConnectionStats l) {
-            refused.recall(now, l.refused(), PRIOR);
-            lost.recall(now, l.unanswered(), PRIOR);
+            refused.restore(now, l.refused(), PRIOR);
+            lost.restore(now, l.unanswered(), PRIOR);
         } else if (one instanceof LearnedState.PodStats l) {
             Pod p = pods.get(l.is().id());
-            if (p != null && p.recall(now, l, PRIOR, SICK_STRIKES)) {
+            if (p != null && p.restore(now, l, PRIOR, SICK_STRIKES)) {
                 // The first tries of all the sidecars that started together must not meet at a sick
                 // pod.
-                p.sickUntilNs = now + random.nextLong(SICK_FOR << p.strikes);
+                p.ejectedUntilNs = now + random.nextLong(SICK_FOR << p.failureScore);
             }
         } else if (one instanceof LearnedState.RouteStats l && rows.containsKey(l.route())) {
             RouteState row = rows.get(l.route());
-            row.recall(now, l, PRIOR, standsFor(l.build()) ? LATE_MEANS : 0);
+            row.restore(now, l, PRIOR, standsFor(l.build()) ? LATE_MEANS : 0);
         } else if (one instanceof LearnedState.DetectorBaseline l
                 && routes.contains(l.route())
                 && standsFor(l.build())) {
-            detectors[2 * routes.indexOf(l.route()) + (l.ofLate() ? 1 : 0)].recall(l, PRIOR);
-        } else if (one instanceof LearnedState.KeyBuild l && rollout.oneWay()) {
-            answeredBy.answered(l.key(), l.build());
+            detectors[2 * routes.indexOf(l.route()) + (l.ofLate() ? 1 : 0)].restore(l, PRIOR);
+        } else if (one instanceof LearnedState.KeyBuild l && rollout.keysAreOneWay()) {
+            answeredBy.recordAnswer(l.key(), l.build());
         }
     }
 
@@ -1113,21 +1159,21 @@
      */
     private boolean standsFor(int build) {
         return news.build() == build
-                || notOnTrial.all().stream().anyMatch(p -> p.is.build() == build);
+                || notOnTrial.all().stream().anyMatch(p -> p.listEntry.build() == build);
     }
 
-    public void timer(long now, String token) {
+    public void onTimer(long now, String token) {
         switch (token) {
             case "sample" -> {
-                host.timer(now + SECOND, token);
+                host.scheduleTimer(now + SECOND, token);
                 judge(now);
                 vote(now);
             }
             case "tick" -> {
-                host.timer(now + TICK, token);
+                host.scheduleTimer(now + TICK, token);
                 survey(now);
-                room.adjust(now, listed.all().size());
-                doubt.look(now, held.values(), news);
+                room.adjustLimit(now, listed.all().size());
+                doubt.evaluate(now, held.values(), news);
                 rescue(now);
                 if (!watching && !asking && asksFailed > 0 && now >= askAgainNs) {
                     askForList();
--- a/core/src/main/java/mulleinlever/PolicyActions.java
+++ b/core/src/main/java/mulleinlever/PolicyActions.java
@@ -11,24 +11,24 @@
      *     connect
      * @param limitNs it ends after that time at the latest
      */
-    void relay(String rq, String pod, long writeWithinNs, long limitNs);
+    void startTry(String rq, String pod, long writeWithinNs, long limitNs);
 
     /** Final answer: turned away, a repeat is harmless; {@code backoffNs} 0 gives no advice. */
-    void shed(String rq, long backoffNs);
+    void shedReq(String rq, long backoffNs);
 
     /** Final answer: errored, with no promise about any effect. */
-    void error(String rq);
+    void failReq(String rq);
 
     /** Stops waiting for one upstream try. */
-    void cancel(String rq, int tryNo);
+    void cancelTry(String rq, int tryNo);
 
-    void vote(int build, int stage, RolloutVote verdict);
+    void castVote(int build, int stage, RolloutVote verdict);
 
     /** Asks for changes to the list of pods from now on. */
-    void watchList();
+    void watchPodList();
 
-    /** Asks for {@link Policy#timer} at or after a time; timers can't be taken back. */
-    void timer(long atNs, String token);
+    /** Asks for {@link Policy#onTimer} at or after a time; timers can't be taken back. */
+    void scheduleTimer(long atNs, String token);
 
     void log(String line);
 }
--- a/core/src/main/java/mulleinlever/Req.java
+++ b/core/src/main/java/mulleinlever/Req.java
@@ -7,9 +7,9 @@
 public record Req(
         String id,
         String route,
-        boolean repeat,
-        boolean write,
+        boolean isClientRetry,
+        boolean isWrite,
         long expiresInNs,
-        long workNs,
+        long estimatedWorkNs,
         long key,
         String tenant) {}
--- a/core/src/main/java/mulleinlever/ReqState.java
+++ b/core/src/main/java/mulleinlever/ReqState.java
@@ -6,82 +6,91 @@
 
 /** A req in hand, kept until it has its answer and all its tries have ended. */
 final class ReqState {
-    final Req is;
-    final RouteState row;
+    final Req req;
+    final RouteState route;
     final long arrivedNs;
-    final long dueNs;
+    final long deadlineNs;
     final List<Try> tries = new ArrayList<>(2);
 
     /** Numbers of the tries that are out, and of those proven not to have run. */
-    final BitSet out = new BitSet();
+    final BitSet openTryNumbers = new BitSet();
 
     private final BitSet neverRan = new BitSet();
-    int errors;
+    int errorCount;
     boolean answered;
     boolean streaming;
-    boolean calledBack;
+    boolean failoverPending;
 
     ReqState(Req is, RouteState row, long nowNs) {
-        this.is = is;
-        this.row = row;
+        this.req = is;
+        this.route = row;
         this.arrivedNs = nowNs;
-        this.dueNs = nowNs + is.expiresInNs();
+        this.deadlineNs = nowNs + is.expiresInNs();
     }
 
-    void start(Try t) {
-        out.set(tries.size());
+    void addTry(Try t) {
+        openTryNumbers.set(tries.size());
         tries.add(t);
     }
 
-    void end(int no, TryOutcome ending) {
-        out.clear(no);
-        neverRan.set(no, ending.neverRan());
-        errors += ending == TryOutcome.ERROR ? 1 : 0;
+    void endTry(int no, TryOutcome ending) {
+        openTryNumbers.clear(no);
+        neverRan.set(no, ending.provesNotRun());
+        errorCount += ending == TryOutcome.ERROR ? 1 : 0;
     }
 
     /** The first try that may have run, or may yet, if any. */
-    Try mayHaveRun() {
+    Try firstTryThatMayHaveRun() {
         int no = neverRan.nextClearBit(0);
         return no < tries.size() ? tries.get(no) : null;
     }
 
-    boolean waitsForOne() {
-        return out.cardinality() == 1 && !answered && !streaming && !calledBack;
+    boolean isWaitingForSingleTry() {
+        return openTryNumbers.cardinality() == 1 && !answered && !streaming && !failoverPending;
     }
 
     /** Whether a try that is still out has taken longer than tries of the route should. */
-    boolean lateAlready(long nowNs, int no) {
-        return nowNs - tries.get(no).sentNs() > row.lateNs;
+    boolean isOpenTryLate(long nowNs, int no) {
+        return nowNs - tries.get(no).sentNs() > route.lateThresholdNs;
     }
 
-    Try last() {
+    Try lastTry() {
         return tries.get(tries.size() - 1);
     }
 
-    boolean mayRepeat() {
-        return row.is.repeat() != Settings.RetrySafety.NON_RETRIABLE || mayHaveRun() == null;
+    boolean isRetryAllowed() {
+        return route.settings.retrySafety() != Settings.RetrySafety.NOT_RETRYABLE
+                || firstTryThatMayHaveRun() == null;
     }
 
     /** Whether a client told to try again can do no harm. */
-    boolean harmlessToShed() {
-        return mayHaveRun() == null
-                || row.is.repeat() == Settings.RetrySafety.RETRIABLE
-                || row.is.repeat() == Settings.RetrySafety.DEDUPED
-                        && row.is.scope() == Settings.DedupScope.ALL;
+    boolean isSafeToShed() {
+        return firstTryThatMayHaveRun() == null
+                || route.settings.retrySafety() == Settings.RetrySafety.IDEMPOTENT
+                || route.settings.retrySafety() == Settings.RetrySafety.DEDUPLICATED
+                        && route.settings.dedupScope() == Settings.DedupScope.ALL;
     }
 
     /** Once it may have run, a deduped req stays with the pods that drop its repeats. */
-    boolean mayGoTo(PodEntry pod) {
-        return !repeatIsBound() || row.is.scope().holds(mayHaveRun().pod().is, pod);
+    boolean canSendTo(PodEntry pod) {
+        return !isRetryScopeBound()
+                || route.settings
+                        .dedupScope()
+                        .isShared(firstTryThatMayHaveRun().pod().listEntry, pod);
     }
 
     /** Whether a repeat has to reach the pods that drop it before they forget the first. */
-    boolean repeatIsBound() {
-        return row.is.repeat() == Settings.RetrySafety.DEDUPED && mayHaveRun() != null;
+    boolean isRetryScopeBound() {
+        return route.settings.retrySafety() == Settings.RetrySafety.DEDUPLICATED
+                && firstTryThatMayHaveRun() != null;
     }
 
     /** When its client leaves, or the pods that drop its repeats begin to forget it. */
-    long lastRelayNs() {
-        return !repeatIsBound() ? dueNs : Math.min(dueNs, mayHaveRun().sentNs() + row.is.dedupNs());
+    long lastSendNs() {
+        return !isRetryScopeBound()
+                ? deadlineNs
+                : Math.min(
+                        deadlineNs,
+                        firstTryThatMayHaveRun().sentNs() + route.settings.dedupWindowNs());
     }
 }
--- a/core/src/main/java/mulleinlever/RolloutStatus.java
+++ b/core/src/main/java/mulleinlever/RolloutStatus.java
@@ -12,33 +12,33 @@
         WITHDRAWN
     }
 
-    String name() {
+    String label() {
         return "build " + build + " stage " + stage;
     }
 
-    boolean onTrial() {
+    boolean isOnTrial() {
         return phase == Phase.ON_TRIAL;
     }
 
     /** Builds not yet announced are on trial too, in their first stage. */
-    boolean onTrial(int other) {
-        return other > build || other == build && !released();
+    boolean isBuildOnTrial(int other) {
+        return other > build || other == build && !isReleased();
     }
 
     double capOf(int other, Settings.RolloutSettings rollout) {
-        return other == build ? cap : rollout.caps().get(0);
+        return other == build ? cap : rollout.stageExposureCaps().get(0);
     }
 
     int stageOf(int other) {
         return other == build ? stage : 0;
     }
 
-    boolean stands() {
-        return onTrial() || released();
+    boolean isActive() {
+        return isOnTrial() || isReleased();
     }
 
     /** How many sidecars rank under this one by a hash of build, stage and number. */
-    int ranked(int rank, int sidecars) {
+    int voterRank(int rank, int sidecars) {
         return (int) IntStream.range(0, sidecars).filter(i -> hash(i) < hash(rank)).count();
     }
 
@@ -46,7 +46,7 @@
         return new SplittableRandom((build * 1000L + stage) * 100_003L + rank).nextLong();
     }
 
-    boolean released() {
+    boolean isReleased() {
         return phase == Phase.RELEASED;
     }
 }
--- a/core/src/main/java/mulleinlever/Settings.java
+++ b/core/src/main/java/mulleinlever/Settings.java
@@ -5,25 +5,25 @@
 /** What a sidecar is told at its start. Times are nanoseconds. */
 public record Settings(
         int rank,
-        int sidecars,
+        int sidecarCount,
         String zone,
         List<String> zones,
-        boolean listMustBeAsked,
-        long stepNs,
-        double overShareEarnings,
+        boolean requiresListWatch,
+        long clockStepNs,
+        double overShareValue,
         List<RouteSettings> routes,
         List<TenantSettings> tenants,
         RolloutSettings rollout,
-        Contract rules,
-        PolicyLimits limits,
+        Contract contract,
+        PolicyLimits policyLimits,
         CostWeights prices,
-        ReportSource reports,
-        boolean sizesGiven) {
+        ReportSource reportSource,
+        boolean hasPodWeights) {
 
     public enum RetrySafety {
-        RETRIABLE,
-        DEDUPED,
-        NON_RETRIABLE
+        IDEMPOTENT,
+        DEDUPLICATED,
+        NOT_RETRYABLE
     }
 
     /** The pods that know a repeat for one. */
@@ -32,7 +32,7 @@
         ZONE,
         CELL;
 
-        boolean holds(PodEntry one, PodEntry other) {
+        boolean isShared(PodEntry one, PodEntry other) {
             return switch (this) {
                 case ALL -> true;
                 case ZONE -> one.zone().equals(other.zone());
@@ -55,64 +55,64 @@
 
     public record RouteSettings(
             String name,
-            long objectiveNs,
-            double objectiveStretch,
+            long latencyObjectiveNs,
+            double latencyObjectiveStretch,
             long timeoutNs,
-            RetrySafety repeat,
-            DedupScope scope,
-            long dedupNs,
-            boolean streamed,
-            double lateEarnings,
-            double earnings) {}
+            RetrySafety retrySafety,
+            DedupScope dedupScope,
+            long dedupWindowNs,
+            boolean isStreamed,
+            double lateValue,
+            double value) {}
 
     public record TenantSettings(String name, double quotaPerSecond, double share) {}
 
     public record RolloutSettings(
             VoteControl control,
-            boolean rolling,
-            int onVotes,
-            int backVotes,
-            int holdVotes,
+            boolean isRolling,
+            int approveVoteCount,
+            int rollbackVoteCount,
+            int holdVoteCount,
             long bakeNs,
-            long movesAfterNs,
-            long voteStandsNs,
-            long voteWaitNs,
+            long advanceDelayNs,
+            long voteLifetimeNs,
+            long voteTimeoutNs,
             double votesPerSecond,
-            long newsEveryNs,
-            long tallyEveryNs,
-            double tallySample,
-            double complaintShare,
-            List<Double> shares,
-            List<Double> caps,
-            long windowNs,
-            double uncounted,
-            boolean countedByRoute,
-            int shieldedStages,
-            boolean oneWay,
-            boolean warmKeys,
+            long statusIntervalNs,
+            long tallyIntervalNs,
+            double tallySampleShare,
+            double complaintReportRate,
+            List<Double> stageShares,
+            List<Double> stageExposureCaps,
+            long exposureWindowNs,
+            double exposureBurst,
+            boolean isExposurePerRoute,
+            int shieldedStageCount,
+            boolean keysAreOneWay,
+            boolean hasWarmKeys,
             double staleBuildPrice,
             double damagePrice) {}
 
     public record Contract(
             long answerSlackNs,
-            long stopSendingWithinNs,
-            double coldShare,
-            long warmAfterNs,
-            double fallMultiple,
-            long fallNs,
-            long askWithinNs) {}
+            long drainGraceNs,
+            double coldCapacityShare,
+            long slowStartNs,
+            double overloadMultiple,
+            long overloadWindowNs,
+            long listRefreshWithinNs) {}
 
     public record PolicyLimits(
             int maxTries,
-            int maxOpen,
-            boolean cancel,
-            boolean probes,
-            boolean secondCopies,
-            boolean retryAfter,
+            int maxOpenTries,
+            boolean canCancel,
+            boolean canProbe,
+            boolean canHedge,
+            boolean canAdviseRetryAfter,
             long maxRetryAfterNs,
             int streamsPerConnection,
             long connectTimeoutNs,
-            long connectionIdleNs) {}
+            long connectionIdleTimeoutNs) {}
 
     public record CostWeights(double crossZone, double waste, double probe, double lateFail) {}
 }
--- a/core/src/main/java/mulleinlever/TryOutcome.java
+++ b/core/src/main/java/mulleinlever/TryOutcome.java
@@ -12,7 +12,7 @@
     MOOT;
 
     /** Whether the ending itself proves that the req never ran at the pod. */
-    public boolean neverRan() {
+    public boolean provesNotRun() {
         return this == FULL || this == CONNECT_FAILED || this == MOOT;
     }
 }
--- a/core/src/main/java/mulleinlever/VoteTracker.java
+++ b/core/src/main/java/mulleinlever/VoteTracker.java
@@ -2,40 +2,40 @@
 
 /** What a sidecar wants to vote, has asked for, and stands for. */
 final class VoteTracker {
-    RolloutVote wanted = RolloutVote.NONE;
+    RolloutVote wantedVote = RolloutVote.NONE;
     long wantedSinceNs;
-    RolloutVote asked;
-    long askedNs;
-    long againNs;
+    RolloutVote pendingVote;
+    long sentNs;
+    long retryAtNs;
     private RolloutVote standing = RolloutVote.NONE;
     private long standsUntilNs;
 
-    void want(long nowNs, RolloutVote verdict) {
-        wantedSinceNs = verdict == wanted ? wantedSinceNs : nowNs;
-        wanted = verdict;
+    void setWanted(long nowNs, RolloutVote verdict) {
+        wantedSinceNs = verdict == wantedVote ? wantedSinceNs : nowNs;
+        wantedVote = verdict;
     }
 
-    void ask(long nowNs) {
-        asked = wanted;
-        askedNs = nowNs;
+    void markSent(long nowNs) {
+        pendingVote = wantedVote;
+        sentNs = nowNs;
     }
 
-    void answered(boolean counts, long standsNs, long tryAgainNs) {
-        if (counts && asked != null) {
-            standing = asked;
-            standsUntilNs = askedNs + standsNs;
+    void onAnswer(boolean counts, long standsNs, long tryAgainNs) {
+        if (counts && pendingVote != null) {
+            standing = pendingVote;
+            standsUntilNs = sentNs + standsNs;
         }
-        againNs = counts ? againNs : tryAgainNs;
-        asked = null;
+        retryAtNs = counts ? retryAtNs : tryAgainNs;
+        pendingVote = null;
     }
 
     /** A vote is for one build and stage: on any other nothing stands. */
-    void clear() {
+    void reset() {
         standing = RolloutVote.NONE;
-        wanted = RolloutVote.NONE;
+        wantedVote = RolloutVote.NONE;
     }
 
-    RolloutVote standsAt(long nowNs) {
+    RolloutVote standingVoteAt(long nowNs) {
         return nowNs < standsUntilNs ? standing : RolloutVote.NONE;
     }
 }
--- a/core/src/main/java/mulleinlever/ZoneReachability.java
+++ b/core/src/main/java/mulleinlever/ZoneReachability.java
@@ -15,13 +15,13 @@
     private long pauseNs;
 
     /** Anything that came from there shows that it can be reached. */
-    void heard() {
+    void onAnswer() {
         missed.clear();
         darkSinceNs = Long.MIN_VALUE;
         pauseNs = 0;
     }
 
-    void missed(long nowNs, Pod pod, int enough) {
+    void onNoAnswer(long nowNs, Pod pod, int enough) {
         missed.add(pod.id);
         if (darkSinceNs == Long.MIN_VALUE && missed.size() >= enough) {
             darkSinceNs = nowNs;
@@ -29,16 +29,16 @@
     }
 
     /** Whether pods there that have run since then are taken to be out of reach. */
-    boolean dark(long startedNs) {
+    boolean isUnreachable(long startedNs) {
         return startedNs < darkSinceNs;
     }
 
-    boolean mayAsk(long nowNs) {
+    boolean canProbe(long nowNs) {
         return nowNs >= askNs;
     }
 
     /** The next try there is due after a pause that grows and differs by sidecar. */
-    void ask(long nowNs, long firstNs, long mostNs, SplittableRandom random) {
+    void scheduleNextProbe(long nowNs, long firstNs, long mostNs, SplittableRandom random) {
         pauseNs = pauseNs == 0 ? firstNs : Math.min(mostNs, 2 * pauseNs);
         askNs = nowNs + pauseNs / 2 + random.nextLong(pauseNs);
     }
--- a/core/src/test/java/mulleinlever/ClockStepTest.java
+++ b/core/src/test/java/mulleinlever/ClockStepTest.java
@@ -9,23 +9,23 @@
 
 /** Starts of servers are told by a wall clock that may be ahead of or behind ours. */
 class ClockStepTest {
-    private static final long MS = PolicyHarness.MS;
+    private static final long MS = PolicyHarness.MILLISECOND_NS;
     private static final int WARM = 4;
-    private static final PodEntry STARTED = PolicyHarness.pod(WARM, 1, 0);
+    private static final PodEntry STARTED = PolicyHarness.podEntry(WARM, 1, 0);
 
     /**
      * The part of 200 requests a second that goes to the server that has started, for some seconds.
      */
     private static double part(PolicyHarness b, int seconds) {
-        int before = b.sent.size();
+        int before = b.sentTries.size();
         for (int i = 0; i < 200 * seconds; i++) {
-            b.policy.listConfirmed(b.now);
-            String id = "r" + b.sent.size();
-            b.req(id, "get", 2 * PolicyHarness.S);
-            b.pass(5 * MS);
-            b.end(id, 0, TryOutcome.OK, 5 * MS);
+            b.policy.onPodListConfirmed(b.nowNs);
+            String id = "r" + b.sentTries.size();
+            b.sendReq(id, "get", 2 * PolicyHarness.SECOND_NS);
+            b.advance(5 * MS);
+            b.endTry(id, 0, TryOutcome.OK, 5 * MS);
         }
-        List<PolicyHarness.SentTry> sent = b.sent.subList(before, b.sent.size());
+        List<PolicyHarness.SentTry> sent = b.sentTries.subList(before, b.sentTries.size());
         return sent.stream().filter(s -> s.pod().equals(STARTED.id())).count()
                 / (double) sent.size();
     }
@@ -33,9 +33,9 @@
     /** The part that the server gets in its first second, and long after it is warm. */
     private static double[] parts(long stepMs) {
         PolicyHarness b =
-                PolicyHarness.plain(1, false, false, 1)
-                        .pods(WARM, 1)
-                        .news(1, 2, RolloutStatus.Phase.RELEASED, 1);
+                PolicyHarness.withDefaults(1, false, false, 1)
+                        .addPods(WARM, 1)
+                        .setRolloutStatus(1, 2, RolloutStatus.Phase.RELEASED, 1);
         part(b, 3);
         PodEntry started =
                 new PodEntry(
@@ -46,11 +46,11 @@
                         1,
                         PodEntry.State.READY,
                         1,
-                        b.now + (stepMs - 200) * MS);
+                        b.nowNs + (stepMs - 200) * MS);
         if (stepMs != 0) {
-            b.policy.wallClockStepped();
+            b.policy.onWallClockStepped();
         }
-        b.policy.listChanged(b.now, List.of(started));
+        b.policy.onPodListUpdated(b.nowNs, List.of(started));
         double cold = part(b, 1);
         part(b, 4);
         return new double[] {cold, part(b, 2)};
@@ -59,10 +59,11 @@
     // The clock may have been an hour off before the process started, which only the list can show.
     @ParameterizedTest
     @ValueSource(longs = {-3_600_000, 5_000, 3_600_000})
-    void aClockThatWasWrongFromTheStartShowsInTheList(long stepMs) {
+    void wrongClockAtStartIsDetectedFromList(long stepMs) {
         var starts = new PodStartEstimator();
         long nowNs = 10_000_000 * MS;
-        long startedNs = starts.startedNs(nowNs + (stepMs - 200) * MS, nowNs - 100 * MS, nowNs);
+        long startedNs =
+                starts.estimateStartNs(nowNs + (stepMs - 200) * MS, nowNs - 100 * MS, nowNs);
         assertTrue(
                 nowNs - startedNs <= 100 * MS, "started " + (nowNs - startedNs) / MS + " ms ago");
     }
@@ -70,7 +71,7 @@
     // A step of the wall clock made slow start end at once, or last as long as the step.
     @ParameterizedTest
     @ValueSource(longs = {-3_600_000, -5_000, 5_000, 3_600_000})
-    void slowStartIsAsLongWhateverTheClockThatTellsOfIt(long stepMs) {
+    void slowStartLengthIsIndependentOfClockSteps(long stepMs) {
         double[] right = parts(0);
         double[] stepped = parts(stepMs);
         assertTrue(right[0] < 0.75 * right[1], "no slow start: " + right[0] + ", " + right[1]);
--- a/core/src/test/java/mulleinlever/ConcurrencyLimiterTest.java
+++ b/core/src/test/java/mulleinlever/ConcurrencyLimiterTest.java
@@ -1,7 +1,7 @@
 package mulleinlever;
 
-import static mulleinlever.PolicyHarness.MS;
-import static mulleinlever.PolicyHarness.S;
+import static mulleinlever.PolicyHarness.MILLISECOND_NS;
+import static mulleinlever.PolicyHarness.SECOND_NS;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.Test;
 
 class ConcurrencyLimiterTest {
-    private static final double OBJECTIVE = 600 * MS;
+    private static final double OBJECTIVE = 600 * MILLISECOND_NS;
 
     /**
      * The share of reqs without room at one sidecar of a hundred before 60 pods, tries taking so
@@ -18,25 +18,27 @@
     private static double turnedAway(double perSecond, double times, long seed) {
         ConcurrencyLimiter room = new ConcurrencyLimiter(100);
         SplittableRandom random = new SplittableRandom(seed);
-        double mean = times * 240 * MS;
+        double mean = times * 240 * MILLISECOND_NS;
         int[] reqs = new int[2];
-        for (long now = S; now < 120 * S; now += MS) {
-            for (int i = room.open(); i > 0; i--) {
-                if (random.nextDouble() < MS / mean) {
-                    room.ended();
-                    room.took(
-                            now, times * (100 + 280 * random.nextDouble()) * MS / OBJECTIVE, false);
+        for (long now = SECOND_NS; now < 120 * SECOND_NS; now += MILLISECOND_NS) {
+            for (int i = room.openTryCount(); i > 0; i--) {
+                if (random.nextDouble() < MILLISECOND_NS / mean) {
+                    room.onTryEnded();
+                    room.recordLatency(
+                            now,
+                            times * (100 + 280 * random.nextDouble()) * MILLISECOND_NS / OBJECTIVE,
+                            false);
                 }
             }
-            if (now % (50 * MS) == 0) {
-                room.pods(now, 60);
-                room.adjust(now, 60);
+            if (now % (50 * MILLISECOND_NS) == 0) {
+                room.initializeLimit(now, 60);
+                room.adjustLimit(now, 60);
             }
             if (random.nextDouble() < perSecond / 1000) {
-                room.wanted(now, mean, OBJECTIVE);
-                reqs[room.free() ? 0 : 1] += now > 20 * S ? 1 : 0;
-                if (room.free()) {
-                    room.begun();
+                room.recordDemand(now, mean, OBJECTIVE);
+                reqs[room.hasCapacity() ? 0 : 1] += now > 20 * SECOND_NS ? 1 : 0;
+                if (room.hasCapacity()) {
+                    room.onTryStarted();
                 }
             }
         }
@@ -48,7 +50,7 @@
      * share is two tries.
      */
     @Test
-    void thinTrafficAndSeveralTimesItsShareFindRoomAndJamsBoundIt() {
+    void admitsThinAndHeavyTrafficAndLimitsUnderOverload() {
         for (long seed = 0; seed < 5; seed++) {
             assertEquals(0, turnedAway(3, 1, seed), 0.04, "thin");
             assertEquals(0, turnedAway(20, 1, seed), 0.08, "busy");
@@ -64,33 +66,33 @@
      * AdaptiveConnectTimeoutTest says plainly.
      */
     @Test
-    void keepsToThePlainModel() {
+    void matchesReferenceModel() {
         SplittableRandom random = new SplittableRandom(1);
         for (int run = 0; run < 5; run++) {
             int pods = 1 + random.nextInt(150);
             int sidecars = 1 + random.nextInt(100);
             ConcurrencyLimiter room = new ConcurrencyLimiter(sidecars);
-            DecayingSum wanted = new DecayingSum(5 * S);
-            DecayingMean took = new DecayingMean(S);
+            DecayingSum wanted = new DecayingSum(5 * SECOND_NS);
+            DecayingMean took = new DecayingMean(SECOND_NS);
             double most = 0;
-            long now = 7 * S;
+            long now = 7 * SECOND_NS;
             for (int step = 0; step < 2_000; step++) {
-                now += random.nextInt(60) * MS;
+                now += random.nextInt(60) * MILLISECOND_NS;
                 int what = random.nextInt(4);
                 double part = random.nextDouble() * 2 * (step / 500 % 2);
                 if (what == 0) {
-                    room.wanted(now, part * OBJECTIVE, OBJECTIVE);
+                    room.recordDemand(now, part * OBJECTIVE, OBJECTIVE);
                     wanted.add(now, Math.min(part, 0.33) * OBJECTIVE / 1e9);
-                } else if (what == 1 && room.free()) {
-                    room.begun();
-                } else if (what == 2 && room.open() > 0) {
-                    room.ended();
-                    room.took(now, part, step % 5 == 0);
+                } else if (what == 1 && room.hasCapacity()) {
+                    room.onTryStarted();
+                } else if (what == 2 && room.openTryCount() > 0) {
+                    room.onTryEnded();
+                    room.recordLatency(now, part, step % 5 == 0);
                     took.add(now, step % 5 == 0 ? Math.min(1, part) : part);
                 } else if (what == 3) {
                     double least =
-                            Math.max(Math.max(2, 3.0 * pods / sidecars), wanted.perSecond(now));
-                    double ease = took.read(now, 0, 1);
+                            Math.max(Math.max(2, 3.0 * pods / sidecars), wanted.ratePerSecond(now));
+                    double ease = took.meanAt(now, 0, 1);
                     double over =
                             ease
                                             / 0.33
@@ -99,20 +101,20 @@
                                                             / Math.sqrt(
                                                                     Math.max(
                                                                             1,
-                                                                            took.figure(now)
+                                                                            took.snapshot(now)
                                                                                     .weight())))
                                     - 1;
                     most = Math.max(most == 0 ? 4 * least : most, least);
                     most =
                             over > 0
                                     ? Math.max(least, most * (1 - 0.1 * Math.min(1, over)))
-                                    : room.open() > 0.8 * most ? 1.02 * most : most;
-                    room.pods(now, pods);
-                    room.adjust(now, pods);
-                    assertEquals(most, room.most(), 1e-6 * most);
-                    assertEquals(ease, room.ease(now), 1e-9);
+                                    : room.openTryCount() > 0.8 * most ? 1.02 * most : most;
+                    room.initializeLimit(now, pods);
+                    room.adjustLimit(now, pods);
+                    assertEquals(most, room.limit(), 1e-6 * most);
+                    assertEquals(ease, room.latencyRatio(now), 1e-9);
                 }
-                assertEquals(room.open() < most, room.free());
+                assertEquals(room.openTryCount() < most, room.hasCapacity());
             }
         }
     }
--- a/core/src/test/java/mulleinlever/OpenTryLatenessDetectorTest.java
+++ b/core/src/test/java/mulleinlever/OpenTryLatenessDetectorTest.java
@@ -1,7 +1,7 @@
 package mulleinlever;
 
-import static mulleinlever.PolicyHarness.MS;
-import static mulleinlever.PolicyHarness.S;
+import static mulleinlever.PolicyHarness.MILLISECOND_NS;
+import static mulleinlever.PolicyHarness.SECOND_NS;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -13,18 +13,20 @@
 class OpenTryLatenessDetectorTest {
     /** The rule said plainly, on drawn reqs and tries, beside the class. */
     @Test
-    void keepsToThePlainModel() {
+    void matchesReferenceModel() {
         SplittableRandom random = new SplittableRandom(1);
         var row =
                 new RouteState(
                         PolicyHarness.route(
-                                "get", Settings.RetrySafety.RETRIABLE, Settings.DedupScope.ALL),
+                                "get", Settings.RetrySafety.IDEMPOTENT, Settings.DedupScope.ALL),
                         0,
-                        S,
+                        SECOND_NS,
                         0.25);
-        OpenTryLatenessDetector doubt = new OpenTryLatenessDetector(S);
+        OpenTryLatenessDetector doubt = new OpenTryLatenessDetector(SECOND_NS);
         long until = 0;
-        for (long now = 10 * S; now < 260 * S; now += random.nextLong(400 * MS)) {
+        for (long now = 10 * SECOND_NS;
+                now < 260 * SECOND_NS;
+                now += random.nextLong(400 * MILLISECOND_NS)) {
             List<ReqState> held = new ArrayList<>();
             int[][] out = new int[3][2];
             double lean = random.nextDouble();
@@ -33,26 +35,28 @@
                 int late = random.nextDouble() < lean ? 1 : 0;
                 ReqState rq =
                         new ReqState(
-                                new Req("r" + i, "get", false, false, 2 * S, 0, -1, null),
+                                new Req("r" + i, "get", false, false, 2 * SECOND_NS, 0, -1, null),
                                 row,
                                 now);
-                rq.start(new Try(null, now - S, true, build, true));
-                rq.end(0, TryOutcome.ERROR);
-                rq.start(
+                rq.addTry(new Try(null, now - SECOND_NS, true, build, true));
+                rq.endTry(0, TryOutcome.ERROR);
+                rq.addTry(
                         new Try(
                                 null,
-                                now - random.nextLong(1, 500 * MS) - late * 500 * MS,
+                                now
+                                        - random.nextLong(1, 500 * MILLISECOND_NS)
+                                        - late * 500 * MILLISECOND_NS,
                                 true,
                                 build,
                                 true));
                 held.add(rq);
                 out[build][late]++;
             }
-            doubt.look(now, held, new RolloutStatus(2, 1, RolloutStatus.Phase.ON_TRIAL, 1, 0));
+            doubt.evaluate(now, held, new RolloutStatus(2, 1, RolloutStatus.Phase.ON_TRIAL, 1, 0));
             boolean doubtful =
                     out[2][1] >= 4 && out[2][1] > 2 * out[2][0] && out[1][1] <= 2 * out[1][0];
-            until = doubtful ? now + S : until;
-            assertEquals(now < until, doubt.holds(now), "at " + now);
+            until = doubtful ? now + SECOND_NS : until;
+            assertEquals(now < until, doubt.isSuspected(now), "at " + now);
         }
         assertTrue(until > 0, "never drawn");
     }
--- a/core/src/test/java/mulleinlever/PodListLeaseTest.java
+++ b/core/src/test/java/mulleinlever/PodListLeaseTest.java
@@ -15,12 +15,12 @@
 
     // Report abbe30: a list was gone by for as long as no other came, whatever its age.
     @Test
-    void aServerIsUsedOnlyWhileItCantCountAsToldThatItLeft() {
+    void leaseMatchesReferenceModel() {
         for (int seed = 0; seed < 200; seed++) {
             SplittableRandom random = new SplittableRandom(seed);
             var lease = new PodListLease(10_000 * MS, 1_000 * MS, 250 * MS);
-            Pod server = new Pod(PolicyHarness.pod(0, 1, 0), MS);
-            lease.confirmed(0);
+            Pod server = new Pod(PolicyHarness.podEntry(0, 1, 0), MS);
+            lease.onConfirmed(0);
             boolean confirmed = true;
             boolean moved = false;
             long brokeMs = Long.MIN_VALUE / 2;
@@ -29,27 +29,27 @@
             for (long ms = 1; ms < 40_000; ms += 1 + random.nextInt(400)) {
                 switch (random.nextInt(40)) {
                     case 0, 1 -> {
-                        lease.confirmed(ms * MS);
+                        lease.onConfirmed(ms * MS);
                         confirmed = true;
                         moved = false;
                         trueMs = ms;
                     }
                     case 2, 3, 4 -> {
-                        lease.unconfirmedSince(Math.max(trueMs, ms - 2_000) * MS);
+                        lease.onUnconfirmedSince(Math.max(trueMs, ms - 2_000) * MS);
                         trueMs = confirmed ? Math.max(trueMs, ms - 2_000) : trueMs;
                         confirmed = false;
                     }
                     case 5 -> {
-                        lease.moved();
+                        lease.onDiscoveryChanged();
                         confirmed = false;
                         moved = true;
                     }
                     case 6, 7 -> {
-                        lease.broke(server, ms * MS);
+                        lease.onConnectionFailed(server, ms * MS);
                         brokeMs = ms;
                     }
                     case 8, 9, 10, 11, 12 -> {
-                        lease.served(server, (ms - 300) * MS);
+                        lease.onServed(server, (ms - 300) * MS);
                         servedMs =
                                 confirmed || brokeMs <= trueMs
                                         ? Math.max(servedMs, ms - 300)
@@ -64,24 +64,24 @@
                                                 + (moved ? MOVED_LENGTH_MS : LENGTH_MS);
                 assertEquals(
                         expected,
-                        lease.covers(ms * MS, server),
+                        lease.allows(ms * MS, server),
                         "seed " + seed + " at " + ms + " ms");
             }
         }
     }
 
     @Test
-    void itDoesNotRunOutWhileDiscoveryCantBeReached() {
+    void leaseDoesNotExpireWhileDiscoveryIsUnreachable() {
         var lease = new PodListLease(10_000 * MS, 1_000 * MS, 250 * MS);
-        Pod server = new Pod(PolicyHarness.pod(0, 1, 0), MS);
-        lease.neverConfirmed();
-        assertFalse(lease.covers(0, server));
+        Pod server = new Pod(PolicyHarness.podEntry(0, 1, 0), MS);
+        lease.onNeverConfirmed();
+        assertFalse(lease.allows(0, server));
         for (long ms = 0; ms < 60_000; ms += 3_000) {
-            lease.called(false, ms * MS);
-            assertTrue(lease.covers((ms + 2_999) * MS, server));
+            lease.onDiscoveryCall(false, ms * MS);
+            assertTrue(lease.allows((ms + 2_999) * MS, server));
         }
-        lease.called(true, 60_000 * MS);
-        assertTrue(lease.covers((57_000 + LENGTH_MS - 1) * MS, server));
-        assertFalse(lease.covers((57_000 + LENGTH_MS) * MS, server));
+        lease.onDiscoveryCall(true, 60_000 * MS);
+        assertTrue(lease.allows((57_000 + LENGTH_MS - 1) * MS, server));
+        assertFalse(lease.allows((57_000 + LENGTH_MS) * MS, server));
     }
 }
--- a/core/src/test/java/mulleinlever/PolicyHarness.java
+++ b/core/src/test/java/mulleinlever/PolicyHarness.java
@@ -11,25 +11,34 @@
  * timers.
  */
 final class PolicyHarness implements PolicyActions {
-    static final long MS = 1_000_000L;
-    static final long S = 1_000 * MS;
+    static final long MILLISECOND_NS = 1_000_000L;
+    static final long SECOND_NS = 1_000 * MILLISECOND_NS;
 
-    record SentTry(String rq, String pod, long atNs, long limitNs) {}
+    record SentTry(String reqId, String pod, long atNs, long limitNs) {}
 
     record CastVote(long atNs, int build, int stage, RolloutVote verdict) {}
 
-    final List<SentTry> sent = new ArrayList<>();
-    final Map<String, String> answers = new LinkedHashMap<>();
+    final List<SentTry> sentTries = new ArrayList<>();
+    final Map<String, String> finalAnswers = new LinkedHashMap<>();
     final List<CastVote> votes = new ArrayList<>();
-    final List<String> cancelled = new ArrayList<>();
+    final List<String> cancelledReqs = new ArrayList<>();
     final TreeMap<Long, List<String>> timers = new TreeMap<>();
-    long now = 100 * S;
+    long nowNs = 100 * SECOND_NS;
     Policy policy;
 
     static Settings.RouteSettings route(
             String name, Settings.RetrySafety repeat, Settings.DedupScope scope) {
         return new Settings.RouteSettings(
-                name, 500 * MS, 0, 2 * S, repeat, scope, 250 * MS, false, 0.2, 1);
+                name,
+                500 * MILLISECOND_NS,
+                0,
+                2 * SECOND_NS,
+                repeat,
+                scope,
+                250 * MILLISECOND_NS,
+                false,
+                0.2,
+                1);
     }
 
     static Settings settings(
@@ -49,18 +58,18 @@
                         1,
                         1,
                         holds,
-                        S,
-                        3 * S,
-                        4 * S,
-                        S,
+                        SECOND_NS,
+                        3 * SECOND_NS,
+                        4 * SECOND_NS,
+                        SECOND_NS,
                         100,
-                        2 * S,
-                        2 * S,
+                        2 * SECOND_NS,
+                        2 * SECOND_NS,
                         0.1,
                         0.2,
                         List.of(0.1, 0.5, 1.0),
                         List.of(0.2, 0.7, 1.0),
-                        3 * S,
+                        3 * SECOND_NS,
                         2,
                         byRoute,
                         shielded,
@@ -68,17 +77,34 @@
                         false,
                         0.3,
                         4);
-        var rules = new Settings.Contract(20 * MS, 500 * MS, 0.3, 4 * S, 2, S, 10 * S);
+        var rules =
+                new Settings.Contract(
+                        20 * MILLISECOND_NS,
+                        500 * MILLISECOND_NS,
+                        0.3,
+                        4 * SECOND_NS,
+                        2,
+                        SECOND_NS,
+                        10 * SECOND_NS);
         var limits =
                 new Settings.PolicyLimits(
-                        4, 20_000, true, true, copies, true, S, 100, 250 * MS, 15 * S);
+                        4,
+                        20_000,
+                        true,
+                        true,
+                        copies,
+                        true,
+                        SECOND_NS,
+                        100,
+                        250 * MILLISECOND_NS,
+                        15 * SECOND_NS);
         return new Settings(
                 0,
                 sidecars,
                 "a",
                 List.of("a", "b"),
                 ask,
-                5 * MS,
+                5 * MILLISECOND_NS,
                 0.2,
                 routes,
                 List.of(),
@@ -94,7 +120,7 @@
      * One of a fleet whose platform wants so many votes; the pods lie in two zones, neither of them
      * its own.
      */
-    static PolicyHarness ofMany(int rank, int sidecars, int onVotes, int backVotes) {
+    static PolicyHarness inFleet(int rank, int sidecars, int onVotes, int backVotes) {
         Settings s =
                 settings(
                         Settings.VoteControl.MAJORITY,
@@ -105,7 +131,7 @@
                         List.of(
                                 route(
                                         "get",
-                                        Settings.RetrySafety.RETRIABLE,
+                                        Settings.RetrySafety.IDEMPOTENT,
                                         Settings.DedupScope.ALL)),
                         sidecars,
                         false);
@@ -118,62 +144,62 @@
                         backVotes,
                         0,
                         r.bakeNs(),
-                        r.movesAfterNs(),
-                        r.voteStandsNs(),
-                        r.voteWaitNs(),
+                        r.advanceDelayNs(),
+                        r.voteLifetimeNs(),
+                        r.voteTimeoutNs(),
                         16,
-                        r.newsEveryNs(),
-                        r.tallyEveryNs(),
-                        r.tallySample(),
-                        r.complaintShare(),
-                        r.shares(),
-                        r.caps(),
-                        r.windowNs(),
-                        r.uncounted(),
+                        r.statusIntervalNs(),
+                        r.tallyIntervalNs(),
+                        r.tallySampleShare(),
+                        r.complaintReportRate(),
+                        r.stageShares(),
+                        r.stageExposureCaps(),
+                        r.exposureWindowNs(),
+                        r.exposureBurst(),
                         false,
                         0,
                         false,
                         false,
                         r.staleBuildPrice(),
                         r.damagePrice());
-        return start(
+        return create(
                 new Settings(
                         rank,
                         sidecars,
                         "c",
                         s.zones(),
                         false,
-                        s.stepNs(),
-                        s.overShareEarnings(),
+                        s.clockStepNs(),
+                        s.overShareValue(),
                         s.routes(),
                         s.tenants(),
                         rollout,
-                        s.rules(),
-                        s.limits(),
+                        s.contract(),
+                        s.policyLimits(),
                         s.prices(),
-                        s.reports(),
+                        s.reportSource(),
                         true),
                 rank);
     }
 
-    static PolicyHarness start(Settings s, long seed) {
+    static PolicyHarness create(Settings s, long seed) {
         PolicyHarness b = new PolicyHarness();
-        b.policy = new Policy(s, seed, b.now, b);
+        b.policy = new Policy(s, seed, b.nowNs, b);
         return b;
     }
 
-    static PolicyHarness plain() {
-        return plain(3, false, false, 1);
+    static PolicyHarness withDefaults() {
+        return withDefaults(3, false, false, 1);
     }
 
-    static PolicyHarness plain(int sidecars, boolean copies, boolean oneWay, long seed) {
-        var get = route("get", Settings.RetrySafety.RETRIABLE, Settings.DedupScope.ALL);
+    static PolicyHarness withDefaults(int sidecars, boolean copies, boolean oneWay, long seed) {
+        var get = route("get", Settings.RetrySafety.IDEMPOTENT, Settings.DedupScope.ALL);
         var control = Settings.VoteControl.SINGLE;
-        return start(
+        return create(
                 settings(control, false, 0, oneWay, false, List.of(get), sidecars, copies), seed);
     }
 
-    static PodEntry pod(int i, int build, long startedNs) {
+    static PodEntry podEntry(int i, int build, long startedNs) {
         return new PodEntry(
                 "pod" + i,
                 i % 2 == 0 ? "a" : "b",
@@ -185,81 +211,81 @@
                 startedNs);
     }
 
-    PolicyHarness pods(int count, int build) {
+    PolicyHarness addPods(int count, int build) {
         for (int i = 0; i < count; i++) {
-            policy.listChanged(now, List.of(pod(i, build, 0)));
+            policy.onPodListUpdated(nowNs, List.of(podEntry(i, build, 0)));
         }
         return this;
     }
 
-    PolicyHarness news(int build, int stage, RolloutStatus.Phase phase, double cap) {
-        policy.news(now, new RolloutStatus(build, stage, phase, cap, 0));
+    PolicyHarness setRolloutStatus(int build, int stage, RolloutStatus.Phase phase, double cap) {
+        policy.onRolloutStatus(nowNs, new RolloutStatus(build, stage, phase, cap, 0));
         return this;
     }
 
-    void req(String id, String route, long expiresInNs) {
-        policy.req(now, new Req(id, route, false, false, expiresInNs, 0, -1, null));
+    void sendReq(String id, String route, long expiresInNs) {
+        policy.onReq(nowNs, new Req(id, route, false, false, expiresInNs, 0, -1, null));
     }
 
-    void end(String id, int tryNo, TryOutcome ending, long tookNs) {
-        policy.tryEnded(now, id, tryNo, ending, tookNs, ending == TryOutcome.OK);
+    void endTry(String id, int tryNo, TryOutcome ending, long tookNs) {
+        policy.onTryEnded(nowNs, id, tryNo, ending, tookNs, ending == TryOutcome.OK);
     }
 
-    void pass(long ns) {
-        long until = now + ns;
+    void advance(long ns) {
+        long until = nowNs + ns;
         while (!timers.isEmpty() && timers.firstKey() <= until) {
             var due = timers.pollFirstEntry();
-            now = Math.max(now, due.getKey());
-            due.getValue().forEach(token -> policy.timer(now, token));
+            nowNs = Math.max(nowNs, due.getKey());
+            due.getValue().forEach(token -> policy.onTimer(nowNs, token));
         }
-        now = until;
+        nowNs = until;
     }
 
-    static int number(String pod) {
+    static int podNumber(String pod) {
         return Integer.parseInt(pod.substring(3));
     }
 
-    SentTry last() {
-        return sent.get(sent.size() - 1);
+    SentTry lastSent() {
+        return sentTries.get(sentTries.size() - 1);
     }
 
     @Override
-    public void relay(String rq, String pod, long writeWithinNs, long limitNs) {
-        sent.add(new SentTry(rq, pod, now, limitNs));
+    public void startTry(String rq, String pod, long writeWithinNs, long limitNs) {
+        sentTries.add(new SentTry(rq, pod, nowNs, limitNs));
     }
 
     @Override
-    public void shed(String rq, long backoffNs) {
+    public void shedReq(String rq, long backoffNs) {
         answer(rq, "shed");
     }
 
     @Override
-    public void error(String rq) {
+    public void failReq(String rq) {
         answer(rq, "error");
     }
 
     private void answer(String rq, String what) {
-        if (answers.put(rq, what) != null) {
+        if (finalAnswers.put(rq, what) != null) {
             throw new AssertionError("two answers to " + rq);
         }
     }
 
     @Override
-    public void cancel(String rq, int tryNo) {
-        cancelled.add(rq);
+    public void cancelTry(String rq, int tryNo) {
+        cancelledReqs.add(rq);
     }
 
     @Override
-    public void vote(int build, int stage, RolloutVote verdict) {
-        votes.add(new CastVote(now, build, stage, verdict));
+    public void castVote(int build, int stage, RolloutVote verdict) {
+        votes.add(new CastVote(nowNs, build, stage, verdict));
     }
 
     @Override
-    public void watchList() {}
+    public void watchPodList() {}
 
     @Override
-    public void timer(long atNs, String token) {
-        timers.computeIfAbsent(Math.max(atNs, now + 1), t -> new ArrayList<>()).add(token);
+    public void scheduleTimer(long atNs, String token) {
+        timers.computeIfAbsent(Math.max(atNs, nowNs + 1), t -> new ArrayList<>()).add(token);
     }
 
     @Override
--- a/core/src/test/java/mulleinlever/PolicyRestoreTest.java
+++ b/core/src/test/java/mulleinlever/PolicyRestoreTest.java
@@ -1,7 +1,7 @@
 package mulleinlever;
 
-import static mulleinlever.PolicyHarness.MS;
-import static mulleinlever.PolicyHarness.S;
+import static mulleinlever.PolicyHarness.MILLISECOND_NS;
+import static mulleinlever.PolicyHarness.SECOND_NS;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -18,15 +18,15 @@
             new RolloutStatus(1, 2, RolloutStatus.Phase.RELEASED, 1, 0);
 
     private static PolicyHarness fresh(long seed, PodEntry... pods) {
-        PolicyHarness b = PolicyHarness.plain(3, false, true, seed);
-        b.policy.listWhole(b.now, List.of(pods));
-        b.policy.news(b.now, OLD);
+        PolicyHarness b = PolicyHarness.withDefaults(3, false, true, seed);
+        b.policy.onPodListReplaced(b.nowNs, List.of(pods));
+        b.policy.onRolloutStatus(b.nowNs, OLD);
         return b;
     }
 
     private static PodEntry[] pods(int n) {
         return IntStream.range(0, n)
-                .mapToObj(i -> PolicyHarness.pod(i, 1, 0))
+                .mapToObj(i -> PolicyHarness.podEntry(i, 1, 0))
                 .toArray(PodEntry[]::new);
     }
 
@@ -37,35 +37,37 @@
     private static int[] serve(PolicyHarness b, int reqs, long... tookMs) {
         int[] at = new int[tookMs.length];
         for (int i = 0; i < reqs; i++) {
-            String id = "q" + b.now;
-            b.policy.req(b.now, new Req(id, "get", false, false, 2 * S, 0, i, null));
-            for (int no = 0; !b.sent.isEmpty() && b.last().rq().equals(id) && no < 2; no++) {
-                int pod = PolicyHarness.number(b.last().pod());
+            String id = "q" + b.nowNs;
+            b.policy.onReq(b.nowNs, new Req(id, "get", false, false, 2 * SECOND_NS, 0, i, null));
+            for (int no = 0;
+                    !b.sentTries.isEmpty() && b.lastSent().reqId().equals(id) && no < 2;
+                    no++) {
+                int pod = PolicyHarness.podNumber(b.lastSent().pod());
                 at[pod]++;
-                b.pass(Math.max(5, tookMs[pod]) * MS);
-                b.end(
+                b.advance(Math.max(5, tookMs[pod]) * MILLISECOND_NS);
+                b.endTry(
                         id,
                         no,
                         tookMs[pod] > 0 ? TryOutcome.OK : TryOutcome.ERROR,
-                        Math.max(5, tookMs[pod]) * MS);
+                        Math.max(5, tookMs[pod]) * MILLISECOND_NS);
             }
-            b.pass(2 * MS);
+            b.advance(2 * MILLISECOND_NS);
         }
         return at;
     }
 
     private static List<LearnedState> learnedBy(PolicyHarness b) {
         List<LearnedState> all = new ArrayList<>();
-        b.policy.learned(b.now).forEachRemaining(all::add);
+        b.policy.exportLearned(b.nowNs).forEachRemaining(all::add);
         return all;
     }
 
     private static void recall(PolicyHarness b, List<LearnedState> all) {
-        all.forEach(l -> b.policy.recall(b.now, l));
+        all.forEach(l -> b.policy.restoreLearned(b.nowNs, l));
     }
 
     @Test
-    void slowAndFailingPodsGetLittleFromTheFirstReqOn() {
+    void restoredSlowAndFailingPodsGetLessTraffic() {
         PolicyHarness before = fresh(1, pods(4));
         serve(before, 60, 20, 20, 200, 0);
         List<LearnedState> learned = learnedBy(before);
@@ -86,39 +88,39 @@
     }
 
     @Test
-    void oneGoodAnswerForgivesAndAFewOutweigh() {
+    void freshAnswersOverrideRestoredStats() {
         PolicyHarness b = fresh(1, pods(2));
         recall(
                 b,
                 List.of(
                         new LearnedState.PodStats(
-                                PolicyHarness.pod(0, 1, 0),
+                                PolicyHarness.podEntry(0, 1, 0),
                                 new LearnedState.WeightedMean(50, 1e6),
                                 new LearnedState.WeightedMean(1, 1e6),
                                 6)));
-        b.pass(5 * S);
+        b.advance(5 * SECOND_NS);
         // Rested, it gets one try at a time while the other is busy.
         for (int i = 0; i < 40; i++) {
-            b.req("a" + i, "get", 2 * S);
+            b.sendReq("a" + i, "get", 2 * SECOND_NS);
         }
         int first =
-                IntStream.range(0, b.sent.size())
-                        .filter(i -> b.sent.get(i).pod().equals("pod0"))
+                IntStream.range(0, b.sentTries.size())
+                        .filter(i -> b.sentTries.get(i).pod().equals("pod0"))
                         .findFirst()
                         .orElseThrow();
-        assertEquals(1, b.sent.stream().filter(s -> s.pod().equals("pod0")).count());
-        b.end(b.sent.get(first).rq(), 0, TryOutcome.OK, 20 * MS);
+        assertEquals(1, b.sentTries.stream().filter(s -> s.pod().equals("pod0")).count());
+        b.endTry(b.sentTries.get(first).reqId(), 0, TryOutcome.OK, 20 * MILLISECOND_NS);
         for (int i = 0; i < 40; i++) {
-            b.req("b" + i, "get", 2 * S);
+            b.sendReq("b" + i, "get", 2 * SECOND_NS);
         }
-        assertTrue(b.sent.stream().filter(s -> s.pod().equals("pod0")).count() > 1);
+        assertTrue(b.sentTries.stream().filter(s -> s.pod().equals("pod0")).count() > 1);
         int[] at = serve(fresh(2, pods(2)), 100, 20, 20);
         PolicyHarness wrong = fresh(2, pods(2));
         recall(
                 wrong,
                 List.of(
                         new LearnedState.PodStats(
-                                PolicyHarness.pod(0, 1, 0),
+                                PolicyHarness.podEntry(0, 1, 0),
                                 new LearnedState.WeightedMean(5, 1e6),
                                 new LearnedState.WeightedMean(1, 1e6),
                                 0)));
@@ -128,26 +130,30 @@
     }
 
     @Test
-    void whatCameBackAsAnotherMachineIsAnotherPod() {
+    void statsOfAnotherInstanceAreIgnored() {
         LearnedState.PodStats sick =
                 new LearnedState.PodStats(
-                        PolicyHarness.pod(0, 1, 50 * S),
+                        PolicyHarness.podEntry(0, 1, 50 * SECOND_NS),
                         new LearnedState.WeightedMean(9, 100),
                         new LearnedState.WeightedMean(1, 100),
                         6);
         for (PodEntry now :
                 List.of(
-                        PolicyHarness.pod(0, 1, 51 * S),
-                        PolicyHarness.pod(0, 2, 50 * S),
-                        PolicyHarness.pod(0, 1, 50 * S))) {
+                        PolicyHarness.podEntry(0, 1, 51 * SECOND_NS),
+                        PolicyHarness.podEntry(0, 2, 50 * SECOND_NS),
+                        PolicyHarness.podEntry(0, 1, 50 * SECOND_NS))) {
             PolicyHarness b = fresh(1, now);
-            b.policy.news(b.now, new RolloutStatus(2, 2, RolloutStatus.Phase.RELEASED, 1, 0));
+            b.policy.onRolloutStatus(
+                    b.nowNs, new RolloutStatus(2, 2, RolloutStatus.Phase.RELEASED, 1, 0));
             recall(
                     b,
                     List.of(
                             sick,
                             new LearnedState.PodStats(
-                                    PolicyHarness.pod(7, 1, 0), sick.slowness(), sick.late(), 6)));
+                                    PolicyHarness.podEntry(7, 1, 0),
+                                    sick.slowness(),
+                                    sick.late(),
+                                    6)));
             LearnedState.PodStats got =
                     learnedBy(b).stream()
                             .filter(LearnedState.PodStats.class::isInstance)
@@ -161,35 +167,39 @@
     }
 
     @Test
-    void aKeyDoesNotGoBackOverARestart() {
-        PolicyHarness before = fresh(1, PolicyHarness.pod(0, 1, 0), PolicyHarness.pod(1, 2, 0));
-        before.policy.news(before.now, new RolloutStatus(2, 2, RolloutStatus.Phase.RELEASED, 1, 0));
-        before.policy.listWhole(before.now, List.of(PolicyHarness.pod(1, 2, 0)));
-        before.policy.req(before.now, new Req("a", "get", false, false, S, 0, 7, null));
-        before.end("a", 0, TryOutcome.OK, 20 * MS);
-        PolicyHarness after = fresh(2, PolicyHarness.pod(0, 1, 0));
-        after.policy.news(after.now, new RolloutStatus(2, 2, RolloutStatus.Phase.RELEASED, 1, 0));
+    void oneWayKeySurvivesRestart() {
+        PolicyHarness before =
+                fresh(1, PolicyHarness.podEntry(0, 1, 0), PolicyHarness.podEntry(1, 2, 0));
+        before.policy.onRolloutStatus(
+                before.nowNs, new RolloutStatus(2, 2, RolloutStatus.Phase.RELEASED, 1, 0));
+        before.policy.onPodListReplaced(before.nowNs, List.of(PolicyHarness.podEntry(1, 2, 0)));
+        before.policy.onReq(before.nowNs, new Req("a", "get", false, false, SECOND_NS, 0, 7, null));
+        before.endTry("a", 0, TryOutcome.OK, 20 * MILLISECOND_NS);
+        PolicyHarness after = fresh(2, PolicyHarness.podEntry(0, 1, 0));
+        after.policy.onRolloutStatus(
+                after.nowNs, new RolloutStatus(2, 2, RolloutStatus.Phase.RELEASED, 1, 0));
         recall(after, learnedBy(before));
-        after.policy.req(after.now, new Req("c", "get", false, false, S, 0, 8, null));
-        after.policy.req(after.now, new Req("b", "get", false, false, S, 0, 7, null));
-        assertEquals(List.of("c"), after.sent.stream().map(PolicyHarness.SentTry::rq).toList());
+        after.policy.onReq(after.nowNs, new Req("c", "get", false, false, SECOND_NS, 0, 8, null));
+        after.policy.onReq(after.nowNs, new Req("b", "get", false, false, SECOND_NS, 0, 7, null));
+        assertEquals(
+                List.of("c"), after.sentTries.stream().map(PolicyHarness.SentTry::reqId).toList());
     }
 
     @Test
-    void baselineAndMarkOfAnotherBuildAreLeftOut() {
+    void baselineOfAnotherBuildIsIgnored() {
         LearnedState.DetectorBaseline base =
                 new LearnedState.DetectorBaseline(1, "", false, 0.3, 0.1, 50);
         LearnedState.RouteStats route =
                 new LearnedState.RouteStats(
                         "get",
                         1,
-                        new LearnedState.WeightedMean(30 * MS, 50),
-                        new LearnedState.WeightedMean(30 * MS, 50));
+                        new LearnedState.WeightedMean(30 * MILLISECOND_NS, 50),
+                        new LearnedState.WeightedMean(30 * MILLISECOND_NS, 50));
         for (int build : new int[] {1, 2, 3}) {
             // Build 1 is the newest, or the one that the trial is held against, or gone.
-            PolicyHarness b = fresh(1, PolicyHarness.pod(0, build < 3 ? 1 : 2, 0));
-            b.policy.news(
-                    b.now,
+            PolicyHarness b = fresh(1, PolicyHarness.podEntry(0, build < 3 ? 1 : 2, 0));
+            b.policy.onRolloutStatus(
+                    b.nowNs,
                     new RolloutStatus(
                             build,
                             1,
@@ -225,20 +235,20 @@
     }
 
     @Test
-    void givenOutInPiecesWhileTheListChanges() {
+    void exportToleratesListChanges() {
         PolicyHarness b = fresh(1, pods(50));
-        Iterator<LearnedState> pieces = b.policy.learned(b.now);
+        Iterator<LearnedState> pieces = b.policy.exportLearned(b.nowNs);
         int n = 0;
         while (pieces.hasNext()) {
             pieces.next();
-            b.policy.listChanged(b.now, List.of(PolicyHarness.pod(100 + n++, 1, 0)));
+            b.policy.onPodListUpdated(b.nowNs, List.of(PolicyHarness.podEntry(100 + n++, 1, 0)));
         }
         assertTrue(n >= 50);
         assertFalse(learnedBy(b).isEmpty());
     }
 
     @Test
-    void firstTriesAtASickPodDoNotMeet() {
+    void firstTriesAtEjectedPodAreSpread() {
         int atOnce = 0;
         for (int seed = 0; seed < 200; seed++) {
             PolicyHarness b = fresh(seed, pods(4));
@@ -246,13 +256,13 @@
                     b,
                     List.of(
                             new LearnedState.PodStats(
-                                    PolicyHarness.pod(0, 1, 0),
+                                    PolicyHarness.podEntry(0, 1, 0),
                                     new LearnedState.WeightedMean(1, 4),
                                     new LearnedState.WeightedMean(0, 4),
                                     6)));
-            b.pass(400 * MS);
+            b.advance(400 * MILLISECOND_NS);
             serve(b, 1, 20, 20, 20, 20);
-            atOnce += b.sent.get(0).pod().equals("pod0") ? 1 : 0;
+            atOnce += b.sentTries.get(0).pod().equals("pod0") ? 1 : 0;
         }
         assertTrue(atOnce < 20, atOnce + " of 200 began with the sick pod");
     }
--- a/core/src/test/java/mulleinlever/PolicyRulesModelTest.java
+++ b/core/src/test/java/mulleinlever/PolicyRulesModelTest.java
@@ -1,7 +1,7 @@
 package mulleinlever;
 
-import static mulleinlever.PolicyHarness.MS;
-import static mulleinlever.PolicyHarness.S;
+import static mulleinlever.PolicyHarness.MILLISECOND_NS;
+import static mulleinlever.PolicyHarness.SECOND_NS;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -51,7 +51,7 @@
             longs = {
                 1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16, 17, 18, 19, 20, 21, 22, 23
             })
-    void moduleKeepsTheRules(long seed) {
+    void policyKeepsRules(long seed) {
         SplittableRandom random = new SplittableRandom(seed);
         DedupScope scope = DedupScope.values()[random.nextInt(3)];
         set =
@@ -62,20 +62,20 @@
                         random.nextBoolean(),
                         random.nextBoolean(),
                         List.of(
-                                PolicyHarness.route("r", RetrySafety.RETRIABLE, DedupScope.ALL),
-                                PolicyHarness.route("d", RetrySafety.DEDUPED, scope),
+                                PolicyHarness.route("r", RetrySafety.IDEMPOTENT, DedupScope.ALL),
+                                PolicyHarness.route("d", RetrySafety.DEDUPLICATED, scope),
                                 PolicyHarness.route(
-                                        "n", RetrySafety.NON_RETRIABLE, DedupScope.ALL)),
+                                        "n", RetrySafety.NOT_RETRYABLE, DedupScope.ALL)),
                         seed % 2 == 0 ? 3 : 200,
                         seed % 3 == 0);
-        bench = PolicyHarness.start(set, seed);
+        bench = PolicyHarness.create(set, seed);
         List<PodEntry> first =
-                IntStream.range(0, 8).mapToObj(i -> PolicyHarness.pod(i, 1, 0)).toList();
-        bench.policy.listWhole(bench.now, first);
+                IntStream.range(0, 8).mapToObj(i -> PolicyHarness.podEntry(i, 1, 0)).toList();
+        bench.policy.onPodListReplaced(bench.nowNs, first);
         first.forEach(this::entry);
         tell(news);
         if (seed % 2 == 1) {
-            remembered(random).forEach(l -> bench.policy.recall(bench.now, l));
+            remembered(random).forEach(l -> bench.policy.restoreLearned(bench.nowNs, l));
         }
         for (int step = 0; step < 2_000; step++) {
             time();
@@ -98,7 +98,7 @@
                     new LearnedState.WeightedMean(random.nextDouble() * 5, random.nextInt(1_000));
             LearnedState.WeightedMean ns =
                     new LearnedState.WeightedMean(
-                            random.nextInt(3_000) * MS, random.nextInt(1_000));
+                            random.nextInt(3_000) * MILLISECOND_NS, random.nextInt(1_000));
             int build = random.nextInt(4);
             String route = List.of("r", "d", "n", "", "other").get(random.nextInt(5));
             all.add(
@@ -106,7 +106,7 @@
                         case 0 -> new LearnedState.ConnectionStats(f, f);
                         case 1 ->
                                 new LearnedState.PodStats(
-                                        PolicyHarness.pod(random.nextInt(10), build, 0),
+                                        PolicyHarness.podEntry(random.nextInt(10), build, 0),
                                         f,
                                         f,
                                         random.nextInt(9));
@@ -126,13 +126,18 @@
     }
 
     private void time() {
-        bench.pass(5 * MS);
+        bench.advance(5 * MILLISECOND_NS);
         check();
         for (OpenTry o : List.copyOf(outs)) {
-            if (bench.now >= o.dueNs) {
+            if (bench.nowNs >= o.dueNs) {
                 outs.remove(o);
-                bench.policy.tryEnded(
-                        bench.now, o.rq, o.no, TryOutcome.TIMEOUT, 2 * S, done.containsKey(o.rq));
+                bench.policy.onTryEnded(
+                        bench.nowNs,
+                        o.rq,
+                        o.no,
+                        TryOutcome.TIMEOUT,
+                        2 * SECOND_NS,
+                        done.containsKey(o.rq));
                 check();
             }
         }
@@ -148,13 +153,13 @@
                             route,
                             false,
                             false,
-                            (100 + random.nextInt(1_500)) * MS,
+                            (100 + random.nextInt(1_500)) * MILLISECOND_NS,
                             0,
                             random.nextInt(60),
                             null);
             taken.put(rq.id(), rq);
-            takenAt.put(rq.id(), bench.now);
-            bench.policy.req(bench.now, rq);
+            takenAt.put(rq.id(), bench.nowNs);
+            bench.policy.onReq(bench.nowNs, rq);
             check();
         }
         while (!outs.isEmpty() && (random.nextInt(4) > 0 || outs.size() > 40)) {
@@ -167,13 +172,18 @@
                 done.put(o.rq, "ok");
                 keyAt.merge(taken.get(o.rq).key(), o.build, Math::max);
             }
-            bench.policy.tryEnded(
-                    bench.now, o.rq, o.no, ending, (50 + random.nextInt(200)) * MS, complete);
+            bench.policy.onTryEnded(
+                    bench.nowNs,
+                    o.rq,
+                    o.no,
+                    ending,
+                    (50 + random.nextInt(200)) * MILLISECOND_NS,
+                    complete);
             check();
         }
         if (random.nextInt(300) == 0 && !outs.isEmpty()) {
             done.put(outs.get(0).rq, "gone");
-            bench.policy.clientGone(bench.now, outs.get(0).rq);
+            bench.policy.onClientDisconnected(bench.nowNs, outs.get(0).rq);
         }
         if (random.nextInt(40) == 0) {
             pods(random);
@@ -183,32 +193,32 @@
             rollout(random);
         }
         if (random.nextInt(200) == 0) {
-            bench.policy.listFailed(bench.now);
+            bench.policy.onPodListWatchFailed(bench.nowNs);
         }
         if (random.nextInt(20) == 0) {
-            bench.policy.tally(
-                    bench.now,
+            bench.policy.onPlatformTally(
+                    bench.nowNs,
                     random.nextInt(5) == 0 ? "no such" : "r",
                     random.nextInt(9),
                     random.nextInt(50) - 5,
                     random.nextInt(60),
-                    random.nextInt(300) * MS - 50 * MS,
-                    S);
-            bench.policy.flagged(
-                    bench.now, "pod" + random.nextInt(20), random.nextBoolean() ? "d" : "none");
+                    random.nextInt(300) * MILLISECOND_NS - 50 * MILLISECOND_NS,
+                    SECOND_NS);
+            bench.policy.onComplaint(
+                    bench.nowNs, "pod" + random.nextInt(20), random.nextBoolean() ? "d" : "none");
         }
         if (random.nextInt(30) == 0) {
-            bench.policy.voteAnswered(bench.now, random.nextBoolean());
+            bench.policy.onVoteAnswered(bench.nowNs, random.nextBoolean());
         }
     }
 
     private void pods(SplittableRandom random) {
         int i = random.nextInt(14);
         PodEntry e =
-                PolicyHarness.pod(
+                PolicyHarness.podEntry(
                         i,
                         i < 8 ? 1 : news.build() + random.nextInt(2),
-                        bench.now - random.nextInt(6_000) * MS);
+                        bench.nowNs - random.nextInt(6_000) * MILLISECOND_NS);
         int what = random.nextInt(5);
         if (what < 2 && list.containsKey(e.id())) {
             PodEntry was = list.get(e.id());
@@ -224,7 +234,7 @@
                             was.startedNs());
         }
         entry(e);
-        bench.policy.listChanged(bench.now, List.of(e));
+        bench.policy.onPodListUpdated(bench.nowNs, List.of(e));
     }
 
     private void rollout(SplittableRandom random) {
@@ -234,7 +244,10 @@
                         ? news.build()
                         : news.build() + 1;
         int stage = random.nextInt(3);
-        double cap = phase == RolloutStatus.Phase.REVERTING ? 0 : set.rollout().caps().get(stage);
+        double cap =
+                phase == RolloutStatus.Phase.REVERTING
+                        ? 0
+                        : set.rollout().stageExposureCaps().get(stage);
         tell(new RolloutStatus(Math.max(2, build), stage, phase, cap, 0));
     }
 
@@ -243,7 +256,7 @@
         if (e.state() == PodEntry.State.READY) {
             goneSince.remove(e.id());
         } else {
-            goneSince.putIfAbsent(e.id(), bench.now);
+            goneSince.putIfAbsent(e.id(), bench.nowNs);
         }
         if (was == null || was.startedNs() != e.startedNs()) {
             toCold.put(e.id(), new ArrayList<>());
@@ -255,31 +268,32 @@
             caps.clear();
         }
         news = n;
-        caps.add(new CapChange(bench.now, n.cap()));
-        bench.policy.news(bench.now, n);
+        caps.add(new CapChange(bench.nowNs, n.cap()));
+        bench.policy.onRolloutStatus(bench.nowNs, n);
     }
 
     private void check() {
-        bench.answers.forEach(
+        bench.finalAnswers.forEach(
                 (id, what) -> {
                     if (!done.containsKey(id)) {
                         done.put(id, what);
                         RetrySafety repeat = repeatOf(id);
                         List<TryOutcome> ended = endings.getOrDefault(id, List.of());
-                        boolean mayHaveRun = ended.stream().anyMatch(e -> !e.neverRan());
+                        boolean mayHaveRun = ended.stream().anyMatch(e -> !e.provesNotRun());
                         long due = takenAt.get(id) + taken.get(id).expiresInNs();
-                        assertTrue(bench.now <= due + 20 * MS, "answered late");
+                        assertTrue(bench.nowNs <= due + 20 * MILLISECOND_NS, "answered late");
                         boolean harmless =
-                                repeat == RetrySafety.RETRIABLE
-                                        || repeat == RetrySafety.DEDUPED
-                                                && set.routes().get(1).scope() == DedupScope.ALL;
+                                repeat == RetrySafety.IDEMPOTENT
+                                        || repeat == RetrySafety.DEDUPLICATED
+                                                && set.routes().get(1).dedupScope()
+                                                        == DedupScope.ALL;
                         assertTrue(
                                 !what.equals("shed") || !mayHaveRun || harmless,
                                 "shed may have run");
                     }
                 });
-        for (; seen < bench.sent.size(); seen++) {
-            sent(bench.sent.get(seen));
+        for (; seen < bench.sentTries.size(); seen++) {
+            sent(bench.sentTries.get(seen));
         }
     }
 
@@ -288,55 +302,60 @@
                 .filter(r -> r.name().equals(taken.get(id).route()))
                 .findFirst()
                 .get()
-                .repeat();
+                .retrySafety();
     }
 
     private void sent(PolicyHarness.SentTry s) {
         PodEntry pod = list.get(s.pod());
-        Req rq = taken.get(s.rq());
-        assertFalse(done.containsKey(s.rq()), "sent after the answer");
+        Req rq = taken.get(s.reqId());
+        assertFalse(done.containsKey(s.reqId()), "sent after the answer");
         assertFalse(
-                s.atNs() > goneSince.getOrDefault(s.pod(), Long.MAX_VALUE - S) + 500 * MS,
+                s.atNs()
+                        > goneSince.getOrDefault(s.pod(), Long.MAX_VALUE - SECOND_NS)
+                                + 500 * MILLISECOND_NS,
                 "sent to a drained pod");
         repeats(s, pod);
         exposure(s, pod, rq);
-        if (s.atNs() < pod.startedNs() + set.rules().warmAfterNs()) {
+        if (s.atNs() < pod.startedNs() + set.contract().slowStartNs()) {
             List<Long> cold = toCold.get(s.pod());
             cold.add(s.atNs());
-            long lately = cold.stream().filter(t -> t > s.atNs() - S).count();
-            double can = 0.3 + 0.7 * (s.atNs() - pod.startedNs()) / set.rules().warmAfterNs();
+            long lately = cold.stream().filter(t -> t > s.atNs() - SECOND_NS).count();
+            double can = 0.3 + 0.7 * (s.atNs() - pod.startedNs()) / set.contract().slowStartNs();
             assertTrue(lately <= 2 + 2 * can * mostToWarm, "pushed over");
         } else {
             List<Long> warm = toWarm.computeIfAbsent(s.pod(), k -> new ArrayList<>());
             warm.add(s.atNs());
-            mostToWarm = Math.max(mostToWarm, warm.stream().filter(t -> t > s.atNs() - S).count());
+            mostToWarm =
+                    Math.max(
+                            mostToWarm,
+                            warm.stream().filter(t -> t > s.atNs() - SECOND_NS).count());
         }
-        tries.computeIfAbsent(s.rq(), k -> new ArrayList<>()).add(s);
-        endings.computeIfAbsent(s.rq(), k -> new ArrayList<>()).add(TryOutcome.TIMEOUT);
-        long due = Math.min(s.atNs() + s.limitNs(), takenAt.get(s.rq()) + rq.expiresInNs());
-        outs.add(new OpenTry(s.rq(), endings.get(s.rq()).size() - 1, pod.build(), due));
+        tries.computeIfAbsent(s.reqId(), k -> new ArrayList<>()).add(s);
+        endings.computeIfAbsent(s.reqId(), k -> new ArrayList<>()).add(TryOutcome.TIMEOUT);
+        long due = Math.min(s.atNs() + s.limitNs(), takenAt.get(s.reqId()) + rq.expiresInNs());
+        outs.add(new OpenTry(s.reqId(), endings.get(s.reqId()).size() - 1, pod.build(), due));
     }
 
     private void repeats(PolicyHarness.SentTry s, PodEntry pod) {
-        List<PolicyHarness.SentTry> before = tries.getOrDefault(s.rq(), List.of());
-        assertTrue(before.size() < set.limits().maxTries(), "too many tries");
-        long out = outs.stream().filter(o -> o.rq.equals(s.rq())).count();
-        assertTrue(out < (set.limits().secondCopies() ? 2 : 1), "too many tries out at once");
+        List<PolicyHarness.SentTry> before = tries.getOrDefault(s.reqId(), List.of());
+        assertTrue(before.size() < set.policyLimits().maxTries(), "too many tries");
+        long out = outs.stream().filter(o -> o.rq.equals(s.reqId())).count();
+        assertTrue(out < (set.policyLimits().canHedge() ? 2 : 1), "too many tries out at once");
         for (int i = 0; i < before.size(); i++) {
-            if (endings.get(s.rq()).get(i).neverRan()) {
+            if (endings.get(s.reqId()).get(i).provesNotRun()) {
                 continue;
             }
-            assertTrue(repeatOf(s.rq()) != RetrySafety.NON_RETRIABLE, "ran twice");
-            if (repeatOf(s.rq()) == RetrySafety.DEDUPED) {
+            assertTrue(repeatOf(s.reqId()) != RetrySafety.NOT_RETRYABLE, "ran twice");
+            if (repeatOf(s.reqId()) == RetrySafety.DEDUPLICATED) {
                 PodEntry ran = list.get(before.get(i).pod());
-                DedupScope scope = set.routes().get(1).scope();
+                DedupScope scope = set.routes().get(1).dedupScope();
                 assertTrue(
                         scope == DedupScope.ALL
                                 || scope == DedupScope.ZONE && ran.zone().equals(pod.zone())
                                 || scope == DedupScope.CELL && ran.cell() == pod.cell(),
                         "sent outside its group");
                 assertTrue(
-                        s.atNs() < before.get(i).atNs() + set.routes().get(1).dedupNs(),
+                        s.atNs() < before.get(i).atNs() + set.routes().get(1).dedupWindowNs(),
                         "sent too late to drop");
                 break;
             }
@@ -347,7 +366,7 @@
         boolean stands =
                 news.phase() == RolloutStatus.Phase.ON_TRIAL
                         || news.phase() == RolloutStatus.Phase.RELEASED;
-        if (set.rollout().oneWay() && stands) {
+        if (set.rollout().keysAreOneWay() && stands) {
             assertTrue(pod.build() >= keyAt.getOrDefault(rq.key(), 0), "a key went back");
         }
         boolean announced = pod.build() == news.build();
@@ -355,11 +374,11 @@
                 || announced && news.phase() == RolloutStatus.Phase.RELEASED) {
             return;
         }
-        double cap = announced ? news.cap() : set.rollout().caps().get(0);
+        double cap = announced ? news.cap() : set.rollout().stageExposureCaps().get(0);
         int stage = announced ? news.stage() : 0;
         assertTrue(cap > 0, "sent at cap 0");
         assertTrue(
-                stage >= set.rollout().shieldedStages() || rq.route().equals("r"),
+                stage >= set.rollout().shieldedStageCount() || rq.route().equals("r"),
                 "sent through the shield");
         exposed.add(new ExposedTry(s.atNs(), pod.build(), rq.route()));
         // Each window that ends here, since the last change of the cap and no longer than the
@@ -367,7 +386,7 @@
         long since = announced ? caps.get(caps.size() - 1).atNs() : 0;
         for (ExposedTry from : exposed) {
             long start = from.atNs();
-            if (start < Math.max(since, s.atNs() - 3 * S) || from.build() != pod.build()) {
+            if (start < Math.max(since, s.atNs() - 3 * SECOND_NS) || from.build() != pod.build()) {
                 continue;
             }
             long n =
@@ -380,11 +399,12 @@
                             .filter(q -> takenAt.get(q.id()) >= start)
                             .filter(q -> counts(q.route(), rq.route()))
                             .count();
-            assertTrue(n <= set.rollout().uncounted() + cap * of + 1e-9, "exposed beyond the cap");
+            assertTrue(
+                    n <= set.rollout().exposureBurst() + cap * of + 1e-9, "exposed beyond the cap");
         }
     }
 
     private boolean counts(String route, String sent) {
-        return !set.rollout().countedByRoute() || route.equals(sent);
+        return !set.rollout().isExposurePerRoute() || route.equals(sent);
     }
 }
--- a/disk/src/main/java/mulleinlever/disk/Directory.java
+++ b/disk/src/main/java/mulleinlever/disk/Directory.java
@@ -7,9 +7,9 @@
 
 /**
  * One folder, as far as those need it that keep something there. What was written is sure to
- * outlast a crash only after {@link FileOutput#force}, and a file's name only after {@link #force}.
- * Any call may fail or take for ever: none is made on an event loop. Names are plain, without a
- * path.
+ * outlast a crash only after {@link FileOutput#force}, and a file's name only after {@link
+ * #forceDirectory}. Any call may fail or take for ever: none is made on an event loop. Names are
+ * plain, without a path.
  */
 public interface Directory {
     /** A file being written. */
@@ -43,13 +43,13 @@
     void delete(String name) throws IOException;
 
     /** After this, the names as they are now outlast a crash. */
-    void force() throws IOException;
+    void forceDirectory() throws IOException;
 
     /**
      * Holds a file of that name locked against other processes until closed; null where another
      * holds it.
      */
-    Closeable lock(String name) throws IOException;
+    Closeable tryLock(String name) throws IOException;
 
     /** A file that is longer than its reader takes. */
     final class FileTooLargeException extends IOException {
--- a/disk/src/main/java/mulleinlever/disk/FaultInjectingDirectory.java
+++ b/disk/src/main/java/mulleinlever/disk/FaultInjectingDirectory.java
@@ -21,10 +21,10 @@
 public final class FaultInjectingDirectory implements Directory {
     /** What befalls a call. */
     public enum Fault {
-        FAILS,
-        IS_FULL,
-        TEARS,
-        CRASHES
+        IO_ERROR,
+        NO_SPACE,
+        TORN_WRITE,
+        CRASH
     }
 
     /** The process ended within a call; nothing of it goes on. */
@@ -69,33 +69,33 @@
      * Lets trouble befall the call of that number, counted from 0 over all calls that touch the
      * disk.
      */
-    public synchronized void trouble(Fault what, int atCall) {
+    public synchronized void injectFault(Fault what, int atCall) {
         trouble = what;
         troubleAt = atCall;
     }
 
     /** How many calls there were. */
-    public synchronized int calls() {
+    public synchronized int callCount() {
         return calls;
     }
 
     /** Whether the process that used it has ended. */
-    public synchronized boolean crashed() {
+    public synchronized boolean hasCrashed() {
         return crashed;
     }
 
-    /** From now on calls wait until {@link #goOn}. */
-    public synchronized void hang() {
+    /** From now on calls wait until {@link #unblockCalls}. */
+    public synchronized void blockCalls() {
         hung = new CountDownLatch(1);
     }
 
-    public synchronized void goOn() {
+    public synchronized void unblockCalls() {
         hung.countDown();
         hung = null;
     }
 
     /** What another start finds after a crash now: this disk is not changed by it. */
-    public synchronized FaultInjectingDirectory afterCrash(long seed) {
+    public synchronized FaultInjectingDirectory copyAfterCrash(long seed) {
         FaultInjectingDirectory next = new FaultInjectingDirectory(seed);
         TreeMap<String, Content> left = new TreeMap<>(forcedNames);
         for (Naming n : namings) {
@@ -169,9 +169,9 @@
                 return false;
             }
             switch (trouble) {
-                case FAILS -> throw new IOException(what + ": Input/output error");
-                case IS_FULL -> throw new IOException(what + ": No space left on device");
-                case CRASHES -> {
+                case IO_ERROR -> throw new IOException(what + ": Input/output error");
+                case NO_SPACE -> throw new IOException(what + ": No space left on device");
+                case CRASH -> {
                     crashed = true;
                     return false;
                 }
@@ -215,7 +215,7 @@
     }
 
     /** Puts a file there as it stands, forced. */
-    public synchronized void put(String name, byte[] bytes) {
+    public synchronized void addForcedFile(String name, byte[] bytes) {
         Content c = new Content();
         c.forced = bytes.clone();
         c.now.writeBytes(bytes);
@@ -290,7 +290,7 @@
     }
 
     @Override
-    public void force() throws IOException {
+    public void forceDirectory() throws IOException {
         touch("folder");
         mayEndHere();
         synchronized (this) {
@@ -301,7 +301,7 @@
     }
 
     @Override
-    public synchronized Closeable lock(String name) {
+    public synchronized Closeable tryLock(String name) {
         if (locked.contains(name)) {
             return null;
         }
--- a/disk/src/main/java/mulleinlever/disk/FileSystemDirectory.java
+++ b/disk/src/main/java/mulleinlever/disk/FileSystemDirectory.java
@@ -25,7 +25,7 @@
     }
 
     /** Makes the folder, and those it lies in, where they are missing. */
-    public void make() throws IOException {
+    public void createDirectories() throws IOException {
         Files.createDirectories(folder);
     }
 
@@ -95,14 +95,14 @@
     }
 
     @Override
-    public void force() throws IOException {
+    public void forceDirectory() throws IOException {
         try (FileChannel names = FileChannel.open(folder, StandardOpenOption.READ)) {
             names.force(true);
         }
     }
 
     @Override
-    public Closeable lock(String name) throws IOException {
+    public Closeable tryLock(String name) throws IOException {
         FileChannel at =
                 FileChannel.open(
                         folder.resolve(name), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
--- a/disk/src/test/java/mulleinlever/disk/DirectoryTest.java
+++ b/disk/src/test/java/mulleinlever/disk/DirectoryTest.java
@@ -20,7 +20,7 @@
 import org.junit.jupiter.api.io.TempDir;
 
 class DirectoryTest {
-    @TempDir Path folder;
+    @TempDir Path tempDir;
 
     private static ByteBuffer bytes(String text) {
         return ByteBuffer.wrap(text.getBytes(StandardCharsets.US_ASCII));
@@ -41,10 +41,10 @@
 
     /** The folder and the one in memory agree on what calls do. */
     @Test
-    void bothDoTheSame() throws IOException {
-        FileSystemDirectory real = new FileSystemDirectory(folder.resolve("a/b"));
+    void implementationsBehaveAlike() throws IOException {
+        FileSystemDirectory real = new FileSystemDirectory(tempDir.resolve("a/b"));
         assertThrows(NoSuchFileException.class, real::list);
-        real.make();
+        real.createDirectories();
         for (Directory d : List.of(real, new FaultInjectingDirectory(1))) {
             write(d, "b", "one", "two");
             write(d, "a", "x");
@@ -54,35 +54,35 @@
             assertEquals("onetwo", text(d, "a"));
             write(d, "a", "short");
             assertEquals("short", text(d, "a"));
-            d.force();
+            d.forceDirectory();
             assertThrows(Directory.FileTooLargeException.class, () -> d.read("a", 4));
             assertThrows(NoSuchFileException.class, () -> d.read("b", 4));
             assertThrows(NoSuchFileException.class, () -> d.rename("b", "c"));
             d.delete("a");
             d.delete("a");
             assertEquals(List.of(), d.list());
-            Closeable lock = d.lock("lock");
+            Closeable lock = d.tryLock("lock");
             assertNotNull(lock);
-            assertNull(d.lock("lock"));
+            assertNull(d.tryLock("lock"));
             lock.close();
-            d.lock("lock").close();
+            d.tryLock("lock").close();
         }
     }
 
     @Test
-    void forcedOutlastsACrashAndTheRestMayOrMayNot() throws IOException {
+    void forcedDataSurvivesCrashAndUnforcedMayNot() throws IOException {
         Set<String> seen = new HashSet<>();
         for (int seed = 0; seed < 200; seed++) {
             FaultInjectingDirectory d = new FaultInjectingDirectory(seed);
             Directory.FileOutput kept = d.create("kept");
             kept.write(bytes("sure"));
             kept.force();
-            d.force();
+            d.forceDirectory();
             kept.write(bytes("AB"));
             kept.write(bytes("CD"));
             write(d, "tmp", "new");
             d.rename("tmp", "new");
-            FaultInjectingDirectory after = d.afterCrash(seed);
+            FaultInjectingDirectory after = d.copyAfterCrash(seed);
             String left = text(after, "kept");
             assertTrue(left.startsWith("sure"), left);
             seen.add(
@@ -107,10 +107,10 @@
     }
 
     @Test
-    void troubleComesWhereItWasAskedFor() throws IOException {
+    void faultHitsRequestedCall() throws IOException {
         for (int call = 0; call < 5; call++) {
             FaultInjectingDirectory d = new FaultInjectingDirectory(1);
-            d.trouble(FaultInjectingDirectory.Fault.FAILS, call);
+            d.injectFault(FaultInjectingDirectory.Fault.IO_ERROR, call);
             assertThrows(
                     IOException.class,
                     () -> {
@@ -119,11 +119,11 @@
                     });
         }
         FaultInjectingDirectory torn = new FaultInjectingDirectory(1);
-        torn.trouble(FaultInjectingDirectory.Fault.TEARS, 1);
+        torn.injectFault(FaultInjectingDirectory.Fault.TORN_WRITE, 1);
         assertThrows(IOException.class, () -> write(torn, "a", "1234"));
         assertArrayEquals("12".getBytes(StandardCharsets.US_ASCII), torn.read("a", 9));
         FaultInjectingDirectory dead = new FaultInjectingDirectory(1);
-        dead.trouble(FaultInjectingDirectory.Fault.CRASHES, 0);
+        dead.injectFault(FaultInjectingDirectory.Fault.CRASH, 0);
         assertThrows(FaultInjectingDirectory.SimulatedCrashError.class, () -> dead.create("a"));
         assertThrows(FaultInjectingDirectory.SimulatedCrashError.class, dead::list);
     }
--- a/drill/src/main/java/mulleinlever/drill/DrillSession.java
+++ b/drill/src/main/java/mulleinlever/drill/DrillSession.java
@@ -42,18 +42,19 @@
     /** Serves batches until the input ends between two of them. */
     public void run() throws IOException {
         for (WireLine l = next(); l != null; l = next()) {
-            if (l.message.isEmpty()) {
+            if (l.messageType.isEmpty()) {
                 continue;
             }
-            if (!l.message.equals("TICK")) {
-                throw new DrillInputException(l.no, "expected TICK, found " + l.message);
+            if (!l.messageType.equals("TICK")) {
+                throw new DrillInputException(
+                        l.lineNumber, "expected TICK, found " + l.messageType);
             }
-            now = l.whole("timeNs");
-            String frame = l.text("frame");
+            now = l.getLong("timeNs");
+            String frame = l.getString("frame");
             about = null;
             speaker = null;
             reply.setLength(0);
-            for (l = inBatch(); !l.message.equals("END"); l = inBatch()) {
+            for (l = inBatch(); !l.messageType.equals("END"); l = inBatch()) {
                 event(l);
             }
             reply.append("EOR\tframe=").append(frame).append('\n');
@@ -63,7 +64,7 @@
     }
 
     /** The answers of one sidecar go under its name. */
-    StringBuilder speak(String sidecar) {
+    StringBuilder outputFor(String sidecar) {
         if (!sidecar.equals(speaker)) {
             reply.append("AT\tsidecarId=").append(sidecar).append('\n');
             speaker = sidecar;
@@ -86,8 +87,8 @@
     }
 
     private void event(WireLine l) throws IOException {
-        switch (l.message) {
-            case "ABOUT" -> about = l.text("sidecarId");
+        switch (l.messageType) {
+            case "ABOUT" -> about = l.getString("sidecarId");
             case "DEFINE_LIST" -> define(l);
             case "POWER_ON",
                     "BACKENDS_CHANGED",
@@ -103,141 +104,145 @@
                     "DISPUTED",
                     "REPORT_BACK" -> {
                 if (about == null) {
-                    throw l.bad("needs an ABOUT line before it");
+                    throw l.lineError("needs an ABOUT line before it");
                 }
                 decide(l);
             }
-            default -> throw new DrillInputException(l.no, "no such message: " + l.message);
+            default ->
+                    throw new DrillInputException(
+                            l.lineNumber, "no such message: " + l.messageType);
         }
     }
 
     private void decide(WireLine l) {
         try {
-            if (l.message.equals("POWER_ON")) {
+            if (l.messageType.equals("POWER_ON")) {
                 WirePolicyActions host = new WirePolicyActions(this, about);
-                running.put(about, new Policy(SettingsReader.read(l), l.whole("prng"), now, host));
+                running.put(
+                        about, new Policy(SettingsReader.read(l), l.getLong("prng"), now, host));
                 return;
             }
             Policy policy = running.get(about);
             if (policy == null) {
-                throw l.bad("needs a sidecar that was started: " + about);
+                throw l.lineError("needs a sidecar that was started: " + about);
             }
             call(policy, l);
         } catch (DrillInputException e) {
             throw e;
         } catch (RuntimeException e) {
             StackTraceElement[] at = e.getStackTrace();
-            String text = WirePolicyActions.oneLine(e + (at.length > 0 ? " at " + at[0] : ""));
-            speak(about).append("BROKEN\tnoteText=").append(text).append('\n');
+            String text = WirePolicyActions.toSingleLine(e + (at.length > 0 ? " at " + at[0] : ""));
+            outputFor(about).append("BROKEN\tnoteText=").append(text).append('\n');
         }
     }
 
     private void call(Policy policy, WireLine l) {
-        switch (l.message) {
+        switch (l.messageType) {
             case "BACKENDS_CHANGED" -> list(policy, l);
             case "NEW_REQUEST" ->
-                    policy.req(
+                    policy.onReq(
                             now,
                             new Req(
-                                    l.text("ticket"),
-                                    l.text("cls"),
-                                    l.flag("repeat", false),
-                                    l.flag("isWrite", false),
-                                    l.whole("expiresInNs"),
-                                    l.whole("workNs", 0),
-                                    l.whole("item", -1),
+                                    l.getString("ticket"),
+                                    l.getString("cls"),
+                                    l.getBoolean("repeat", false),
+                                    l.getBoolean("isWrite", false),
+                                    l.getLong("expiresInNs"),
+                                    l.getLong("workNs", 0),
+                                    l.getLong("item", -1),
                                     tenant(l)));
-            case "HEAD_RECEIVED" -> policy.streamBegan(now, l.text("ticket"));
+            case "HEAD_RECEIVED" -> policy.onStreamStarted(now, l.getString("ticket"));
             case "PROMOTION" -> news(policy, l);
-            case "CLIENT_GONE" -> policy.clientGone(now, l.text("ticket"));
+            case "CLIENT_GONE" -> policy.onClientDisconnected(now, l.getString("ticket"));
             // The module asks for no probes and no peers' messages.
             case "ECHO", "PEER_DATA" -> {}
             case "PLATFORM_SAW" ->
-                    policy.tally(
+                    policy.onPlatformTally(
                             now,
-                            l.text("cls"),
-                            l.count("buildNo"),
-                            l.number("n", 0),
-                            l.number("failed", 0),
-                            l.whole("rttNs", 0),
-                            l.whole("ageNs", 0));
-            case "ELAPSED" -> policy.timer(now, l.text("nonce"));
+                            l.getString("cls"),
+                            l.getInt("buildNo"),
+                            l.getDouble("n", 0),
+                            l.getDouble("failed", 0),
+                            l.getLong("rttNs", 0),
+                            l.getLong("ageNs", 0));
+            case "ELAPSED" -> policy.onTimer(now, l.getString("nonce"));
             case "DETACH" -> running.remove(about);
-            case "DISPUTED" -> policy.flagged(now, l.text("pod"), l.text("cls"));
+            case "DISPUTED" -> policy.onComplaint(now, l.getString("pod"), l.getString("cls"));
             default ->
-                    policy.tryEnded(
+                    policy.onTryEnded(
                             now,
-                            l.text("ticket"),
-                            l.count("sendNo"),
-                            l.word("ending", TryOutcome.class),
-                            l.whole("rttNs", 0),
-                            l.flag("complete", false));
+                            l.getString("ticket"),
+                            l.getInt("sendNo"),
+                            l.getEnum("ending", TryOutcome.class),
+                            l.getLong("rttNs", 0),
+                            l.getBoolean("complete", false));
         }
     }
 
     private void define(WireLine head) throws IOException {
-        int n = head.count("members");
+        int n = head.getInt("members");
         List<PodEntry> entries = new ArrayList<>();
         for (int i = 0; i < n; i++) {
             WireLine l = inBatch();
-            if (!l.message.equals("M")) {
+            if (!l.messageType.equals("M")) {
                 throw new DrillInputException(
-                        l.no, "expected entry " + (i + 1) + " of " + n + ", found " + l.message);
+                        l.lineNumber,
+                        "expected entry " + (i + 1) + " of " + n + ", found " + l.messageType);
             }
             entries.add(
                     new PodEntry(
-                            l.text("pod"),
-                            l.text("locality", ""),
-                            l.text("model", ""),
-                            (int) l.whole("stripe", 0),
-                            (int) l.number("edition", 0),
-                            l.word("state", PodEntry.State.class),
-                            l.number("capacityHint", 1),
-                            l.whole("readyAtNs", 0)));
+                            l.getString("pod"),
+                            l.getString("locality", ""),
+                            l.getString("model", ""),
+                            (int) l.getLong("stripe", 0),
+                            (int) l.getDouble("edition", 0),
+                            l.getEnum("state", PodEntry.State.class),
+                            l.getDouble("capacityHint", 1),
+                            l.getLong("readyAtNs", 0)));
         }
-        lists.put(head.whole("ref"), entries);
+        lists.put(head.getLong("ref"), entries);
     }
 
     private void list(Policy policy, WireLine l) {
-        String how = l.text("how");
+        String how = l.getString("how");
         if (how.equals("failed")) {
-            policy.listFailed(now);
+            policy.onPodListWatchFailed(now);
             return;
         }
-        List<PodEntry> entries = lists.get(l.whole("ref"));
+        List<PodEntry> entries = lists.get(l.getLong("ref"));
         if (entries == null) {
-            throw l.bad("needs a list that was defined: " + l.text("ref"));
+            throw l.lineError("needs a list that was defined: " + l.getString("ref"));
         }
         switch (how) {
-            case "delta" -> policy.listChanged(now, entries);
-            case "full", "cached" -> policy.listWhole(now, entries);
-            default -> throw l.bad("needs delta, full, cached or failed in how");
+            case "delta" -> policy.onPodListUpdated(now, entries);
+            case "full", "cached" -> policy.onPodListReplaced(now, entries);
+            default -> throw l.lineError("needs delta, full, cached or failed in how");
         }
     }
 
     private void news(Policy policy, WireLine l) {
-        boolean ok = l.text("ending", "ok").equals("ok");
-        if (l.whole("how", 0) == 1) {
-            policy.voteAnswered(now, ok);
+        boolean ok = l.getString("ending", "ok").equals("ok");
+        if (l.getLong("how", 0) == 1) {
+            policy.onVoteAnswered(now, ok);
         }
         if (ok) {
-            int phase = l.count("whereAt");
+            int phase = l.getInt("whereAt");
             if (phase < 0 || phase >= PHASES.length) {
-                throw l.bad("needs 0 to 3 in whereAt");
+                throw l.lineError("needs 0 to 3 in whereAt");
             }
-            policy.news(
+            policy.onRolloutStatus(
                     now,
                     new RolloutStatus(
-                            l.count("buildNo"),
-                            l.count("step"),
+                            l.getInt("buildNo"),
+                            l.getInt("step"),
                             PHASES[phase],
-                            l.number("exposure", 0),
-                            l.whole("ageNs", 0)));
+                            l.getDouble("exposure", 0),
+                            l.getLong("ageNs", 0)));
         }
     }
 
     private static String tenant(WireLine l) {
-        String name = l.text("owner", "0");
+        String name = l.getString("owner", "0");
         return name.equals("0") ? null : name;
     }
 }
--- a/drill/src/main/java/mulleinlever/drill/WireLine.java
+++ b/drill/src/main/java/mulleinlever/drill/WireLine.java
@@ -4,27 +4,28 @@
 
 /** One line of the wire: its message and the fields behind it. */
 final class WireLine extends FieldReader {
-    final long no;
-    final String message;
+    final long lineNumber;
+    final String messageType;
     private final String[] parts;
 
     WireLine(long no, String text) {
-        this.no = no;
+        this.lineNumber = no;
         this.parts = text.split("\t", -1);
-        this.message = parts[0];
+        this.messageType = parts[0];
     }
 
-    DrillInputException bad(String expected) {
-        return new DrillInputException(no, message + " " + expected);
+    DrillInputException lineError(String expected) {
+        return new DrillInputException(lineNumber, messageType + " " + expected);
     }
 
     @Override
-    public DrillInputException bad(String name, String needs) {
-        return bad(needs == null ? "needs the field " + name : "needs " + needs + " in " + name);
+    public DrillInputException fieldError(String name, String needs) {
+        return lineError(
+                needs == null ? "needs the field " + name : "needs " + needs + " in " + name);
     }
 
     @Override
-    protected String find(String name) {
+    protected String findValue(String name) {
         for (int i = 1; i < parts.length; i++) {
             String p = parts[i];
             if (p.length() > name.length()
