--- a/drill/src/main/java/mulleinlever/drill/WirePolicyActions.java
+++ b/drill/src/main/java/mulleinlever/drill/WirePolicyActions.java
@@ -14,7 +14,7 @@
     }
 
     @Override
-    public void relay(String rq, String pod, long writeWithinNs, long limitNs) {
+    public void startTry(String rq, String pod, long writeWithinNs, long limitNs) {
         say().append("RELAY\tticket=")
                 .append(rq)
                 .append("\tpod=")
@@ -25,7 +25,7 @@
     }
 
     @Override
-    public void shed(String rq, long backoffNs) {
+    public void shedReq(String rq, long backoffNs) {
         say().append("SHED\tticket=")
                 .append(rq)
                 .append("\tbackoffNs=")
@@ -34,17 +34,17 @@
     }
 
     @Override
-    public void error(String rq) {
+    public void failReq(String rq) {
         say().append("LOSE\tticket=").append(rq).append('\n');
     }
 
     @Override
-    public void cancel(String rq, int tryNo) {
+    public void cancelTry(String rq, int tryNo) {
         say().append("REVOKE\tticket=").append(rq).append("\tsendNo=").append(tryNo).append('\n');
     }
 
     @Override
-    public void vote(int build, int stage, RolloutVote verdict) {
+    public void castVote(int build, int stage, RolloutVote verdict) {
         say().append("SAY_SO\tbuildNo=")
                 .append(build)
                 .append("\tstep=")
@@ -55,25 +55,25 @@
     }
 
     @Override
-    public void watchList() {
+    public void watchPodList() {
         say().append("KEEP_INFORMED\ton=1\n");
     }
 
     @Override
-    public void timer(long atNs, String token) {
+    public void scheduleTimer(long atNs, String token) {
         say().append("NOTIFY_ME\tatNs=").append(atNs).append("\tnonce=").append(token).append('\n');
     }
 
     @Override
     public void log(String line) {
-        say().append("PRINT\tnoteText=").append(oneLine(line)).append('\n');
+        say().append("PRINT\tnoteText=").append(toSingleLine(line)).append('\n');
     }
 
-    static String oneLine(String text) {
+    static String toSingleLine(String text) {
         return text.replaceAll("[\\t\\r\\n]+", " ");
     }
 
     private StringBuilder say() {
-        return drill.speak(sidecar);
+        return drill.outputFor(sidecar);
     }
 }
--- a/drill/src/test/java/mulleinlever/drill/DrillTest.java
+++ b/drill/src/test/java/mulleinlever/drill/DrillTest.java
@@ -23,7 +23,7 @@
     }
 
     @Test
-    void eachBatchGetsItsReply() throws IOException {
+    void repliesToEachBatch() throws IOException {
         assertEquals(
                 "EOR\tframe=7\nEOR\tframe=8\n",
                 drill("TICK timeNs=1 frame=7\nEND\nTICK timeNs=2 frame=8\nEND\n"));
@@ -41,7 +41,7 @@
         "TICK timeNs=1 frame=1|DEFINE_LIST ref=0 members=2|M pod=a state=ready|END, line 4: expected entry 2",
         "TICK timeNs=1 frame=1|DEFINE_LIST ref=0 members=1|M pod=a state=odd, line 3: M needs a known word"
     })
-    void badInputIsNamedByItsLine(String input, String message) {
+    void invalidInputReportsLineNumber(String input, String message) {
         var e = assertThrows(DrillInputException.class, () -> drill(input.replace('|', '\n')));
         assertTrue(e.getMessage().startsWith(message), e.getMessage());
     }
--- a/lab/src/main/java/mulleinlever/lab/FleetLog.java
+++ b/lab/src/main/java/mulleinlever/lab/FleetLog.java
@@ -56,7 +56,7 @@
     private final TreeMap<Long, Map<String, Double>> seconds = new TreeMap<>();
     private final List<ReqLogLine> told = new ArrayList<>();
 
-    private record ReqLogLine(double at, String sidecar, String text) {}
+    private record ReqLogLine(double timeSeconds, String sidecar, String text) {}
 
     @Parameters(
             index = "0",
@@ -84,7 +84,7 @@
                 }
             }
         }
-        all.told.sort(Comparator.comparingDouble(ReqLogLine::at));
+        all.told.sort(Comparator.comparingDouble(ReqLogLine::timeSeconds));
         return all;
     }
 
@@ -109,9 +109,16 @@
     }
 
     /** Lines of the id that was asked for, in order of time: seconds, sidecar, what it said. */
-    List<String> story() {
+    List<String> reqTimeline() {
         return told.stream()
-                .map(t -> String.format(Locale.ROOT, "%9.3f %s %s", t.at, t.sidecar, t.text))
+                .map(
+                        t ->
+                                String.format(
+                                        Locale.ROOT,
+                                        "%9.3f %s %s",
+                                        t.timeSeconds,
+                                        t.sidecar,
+                                        t.text))
                 .toList();
     }
 
@@ -119,7 +126,7 @@
      * A row a second, a column for each figure told in any; what stands at a moment as the mean
      * over the sidecars.
      */
-    void print(PrintStream out) {
+    void printTable(PrintStream out) {
         List<String> columns = new ArrayList<>();
         seconds.values()
                 .forEach(
@@ -150,9 +157,9 @@
     public Integer call() throws IOException {
         FleetLog all = read(folder, id);
         if (id != null) {
-            all.story().forEach(System.out::println);
+            all.reqTimeline().forEach(System.out::println);
         } else {
-            all.print(System.out);
+            all.printTable(System.out);
         }
         return 0;
     }
--- a/lab/src/main/java/mulleinlever/lab/RestartBenchmark.java
+++ b/lab/src/main/java/mulleinlever/lab/RestartBenchmark.java
@@ -75,21 +75,22 @@
     /**
      * What a sidecar starts from.
      *
-     * @param remembers whether it has what it kept
-     * @param olderNs how long before the usual that was captured
-     * @param changed the part of the sick pods that others have taken the place of since
-     * @param meanwhile whether they did so while the sidecar was down, so that nobody knows it yet;
-     *     else all others do
+     * @param hasSavedState whether it has what it kept
+     * @param extraAgeNs how long before the usual that was captured
+     * @param changedShare the part of the sick pods that others have taken the place of since
+     * @param changesWhileDown whether they did so while the sidecar was down, so that nobody knows
+     *     it yet; else all others do
      */
     private record RestartScenario(
             String name,
-            boolean restarts,
-            boolean remembers,
-            boolean corrupt,
-            long olderNs,
-            double changed,
-            boolean meanwhile) {
-        static RestartScenario kept(String name, boolean corrupt, long olderS, double changed) {
+            boolean isRestarted,
+            boolean hasSavedState,
+            boolean isCorrupt,
+            long extraAgeNs,
+            double changedShare,
+            boolean changesWhileDown) {
+        static RestartScenario withSavedState(
+                String name, boolean corrupt, long olderS, double changed) {
             return new RestartScenario(name, true, true, corrupt, olderS * SECOND, changed, false);
         }
     }
@@ -115,13 +116,13 @@
         List<RestartScenario> all = new ArrayList<>();
         all.add(new RestartScenario("not restarted", false, false, false, 0, 0, false));
         all.add(new RestartScenario("cold", true, false, false, 0, 0, false));
-        all.add(RestartScenario.kept("remembered", false, 0, 0));
-        all.add(RestartScenario.kept("wrong: other pods are sick", false, 0, 1));
-        all.add(RestartScenario.kept("stale by 5 s", false, 5, changedWithin(5)));
-        all.add(RestartScenario.kept("stale by 1 min", false, 60, changedWithin(60)));
-        all.add(RestartScenario.kept("stale by 1 h", false, 3600, changedWithin(3600)));
-        all.add(RestartScenario.kept("stale by 3 days", false, 3 * 86_400, 1));
-        all.add(RestartScenario.kept("corrupt", true, 0, 0));
+        all.add(RestartScenario.withSavedState("remembered", false, 0, 0));
+        all.add(RestartScenario.withSavedState("wrong: other pods are sick", false, 0, 1));
+        all.add(RestartScenario.withSavedState("stale by 5 s", false, 5, changedWithin(5)));
+        all.add(RestartScenario.withSavedState("stale by 1 min", false, 60, changedWithin(60)));
+        all.add(RestartScenario.withSavedState("stale by 1 h", false, 3600, changedWithin(3600)));
+        all.add(RestartScenario.withSavedState("stale by 3 days", false, 3 * 86_400, 1));
+        all.add(RestartScenario.withSavedState("corrupt", true, 0, 0));
         all.add(
                 new RestartScenario(
                         "all sick pods change meanwhile", false, false, false, 0, 1, true));
@@ -209,9 +210,9 @@
                         List.of("a", "b"),
                         List.of(
                                 new EmulatedFleet.RouteTraffic(
-                                        EmulationSettings.route(
+                                        EmulationSettings.createRoute(
                                                 "read",
-                                                Settings.RetrySafety.RETRIABLE,
+                                                Settings.RetrySafety.IDEMPOTENT,
                                                 150,
                                                 1000,
                                                 1),
@@ -219,20 +220,24 @@
                                         10_000_000,
                                         30_000_000),
                                 new EmulatedFleet.RouteTraffic(
-                                        EmulationSettings.route(
-                                                "write", Settings.RetrySafety.DEDUPED, 100, 800, 3),
+                                        EmulationSettings.createRoute(
+                                                "write",
+                                                Settings.RetrySafety.DEDUPLICATED,
+                                                100,
+                                                800,
+                                                3),
                                         0.3,
                                         5_000_000,
                                         15_000_000)),
                         0);
         EmulatedFleet.FleetSpec loaded =
                 new EmulatedFleet.FleetSpec(
-                        size.pods(),
-                        size.cores(),
-                        size.sidecars(),
+                        size.podCount(),
+                        size.coresPerPod(),
+                        size.sidecarCount(),
                         size.zones(),
                         size.traffic(),
-                        load * 0.8 * size.capacity());
+                        load * 0.8 * size.capacityReqsPerSecond());
         EmulatedFleet world =
                 new EmulatedFleet(
                         loaded,
@@ -244,7 +249,7 @@
                             }
                             boolean lost =
                                     answer != EmulatedSidecar.ReqOutcome.COMPLETED
-                                            || tookNs > route.objectiveNs();
+                                            || tookNs > route.latencyObjectiveNs();
                             for (int w = 0; w < WINDOWS.length; w++) {
                                 if (askedNs < back + WINDOWS[w]) {
                                     count.asked[w]++;
@@ -258,37 +263,41 @@
         List<Integer> restarted = IntStream.range(0, all ? sidecars : 1).boxed().toList();
         long captured = START + RUN_IN - random.nextLong(10 * SECOND);
         Map<Integer, FaultInjectingDirectory> disks = new HashMap<>();
-        if (how.remembers) {
+        if (how.hasSavedState) {
             // As it was then: a world of its own, in which other pods were sick.
             EmulatedFleet then =
                     new EmulatedFleet(
                             loaded, seed, START, (sidecar, route, askedNs, tookNs, answer) -> {});
             sicken(then, sick);
-            change(then, sick, how.meanwhile ? 0 : how.changed, new SplittableRandom(seed + 1));
-            then.agenda().runUntil(captured);
+            change(
+                    then,
+                    sick,
+                    how.changesWhileDown ? 0 : how.changedShare,
+                    new SplittableRandom(seed + 1));
+            then.scheduler().runUntil(captured);
             for (int i : restarted) {
                 disks.put(i, keep(then, i, how));
             }
         }
-        world.agenda().runUntil(START + RUN_IN);
-        if (how.restarts) {
-            restarted.forEach(world::kill);
+        world.scheduler().runUntil(START + RUN_IN);
+        if (how.isRestarted) {
+            restarted.forEach(world::killSidecar);
         }
-        world.agenda().runUntil(START + RUN_IN + DOWN / 2);
-        change(world, sick, how.meanwhile ? how.changed : 0, random);
-        world.agenda().runUntil(back);
+        world.scheduler().runUntil(START + RUN_IN + DOWN / 2);
+        change(world, sick, how.changesWhileDown ? how.changedShare : 0, random);
+        world.scheduler().runUntil(back);
         List<EmulatedPod> cold = world.pods().subList(pods - COLD_PODS, pods);
-        cold.forEach(world::restart);
+        cold.forEach(world::restartPod);
         for (int i : restarted) {
-            if (how.restarts) {
-                EmulatedSidecar s = world.start(i);
-                if (how.remembers) {
+            if (how.isRestarted) {
+                EmulatedSidecar s = world.startSidecar(i);
+                if (how.hasSavedState) {
                     recall(world, i, s, disks.get(i));
                 }
             }
         }
         watchCold(world, cold, count, back);
-        world.agenda().runUntil(back + WINDOWS[WINDOWS.length - 1] + 2 * SECOND);
+        world.scheduler().runUntil(back + WINDOWS[WINDOWS.length - 1] + 2 * SECOND);
         return count;
     }
 
@@ -302,16 +311,18 @@
         cold.forEach(p -> before.put(p, new long[12]));
         for (int k = 0; k < 40; k++) {
             int at = k;
-            world.agenda()
-                    .at(
+            world.scheduler()
+                    .scheduleAt(
                             from + k * step,
                             () ->
                                     cold.forEach(
                                             p -> {
                                                 long[] seen = before.get(p);
-                                                seen[at % 11] = p.arrived();
+                                                seen[at % 11] = p.arrivedTryCount();
                                                 if (at >= 10) {
-                                                    long lately = p.arrived() - seen[(at + 1) % 11];
+                                                    long lately =
+                                                            p.arrivedTryCount()
+                                                                    - seen[(at + 1) % 11];
                                                     double age = (at - 5) / 40.0;
                                                     double can =
                                                             (0.3 + 0.7 * age)
@@ -348,9 +359,9 @@
 
     private static void sicken(EmulatedPod pod, boolean slow) {
         if (slow) {
-            pod.speed(0.2);
+            pod.setSpeed(0.2);
         } else {
-            pod.hangs(true);
+            pod.setHung(true);
         }
     }
 
@@ -365,8 +376,8 @@
                         .collect(Collectors.toCollection(ArrayList::new));
         for (int i = 0; i < sick.length; i++) {
             if (random.nextDouble() < part) {
-                pods.get(sick[i]).speed(1);
-                pods.get(sick[i]).hangs(false);
+                pods.get(sick[i]).setSpeed(1);
+                pods.get(sick[i]).setHung(false);
                 sicken(pods.get(well.remove(random.nextInt(well.size()))), i < sick.length / 2);
             }
         }
@@ -376,13 +387,14 @@
             throws InterruptedException, ExecutionException {
         FaultInjectingDirectory disk = new FaultInjectingDirectory(1);
         StateStore keeper = new StateStore(disk, 3, 1 << 24, "n" + i, l -> {});
-        keeper.open().get();
+        keeper.openAsync().get();
         SnapshotBuilder c =
                 new SnapshotBuilder(
-                        world.sidecar(i).policy().learned(world.agenda().now()), id -> id + ":1");
-        c.slice(world.agenda()::now, Long.MAX_VALUE);
+                        world.sidecar(i).policy().exportLearned(world.scheduler().nowNs()),
+                        id -> id + ":1");
+        c.collectUntil(world.scheduler()::nowNs, Long.MAX_VALUE);
         keeper.offer(
-                c.kept(
+                c.toSnapshot(
                         new StateSnapshot.Header(
                                 "lab",
                                 "n" + i,
@@ -390,16 +402,16 @@
                                 world.settings(i).zone(),
                                 1,
                                 0,
-                                (world.agenda().now() - how.olderNs) / 1_000_000,
+                                (world.scheduler().nowNs() - how.extraAgeNs) / 1_000_000,
                                 1),
-                        world.news()));
+                        world.rolloutStatus()));
         keeper.close(30 * SECOND);
-        if (how.corrupt) {
-            String name = StateStore.name(1);
+        if (how.isCorrupt) {
+            String name = StateStore.fileName(1);
             try {
                 byte[] bytes = disk.read(name, 1 << 24);
                 bytes[bytes.length / 2] ^= 1;
-                disk.put(name, bytes);
+                disk.addForcedFile(name, bytes);
             } catch (IOException e) {
                 throw new IllegalStateException(e);
             }
@@ -411,8 +423,8 @@
             EmulatedFleet world, int i, EmulatedSidecar s, FaultInjectingDirectory disk)
             throws InterruptedException, ExecutionException {
         StateStore keeper = new StateStore(disk, 3, 1 << 24, "n" + i, l -> {});
-        StateStore.LoadResult found = keeper.open().get();
-        if (found.kept() != null) {
+        StateStore.LoadResult found = keeper.openAsync().get();
+        if (found.snapshot() != null) {
             Map<String, PodEntry> listed = new HashMap<>();
             Map<String, String> addresses = new HashMap<>();
             world.pods()
@@ -421,12 +433,12 @@
                                 listed.put(p.entry().id(), p.entry());
                                 addresses.put(p.entry().id(), p.entry().id() + ":1");
                             });
-            long now = world.agenda().now();
+            long now = world.scheduler().nowNs();
             Settings set = world.settings(i);
             SnapshotFilter.RestoreResult taken =
-                    SnapshotFilter.of(
-                            found.kept(),
-                            StateDecay.age(found.kept().head().unixMs(), now),
+                    SnapshotFilter.filter(
+                            found.snapshot(),
+                            StateDecay.computeAgeNs(found.snapshot().head().unixMs(), now),
                             new SnapshotFilter.RestoreContext(
                                     set.zone(),
                                     set.routes().stream()
@@ -434,8 +446,8 @@
                                             .collect(Collectors.toSet()),
                                     listed,
                                     addresses));
-            for (LearnedState l : taken.learned()) {
-                s.policy().recall(now, l);
+            for (LearnedState l : taken.restoredValues()) {
+                s.policy().restoreLearned(now, l);
             }
         }
         keeper.close(SECOND);
--- a/lab/src/main/java/mulleinlever/lab/emu/EmulatedFleet.java
+++ b/lab/src/main/java/mulleinlever/lab/emu/EmulatedFleet.java
@@ -17,24 +17,24 @@
 
     /** What a route's reqs are like, beside its settings. */
     public record RouteTraffic(
-            Settings.RouteSettings route, double share, long leastWorkNs, long mostWorkNs) {
+            Settings.RouteSettings route, double reqShare, long minWorkNs, long maxWorkNs) {
         double meanWorkNs() {
-            return (leastWorkNs + mostWorkNs) / 2.0;
+            return (minWorkNs + maxWorkNs) / 2.0;
         }
     }
 
     /** What a world consists of. */
     public record FleetSpec(
-            int pods,
-            int cores,
-            int sidecars,
+            int podCount,
+            int coresPerPod,
+            int sidecarCount,
             List<String> zones,
             List<RouteTraffic> traffic,
             double reqsPerSecond) {
         /** Reqs a second that all cores together can do. */
-        public double capacity() {
-            double meanNs = traffic.stream().mapToDouble(t -> t.share() * t.meanWorkNs()).sum();
-            return pods * cores * 1e9 / meanNs;
+        public double capacityReqsPerSecond() {
+            double meanNs = traffic.stream().mapToDouble(t -> t.reqShare() * t.meanWorkNs()).sum();
+            return podCount * coresPerPod * 1e9 / meanNs;
         }
     }
 
@@ -42,7 +42,7 @@
      * Hears of each req's end; without an answer {@code how} is null, at the end of its patience.
      */
     public interface ReqListener {
-        void ended(
+        void onReqEnded(
                 int sidecar,
                 Settings.RouteSettings route,
                 long askedNs,
@@ -65,9 +65,9 @@
         this.seed = seed;
         this.agenda = new VirtualTimeScheduler(startNs);
         this.watch = watch;
-        this.sidecars = new EmulatedSidecar[size.sidecars()];
-        this.starts = new int[size.sidecars()];
-        for (int i = 0; i < size.pods(); i++) {
+        this.sidecars = new EmulatedSidecar[size.sidecarCount()];
+        this.starts = new int[size.sidecarCount()];
+        for (int i = 0; i < size.podCount(); i++) {
             PodEntry e =
                     new PodEntry(
                             "pod-" + i,
@@ -76,12 +76,12 @@
                             i % 4,
                             1,
                             PodEntry.State.READY,
-                            size.cores(),
+                            size.coresPerPod(),
                             0);
-            pods.put(e.id(), new EmulatedPod(agenda, e, size.cores(), 1000));
+            pods.put(e.id(), new EmulatedPod(agenda, e, size.coresPerPod(), 1000));
         }
-        for (int i = 0; i < size.sidecars(); i++) {
-            start(i);
+        for (int i = 0; i < size.sidecarCount(); i++) {
+            startSidecar(i);
             clients(i);
         }
     }
@@ -96,7 +96,7 @@
                 seed * 0x9E3779B97F4A7C15L + part.hashCode() * 0x632BE59BD9B4E019L + no);
     }
 
-    public VirtualTimeScheduler agenda() {
+    public VirtualTimeScheduler scheduler() {
         return agenda;
     }
 
@@ -112,40 +112,40 @@
         return sidecars[i];
     }
 
-    public RolloutStatus news() {
+    public RolloutStatus rolloutStatus() {
         return news;
     }
 
     public Settings settings(int i) {
-        return EmulationSettings.of(
+        return EmulationSettings.createSettings(
                 i,
-                size.sidecars(),
+                size.sidecarCount(),
                 zone(i),
                 size.zones(),
                 size.traffic().stream().map(RouteTraffic::route).toList());
     }
 
-    long oneWayNs(String from, String to) {
+    long oneWayLatencyNs(String from, String to) {
         return from.equals(to) ? 100_000 : 500_000;
     }
 
     /**
      * A sidecar's process begins, with the list and the news as they are; it knows nothing else.
      */
-    public EmulatedSidecar start(int i) {
+    public EmulatedSidecar startSidecar(int i) {
         EmulatedSidecar s =
                 new EmulatedSidecar(
                         this, settings(i), random("policy", i + 100_000 * starts[i]++).nextLong());
-        s.list(pods.values().stream().map(EmulatedPod::entry).toList());
-        s.news(news);
+        s.replacePodList(pods.values().stream().map(EmulatedPod::entry).toList());
+        s.updateRolloutStatus(news);
         sidecars[i] = s;
         return s;
     }
 
     /** A pod starts anew, cold, and all sidecars are told at once. */
-    public void restart(EmulatedPod pod) {
+    public void restartPod(EmulatedPod pod) {
         PodEntry e = pod.entry();
-        pod.startsAnew(
+        pod.restart(
                 new PodEntry(
                         e.id(),
                         e.zone(),
@@ -154,10 +154,10 @@
                         e.build(),
                         e.state(),
                         e.weight(),
-                        agenda.now()));
+                        agenda.nowNs()));
         for (EmulatedSidecar s : sidecars) {
             if (s != null) {
-                s.changed(pod.entry());
+                s.updatePod(pod.entry());
             }
         }
     }
@@ -165,7 +165,7 @@
     /**
      * A sidecar's process ends without notice; its clients' reqs find nobody until it starts again.
      */
-    public void kill(int i) {
+    public void killSidecar(int i) {
         sidecars[i].kill();
         sidecars[i] = null;
     }
@@ -173,20 +173,19 @@
     /** Reqs that come on their own, whether or not those before were answered. */
     private void clients(int i) {
         SplittableRandom random = random("clients", i);
-        double rate = size.reqsPerSecond() / size.sidecars();
+        double rate = size.reqsPerSecond() / size.sidecarCount();
         next(i, random, rate);
     }
 
     private void next(int i, SplittableRandom random, double rate) {
-        agenda.after(
+        agenda.scheduleAfter(
                 (long) (-Math.log(1 - random.nextDouble()) / rate * SECOND),
                 () -> {
                     RouteTraffic t = pick(random.nextDouble());
                     long workNs =
-                            t.leastWorkNs()
+                            t.minWorkNs()
                                     + (long)
-                                            (random.nextDouble()
-                                                    * (t.mostWorkNs() - t.leastWorkNs()));
+                                            (random.nextDouble() * (t.maxWorkNs() - t.minWorkNs()));
                     long key = random.nextInt(50_000);
                     ask(i, t, workNs, key);
                     next(i, random, rate);
@@ -195,7 +194,7 @@
 
     private RouteTraffic pick(double at) {
         for (RouteTraffic t : size.traffic()) {
-            at -= t.share();
+            at -= t.reqShare();
             if (at < 0) {
                 return t;
             }
@@ -204,26 +203,26 @@
     }
 
     private void ask(int i, RouteTraffic t, long workNs, long key) {
-        long askedNs = agenda.now();
+        long askedNs = agenda.nowNs();
         boolean[] ended = new boolean[1];
         if (sidecars[i] != null) {
-            sidecars[i].take(
+            sidecars[i].submit(
                     t.route(),
                     workNs,
                     key,
                     how -> {
                         if (!ended[0]) {
                             ended[0] = true;
-                            watch.ended(i, t.route(), askedNs, agenda.now() - askedNs, how);
+                            watch.onReqEnded(i, t.route(), askedNs, agenda.nowNs() - askedNs, how);
                         }
                     });
         }
-        agenda.after(
+        agenda.scheduleAfter(
                 t.route().timeoutNs() + SECOND / 10,
                 () -> {
                     if (!ended[0]) {
                         ended[0] = true;
-                        watch.ended(i, t.route(), askedNs, agenda.now() - askedNs, null);
+                        watch.onReqEnded(i, t.route(), askedNs, agenda.nowNs() - askedNs, null);
                     }
                 });
     }
--- a/lab/src/main/java/mulleinlever/lab/emu/EmulatedPod.java
+++ b/lab/src/main/java/mulleinlever/lab/emu/EmulatedPod.java
@@ -49,7 +49,7 @@
     }
 
     /** Another start of the pod, from now on: what lay at the one before is lost without a sign. */
-    void startsAnew(PodEntry next) {
+    void restart(PodEntry next) {
         entry = next;
         line.clear();
         atHang.clear();
@@ -59,20 +59,21 @@
 
     /** The part of its usual speed that a pod has which was started lately. */
     private double warmth() {
-        double age = (agenda.now() - entry.startedNs()) / (double) EmulationSettings.WARM_AFTER_NS;
+        double age =
+                (agenda.nowNs() - entry.startedNs()) / (double) EmulationSettings.SLOW_START_NS;
         return entry.startedNs() == 0 || age >= 1
                 ? 1
-                : EmulationSettings.COLD_SHARE
-                        + (1 - EmulationSettings.COLD_SHARE) * Math.max(0, age);
+                : EmulationSettings.COLD_CAPACITY_SHARE
+                        + (1 - EmulationSettings.COLD_CAPACITY_SHARE) * Math.max(0, age);
     }
 
     /** 1 is usual; 0.2 takes five times as long. */
-    public void speed(double of) {
+    public void setSpeed(double of) {
         speed = of;
     }
 
     /** Takes what is sent and answers nothing, until it hangs no more. */
-    public void hangs(boolean from) {
+    public void setHung(boolean from) {
         hung = from;
         if (!hung) {
             List<PodTry> held = List.copyOf(atHang);
@@ -83,11 +84,11 @@
     }
 
     /** How many tries have come. */
-    public long arrived() {
+    public long arrivedTryCount() {
         return arrived;
     }
 
-    PodTry arrive(long workNs, Consumer<TryOutcome> done) {
+    PodTry submit(long workNs, Consumer<TryOutcome> done) {
         PodTry job = new PodTry(workNs, done);
         arrived++;
         if (line.size() >= mostWaiting) {
@@ -113,7 +114,7 @@
             job.runs = true;
             busy++;
             int in = start;
-            agenda.after(
+            agenda.scheduleAfter(
                     (long) (job.workNs / speed / warmth()),
                     () -> {
                         if (in == start) {
--- a/lab/src/main/java/mulleinlever/lab/emu/EmulatedSidecar.java
+++ b/lab/src/main/java/mulleinlever/lab/emu/EmulatedSidecar.java
@@ -68,30 +68,30 @@
 
     EmulatedSidecar(EmulatedFleet world, Settings settings, long seed) {
         this.world = world;
-        this.agenda = world.agenda();
+        this.agenda = world.scheduler();
         this.settings = settings;
-        this.policy = new Policy(settings, seed, agenda.now(), this);
+        this.policy = new Policy(settings, seed, agenda.nowNs(), this);
     }
 
     public Policy policy() {
         return policy;
     }
 
-    void list(List<PodEntry> entries) {
+    void replacePodList(List<PodEntry> entries) {
         if (!gone) {
-            policy.listWhole(agenda.now(), entries);
+            policy.onPodListReplaced(agenda.nowNs(), entries);
         }
     }
 
-    void changed(PodEntry entry) {
+    void updatePod(PodEntry entry) {
         if (!gone) {
-            policy.listChanged(agenda.now(), List.of(entry));
+            policy.onPodListUpdated(agenda.nowNs(), List.of(entry));
         }
     }
 
-    void news(RolloutStatus news) {
+    void updateRolloutStatus(RolloutStatus news) {
         if (!gone) {
-            policy.news(agenda.now(), news);
+            policy.onRolloutStatus(agenda.nowNs(), news);
         }
     }
 
@@ -106,34 +106,35 @@
         held.clear();
     }
 
-    void take(Settings.RouteSettings route, long workNs, long key, Consumer<ReqOutcome> answered) {
+    void submit(
+            Settings.RouteSettings route, long workNs, long key, Consumer<ReqOutcome> answered) {
         String id = Long.toString(reqs++);
-        held.put(id, new PendingReq(route, workNs, agenda.now(), answered));
-        policy.req(
-                agenda.now(),
+        held.put(id, new PendingReq(route, workNs, agenda.nowNs(), answered));
+        policy.onReq(
+                agenda.nowNs(),
                 new Req(id, route.name(), false, false, route.timeoutNs(), 0, key, null));
     }
 
     @Override
-    public void relay(String rq, String pod, long writeWithinNs, long limitNs) {
+    public void startTry(String rq, String pod, long writeWithinNs, long limitNs) {
         PendingReq h = held.get(rq);
         EmulatedPod at = world.pod(pod);
-        SentTry s = new SentTry(h.tries.size(), at, agenda.now());
+        SentTry s = new SentTry(h.tries.size(), at, agenda.nowNs());
         h.tries.add(s);
-        long oneWayNs = world.oneWayNs(settings.zone(), at.entry().zone());
-        agenda.after(
+        long oneWayNs = world.oneWayLatencyNs(settings.zone(), at.entry().zone());
+        agenda.scheduleAfter(
                 oneWayNs,
                 () -> {
                     if (!s.ended) {
                         s.job =
-                                at.arrive(
+                                at.submit(
                                         h.workNs,
                                         ending ->
-                                                agenda.after(
+                                                agenda.scheduleAfter(
                                                         oneWayNs, () -> ended(rq, h, s, ending)));
                     }
                 });
-        agenda.after(limitNs, () -> ended(rq, h, s, TryOutcome.TIMEOUT));
+        agenda.scheduleAfter(limitNs, () -> ended(rq, h, s, TryOutcome.TIMEOUT));
     }
 
     private void ended(String rq, PendingReq h, SentTry s, TryOutcome ending) {
@@ -147,7 +148,7 @@
         if (ending == TryOutcome.OK) {
             answer(h, ReqOutcome.COMPLETED);
         }
-        policy.tryEnded(agenda.now(), rq, s.no, ending, agenda.now() - s.sentNs, h.done);
+        policy.onTryEnded(agenda.nowNs(), rq, s.no, ending, agenda.nowNs() - s.sentNs, h.done);
         settle(rq, h);
     }
 
@@ -172,23 +173,23 @@
     }
 
     @Override
-    public void shed(String rq, long backoffNs) {
+    public void shedReq(String rq, long backoffNs) {
         answered(rq, ReqOutcome.SHED);
     }
 
     @Override
-    public void error(String rq) {
+    public void failReq(String rq) {
         answered(rq, ReqOutcome.ERRORED);
     }
 
     private void answered(String rq, ReqOutcome how) {
         PendingReq h = held.get(rq);
         answer(h, how);
-        agenda.after(0, () -> settle(rq, h));
+        agenda.scheduleAfter(0, () -> settle(rq, h));
     }
 
     @Override
-    public void cancel(String rq, int tryNo) {
+    public void cancelTry(String rq, int tryNo) {
         PendingReq h = held.get(rq);
         SentTry s = h.tries.get(tryNo);
         if (s.ended) {
@@ -196,16 +197,16 @@
         }
         // Told after the call that asked for it, as on sockets.
         cutOff(s);
-        agenda.after(
+        agenda.scheduleAfter(
                 0,
                 () -> {
                     if (!gone) {
-                        policy.tryEnded(
-                                agenda.now(),
+                        policy.onTryEnded(
+                                agenda.nowNs(),
                                 rq,
                                 s.no,
                                 TryOutcome.CANCELLED,
-                                agenda.now() - s.sentNs,
+                                agenda.nowNs() - s.sentNs,
                                 h.done);
                         settle(rq, h);
                     }
@@ -213,18 +214,18 @@
     }
 
     @Override
-    public void vote(int build, int stage, RolloutVote verdict) {}
+    public void castVote(int build, int stage, RolloutVote verdict) {}
 
     @Override
-    public void watchList() {}
+    public void watchPodList() {}
 
     @Override
-    public void timer(long atNs, String token) {
-        agenda.at(
+    public void scheduleTimer(long atNs, String token) {
+        agenda.scheduleAt(
                 atNs,
                 () -> {
                     if (!gone) {
-                        policy.timer(agenda.now(), token);
+                        policy.onTimer(agenda.nowNs(), token);
                     }
                 });
     }
--- a/lab/src/main/java/mulleinlever/lab/emu/EmulationSettings.java
+++ b/lab/src/main/java/mulleinlever/lab/emu/EmulationSettings.java
@@ -7,8 +7,8 @@
 public final class EmulationSettings {
     private static final long MS = 1_000_000L;
     private static final long SECOND = 1_000 * MS;
-    static final double COLD_SHARE = 0.3;
-    static final long WARM_AFTER_NS = 4 * SECOND;
+    static final double COLD_CAPACITY_SHARE = 0.3;
+    static final long SLOW_START_NS = 4 * SECOND;
 
     /**
      * A cold pod that gets more than so many times what it can do then, for a second, falls over.
@@ -18,7 +18,7 @@
     private EmulationSettings() {}
 
     /** A route whose repeats may run, or are dropped by pods of the same zone. */
-    public static Settings.RouteSettings route(
+    public static Settings.RouteSettings createRoute(
             String name,
             Settings.RetrySafety repeat,
             long objectiveMs,
@@ -37,7 +37,7 @@
                 earnings);
     }
 
-    static Settings of(
+    static Settings createSettings(
             int rank,
             int sidecars,
             String zone,
@@ -73,8 +73,8 @@
                 new Settings.Contract(
                         20 * MS,
                         250 * MS,
-                        COLD_SHARE,
-                        WARM_AFTER_NS,
+                        COLD_CAPACITY_SHARE,
+                        SLOW_START_NS,
                         FALL_MULTIPLE,
                         SECOND,
                         10 * SECOND);
--- a/lab/src/main/java/mulleinlever/lab/emu/VirtualTimeScheduler.java
+++ b/lab/src/main/java/mulleinlever/lab/emu/VirtualTimeScheduler.java
@@ -33,17 +33,17 @@
     }
 
     /** Virtual time, in nanoseconds. */
-    public long now() {
+    public long nowNs() {
         return nowNs;
     }
 
     /** What is asked for in the past happens now. */
-    public void at(long ns, Runnable what) {
+    public void scheduleAt(long ns, Runnable what) {
         entries.add(new ScheduledTask(Math.max(ns, nowNs), asked++, what));
     }
 
-    public void after(long ns, Runnable what) {
-        at(nowNs + ns, what);
+    public void scheduleAfter(long ns, Runnable what) {
+        scheduleAt(nowNs + ns, what);
     }
 
     /** Lets happen all that is due until a time, and goes to that time. */
--- a/lab/src/test/java/mulleinlever/lab/FleetLogTest.java
+++ b/lab/src/test/java/mulleinlever/lab/FleetLogTest.java
@@ -14,8 +14,7 @@
 class FleetLogTest {
     /** The first with a time of the collector's own; its sidecar started later than the other's. */
     @Test
-    void addsUpTheFleetBySecondAndTellsOneReqsStoryInOrder(@TempDir Path folder)
-            throws IOException {
+    void sumsCountsPerSecondAndListsOneReqInTimeOrder(@TempDir Path folder) throws IOException {
         Files.writeString(
                 folder.resolve("n1.log"),
                 """
@@ -32,7 +31,7 @@
                 """);
         Files.writeString(folder.resolve("other.txt"), "8.1 count: in=100");
         var out = new ByteArrayOutputStream();
-        FleetLog.read(folder, null).print(new PrintStream(out, true));
+        FleetLog.read(folder, null).printTable(new PrintStream(out, true));
         List<String> rows =
                 out.toString().lines().map(l -> l.trim().replaceAll("\\s+", " ")).toList();
         assertEquals(
@@ -45,6 +44,6 @@
                 List.of(
                         "    8.200 n2 req: 00aa errored after 3 ms",
                         "    8.600 n1 req: 00aa shed after 12 ms; s-1 at 0 timeout"),
-                FleetLog.read(folder, "00aa").story());
+                FleetLog.read(folder, "00aa").reqTimeline());
     }
 }
--- a/lab/src/test/java/mulleinlever/lab/emu/EmulatedFleetTest.java
+++ b/lab/src/test/java/mulleinlever/lab/emu/EmulatedFleetTest.java
@@ -15,7 +15,9 @@
     /** How each req ended, in order, while a pod hangs and a sidecar is killed and starts again. */
     private static List<String> ends(long seed) {
         List<String> ends = new ArrayList<>();
-        var route = EmulationSettings.route("read", Settings.RetrySafety.RETRIABLE, 150, 1000, 1);
+        var route =
+                EmulationSettings.createRoute(
+                        "read", Settings.RetrySafety.IDEMPOTENT, 150, 1000, 1);
         EmulatedFleet w =
                 new EmulatedFleet(
                         new EmulatedFleet.FleetSpec(
@@ -31,12 +33,12 @@
                         1000 * SECOND,
                         (sidecar, r, askedNs, tookNs, how) ->
                                 ends.add(sidecar + " " + askedNs + " " + tookNs + " " + how));
-        w.pods().get(0).hangs(true);
-        w.agenda().runUntil(1002 * SECOND);
-        w.kill(1);
-        w.agenda().runUntil(1003 * SECOND);
-        w.start(1);
-        w.agenda().runUntil(1006 * SECOND);
+        w.pods().get(0).setHung(true);
+        w.scheduler().runUntil(1002 * SECOND);
+        w.killSidecar(1);
+        w.scheduler().runUntil(1003 * SECOND);
+        w.startSidecar(1);
+        w.scheduler().runUntil(1006 * SECOND);
         return ends;
     }
 
--- a/settings/src/main/java/mulleinlever/settings/FieldReader.java
+++ b/settings/src/main/java/mulleinlever/settings/FieldReader.java
@@ -10,80 +10,80 @@
     /**
      * The field's text, or null where there is none; lists of plain values are joined by commas.
      */
-    protected abstract String find(String name);
+    protected abstract String findValue(String name);
 
     /** The fault to throw: which field, and what it needs to hold; null where it is missing. */
-    public abstract RuntimeException bad(String name, String needs);
+    public abstract RuntimeException fieldError(String name, String needs);
 
-    public final boolean has(String name) {
-        return find(name) != null;
+    public final boolean hasField(String name) {
+        return findValue(name) != null;
     }
 
-    public final String text(String name) {
-        String v = find(name);
+    public final String getString(String name) {
+        String v = findValue(name);
         if (v == null) {
-            throw bad(name, null);
+            throw fieldError(name, null);
         }
         return v;
     }
 
-    public final String text(String name, String absent) {
-        String v = find(name);
+    public final String getString(String name, String absent) {
+        String v = findValue(name);
         return v == null ? absent : v;
     }
 
-    public final long whole(String name) {
-        return parseWhole(name, text(name));
+    public final long getLong(String name) {
+        return parseWhole(name, getString(name));
     }
 
-    public final long whole(String name, long absent) {
-        String v = find(name);
+    public final long getLong(String name, long absent) {
+        String v = findValue(name);
         return v == null ? absent : parseWhole(name, v);
     }
 
-    public final int count(String name) {
-        long v = whole(name);
+    public final int getInt(String name) {
+        long v = getLong(name);
         if (v < Integer.MIN_VALUE || v > Integer.MAX_VALUE) {
-            throw bad(name, "a smaller number");
+            throw fieldError(name, "a smaller number");
         }
         return (int) v;
     }
 
-    public final double number(String name, double absent) {
-        String v = find(name);
-        return v == null ? absent : parseNumber(name, v);
+    public final double getDouble(String name, double absent) {
+        String v = findValue(name);
+        return v == null ? absent : parseDouble(name, v);
     }
 
-    public final double parseNumber(String name, String v) {
+    public final double parseDouble(String name, String v) {
         try {
             double x = Double.parseDouble(v);
             if (!Double.isNaN(x)) {
                 return x;
             }
         } catch (NumberFormatException e) {
-            throw bad(name, "a number");
+            throw fieldError(name, "a number");
         }
-        throw bad(name, "a number");
+        throw fieldError(name, "a number");
     }
 
-    public final boolean flag(String name, boolean absent) {
-        String v = find(name);
+    public final boolean getBoolean(String name, boolean absent) {
+        String v = findValue(name);
         if (v == null) {
             return absent;
         }
         return switch (v) {
             case "1", "true" -> true;
             case "0", "false" -> false;
-            default -> throw bad(name, "1 or 0");
+            default -> throw fieldError(name, "1 or 0");
         };
     }
 
-    public final <E extends Enum<E>> E word(String name, Class<E> type) {
-        String v = text(name);
+    public final <E extends Enum<E>> E getEnum(String name, Class<E> type) {
+        String v = getString(name);
         try {
             return Enum.valueOf(type, v.toUpperCase(Locale.ROOT));
         } catch (IllegalArgumentException e) {
-            throw bad(name, "a known word");
+            throw fieldError(name, "a known word");
         }
     }
 
@@ -91,7 +91,7 @@
         try {
             return v.indexOf('.') < 0 ? Long.parseLong(v) : new BigDecimal(v).longValueExact();
         } catch (NumberFormatException | ArithmeticException e) {
-            throw bad(name, "a whole number");
+            throw fieldError(name, "a whole number");
         }
     }
 }
--- a/settings/src/main/java/mulleinlever/settings/Json.java
+++ b/settings/src/main/java/mulleinlever/settings/Json.java
@@ -25,7 +25,7 @@
         this.in = in;
     }
 
-    public static Object read(String text) {
+    public static Object parse(String text) {
         Json j = new Json(text);
         Object value = j.value(0);
         j.blank();
--- a/settings/src/main/java/mulleinlever/settings/JsonFieldReader.java
+++ b/settings/src/main/java/mulleinlever/settings/JsonFieldReader.java
@@ -18,17 +18,17 @@
     }
 
     /** The object at a path within this one. */
-    public JsonFieldReader inner(String path) {
+    public JsonFieldReader getObject(String path) {
         if (!(walk(path) instanceof Map)) {
-            throw bad(path, "an object");
+            throw fieldError(path, "an object");
         }
         return new JsonFieldReader(where + path + ".", walk(path));
     }
 
     /** The objects of the list at a path. */
-    public List<JsonFieldReader> all(String path) {
+    public List<JsonFieldReader> getObjects(String path) {
         if (!(walk(path) instanceof List<?> list)) {
-            throw bad(path, "a list");
+            throw fieldError(path, "a list");
         }
         int[] i = {0};
         return list.stream()
@@ -37,7 +37,7 @@
     }
 
     @Override
-    protected String find(String name) {
+    protected String findValue(String name) {
         Object v = walk(name);
         if (v == null && name.endsWith(".count")) {
             v = walk(name.substring(0, name.length() - ".count".length()));
@@ -67,7 +67,7 @@
     }
 
     @Override
-    public InvalidInputException bad(String name, String needs) {
+    public InvalidInputException fieldError(String name, String needs) {
         return new InvalidInputException(
                 where + name + (needs == null ? " is missing" : " needs " + needs));
     }
--- a/settings/src/main/java/mulleinlever/settings/SettingsReader.java
+++ b/settings/src/main/java/mulleinlever/settings/SettingsReader.java
@@ -20,61 +20,61 @@
 
     public static Settings read(FieldReader l) {
         List<RouteSettings> routes = new ArrayList<>();
-        for (int i = 0; i < l.count("grades.count"); i++) {
+        for (int i = 0; i < l.getInt("grades.count"); i++) {
             routes.add(route(l, "grades." + i + "."));
         }
         List<TenantSettings> tenants = new ArrayList<>();
-        for (int i = 0; i < l.whole("tenants.count", 0); i++) {
+        for (int i = 0; i < l.getLong("tenants.count", 0); i++) {
             String at = "tenants." + i + ".";
             tenants.add(
                     new TenantSettings(
-                            l.text(at + "name"),
-                            l.number(at + "quotaRps", Double.POSITIVE_INFINITY),
-                            l.number(at + "share", 0)));
+                            l.getString(at + "name"),
+                            l.getDouble(at + "quotaRps", Double.POSITIVE_INFINITY),
+                            l.getDouble(at + "share", 0)));
         }
         ReportSource source =
-                switch (l.text("reporting.source", "off")) {
+                switch (l.getString("reporting.source", "off")) {
                     case "inline" -> ReportSource.INLINE;
                     case "on_probe" -> ReportSource.ON_PROBE;
                     case "off" -> ReportSource.OFF;
-                    default -> throw l.bad("reporting.source", "inline, on_probe or off");
+                    default -> throw l.fieldError("reporting.source", "inline, on_probe or off");
                 };
         Contract rules =
                 new Contract(
-                        l.whole("contract.answerSlackNs", 0),
-                        l.whole("contract.stopSendingWithinNs", 0),
-                        l.number("contract.coldShare", 1),
-                        l.whole("contract.warmAfterNs", 0),
-                        l.number("contract.fallMultiple", 1),
-                        l.whole("contract.fallNs", 0),
-                        l.whole("contract.askWithinNs", Long.MAX_VALUE));
+                        l.getLong("contract.answerSlackNs", 0),
+                        l.getLong("contract.stopSendingWithinNs", 0),
+                        l.getDouble("contract.coldShare", 1),
+                        l.getLong("contract.warmAfterNs", 0),
+                        l.getDouble("contract.fallMultiple", 1),
+                        l.getLong("contract.fallNs", 0),
+                        l.getLong("contract.askWithinNs", Long.MAX_VALUE));
         PolicyLimits limits =
                 new PolicyLimits(
-                        (int) l.whole("policyLimits.maxAttempts", 1),
-                        (int) l.whole("policyLimits.maxOpen", Integer.MAX_VALUE),
-                        l.flag("policyLimits.cancel", false),
-                        l.flag("policyLimits.probes", false),
-                        l.flag("policyLimits.secondCopies", false),
-                        l.flag("policyLimits.retryAfter", false),
-                        l.whole("policyLimits.maxRetryAfterNs", 0),
-                        (int) l.whole("policyLimits.streamsPerConn", 1),
-                        l.whole("policyLimits.connectTimeoutNs", 0),
-                        l.whole("policyLimits.connIdleNs", 0));
+                        (int) l.getLong("policyLimits.maxAttempts", 1),
+                        (int) l.getLong("policyLimits.maxOpen", Integer.MAX_VALUE),
+                        l.getBoolean("policyLimits.cancel", false),
+                        l.getBoolean("policyLimits.probes", false),
+                        l.getBoolean("policyLimits.secondCopies", false),
+                        l.getBoolean("policyLimits.retryAfter", false),
+                        l.getLong("policyLimits.maxRetryAfterNs", 0),
+                        (int) l.getLong("policyLimits.streamsPerConn", 1),
+                        l.getLong("policyLimits.connectTimeoutNs", 0),
+                        l.getLong("policyLimits.connIdleNs", 0));
         CostWeights prices =
                 new CostWeights(
-                        l.number("prices.crossZone", 0),
-                        l.number("prices.waste", 0),
-                        l.number("prices.probe", 0),
-                        l.number("prices.lateFail", 0));
-        String zones = l.text("zones", "");
+                        l.getDouble("prices.crossZone", 0),
+                        l.getDouble("prices.waste", 0),
+                        l.getDouble("prices.probe", 0),
+                        l.getDouble("prices.lateFail", 0));
+        String zones = l.getString("zones", "");
         return new Settings(
-                l.count("rank"),
-                l.count("balancers"),
-                l.text("zone", ""),
+                l.getInt("rank"),
+                l.getInt("balancers"),
+                l.getString("zone", ""),
                 List.of(zones.split(",")),
-                l.text("discovery").equals("subscribe"),
-                l.whole("stepNs", 1_000_000),
-                l.number("overShareWorth", 1),
+                l.getString("discovery").equals("subscribe"),
+                l.getLong("stepNs", 1_000_000),
+                l.getDouble("overShareWorth", 1),
                 routes,
                 tenants,
                 rollout(l),
@@ -82,63 +82,65 @@
                 limits,
                 prices,
                 source,
-                !l.text("weights", "off").equals("off"));
+                !l.getString("weights", "off").equals("off"));
     }
 
     private static RouteSettings route(FieldReader l, String at) {
         RetrySafety repeat =
-                switch (l.text(at + "repeat")) {
-                    case "safe" -> RetrySafety.RETRIABLE;
-                    case "keyed" -> RetrySafety.DEDUPED;
-                    case "unsafe" -> RetrySafety.NON_RETRIABLE;
-                    default -> throw l.bad(at + "repeat", "safe, keyed or unsafe");
+                switch (l.getString(at + "repeat")) {
+                    case "safe" -> RetrySafety.IDEMPOTENT;
+                    case "keyed" -> RetrySafety.DEDUPLICATED;
+                    case "unsafe" -> RetrySafety.NOT_RETRYABLE;
+                    default -> throw l.fieldError(at + "repeat", "safe, keyed or unsafe");
                 };
         return new RouteSettings(
-                l.text(at + "name"),
-                l.whole(at + "aimNs"),
-                l.number(at + "aimStretch", 0),
-                l.whole(at + "deadlineNs"),
+                l.getString(at + "name"),
+                l.getLong(at + "aimNs"),
+                l.getDouble(at + "aimStretch", 0),
+                l.getLong(at + "deadlineNs"),
                 repeat,
-                l.has(at + "keyScope") ? l.word(at + "keyScope", DedupScope.class) : DedupScope.ALL,
-                l.whole(at + "windowNs", 0),
-                l.flag(at + "streamed", false),
-                l.number(at + "lateWorth", 0),
-                l.number(at + "worth", 1));
+                l.hasField(at + "keyScope")
+                        ? l.getEnum(at + "keyScope", DedupScope.class)
+                        : DedupScope.ALL,
+                l.getLong(at + "windowNs", 0),
+                l.getBoolean(at + "streamed", false),
+                l.getDouble(at + "lateWorth", 0),
+                l.getDouble(at + "worth", 1));
     }
 
     private static RolloutSettings rollout(FieldReader l) {
         String at = "familyInfo.";
         return new RolloutSettings(
-                l.word(at + "control", VoteControl.class),
-                l.text(at + "replaceMode", "side_by_side").equals("rolling"),
-                l.count(at + "ayesNeeded"),
-                l.count(at + "votesToRevert"),
-                (int) l.whole(at + "holdVotes", 0),
-                l.whole(at + "bakeNs", 0),
-                l.whole(at + "movesAfterNs", 0),
-                l.whole(at + "voteStandsNs"),
-                l.whole(at + "voteWaitNs"),
-                l.number(at + "votesPerS", 1),
-                l.whole(at + "newsPeriodNs", 0),
-                l.whole(at + "tallyEveryNs", 0),
-                l.number(at + "sample", 0),
-                l.number(at + "complaintShare", 0),
+                l.getEnum(at + "control", VoteControl.class),
+                l.getString(at + "replaceMode", "side_by_side").equals("rolling"),
+                l.getInt(at + "ayesNeeded"),
+                l.getInt(at + "votesToRevert"),
+                (int) l.getLong(at + "holdVotes", 0),
+                l.getLong(at + "bakeNs", 0),
+                l.getLong(at + "movesAfterNs", 0),
+                l.getLong(at + "voteStandsNs"),
+                l.getLong(at + "voteWaitNs"),
+                l.getDouble(at + "votesPerS", 1),
+                l.getLong(at + "newsPeriodNs", 0),
+                l.getLong(at + "tallyEveryNs", 0),
+                l.getDouble(at + "sample", 0),
+                l.getDouble(at + "complaintShare", 0),
                 numbers(l, at + "steps"),
                 numbers(l, at + "mostShares"),
-                l.whole(at + "windowNs", 0),
-                l.number(at + "uncounted", 0),
-                l.text(at + "countedBy", "all").equals("per_lane"),
-                (int) l.whole(at + "shielded", 0),
-                l.flag(at + "oneWay", false),
-                l.flag(at + "warmKeys", false),
-                l.number(at + "staleBuildPrice", 0),
-                l.number(at + "damagePrice", 0));
+                l.getLong(at + "windowNs", 0),
+                l.getDouble(at + "uncounted", 0),
+                l.getString(at + "countedBy", "all").equals("per_lane"),
+                (int) l.getLong(at + "shielded", 0),
+                l.getBoolean(at + "oneWay", false),
+                l.getBoolean(at + "warmKeys", false),
+                l.getDouble(at + "staleBuildPrice", 0),
+                l.getDouble(at + "damagePrice", 0));
     }
 
     private static List<Double> numbers(FieldReader l, String name) {
         List<Double> all = new ArrayList<>();
-        for (String v : l.text(name).split(",")) {
-            all.add(l.parseNumber(name, v));
+        for (String v : l.getString(name).split(",")) {
+            all.add(l.parseDouble(name, v));
         }
         return all;
     }
--- a/settings/src/main/java/mulleinlever/settings/SpellingSuggestion.java
+++ b/settings/src/main/java/mulleinlever/settings/SpellingSuggestion.java
@@ -9,16 +9,18 @@
     private SpellingSuggestion() {}
 
     /** Words to put behind a fault; none where nothing known is near. */
-    static String hint(String wrong, Collection<String> known) {
+    static String suggestionSuffix(String wrong, Collection<String> known) {
         return known.stream()
-                .filter(k -> edits(wrong, k) <= Math.max(2, wrong.length() / 3))
-                .min(Comparator.comparingInt((String k) -> edits(wrong, k)).thenComparing(k -> k))
+                .filter(k -> levenshteinDistance(wrong, k) <= Math.max(2, wrong.length() / 3))
+                .min(
+                        Comparator.comparingInt((String k) -> levenshteinDistance(wrong, k))
+                                .thenComparing(k -> k))
                 .map(k -> "; did you mean " + k + "?")
                 .orElse("");
     }
 
     /** How many letters are to be put in, taken out or exchanged (Levenshtein's distance). */
-    static int edits(String from, String to) {
+    static int levenshteinDistance(String from, String to) {
         int[] row = IntStream.rangeClosed(0, to.length()).toArray();
         for (int i = 1; i <= from.length(); i++) {
             int diagonal = row[0];
--- a/settings/src/main/java/mulleinlever/settings/TomlFile.java
+++ b/settings/src/main/java/mulleinlever/settings/TomlFile.java
@@ -63,7 +63,8 @@
         if (result.hasErrors()) {
             TomlParseError e = result.errors().get(0);
             throw new InvalidInputException(
-                    at(name, e.position()) + e.getMessage().lines().findFirst().orElse("no TOML"));
+                    positionPrefix(name, e.position())
+                            + e.getMessage().lines().findFirst().orElse("no TOML"));
         }
         return new TomlFile(name, result);
     }
@@ -71,14 +72,14 @@
     /**
      * A table at the top of the file; where there is none it is empty, and says that it is absent.
      */
-    public TomlSection section(String key) {
+    public TomlSection getSection(String key) {
         return asked.computeIfAbsent(
                 key,
                 k -> {
                     Object value = root.get(List.of(k));
                     if (value != null && !(value instanceof TomlTable)) {
                         throw new InvalidInputException(
-                                at(name, root.inputPositionOf(List.of(k)))
+                                positionPrefix(name, root.inputPositionOf(List.of(k)))
                                         + k
                                         + " needs to be a table");
                     }
@@ -92,20 +93,20 @@
      * @throws InvalidInputException at the first key that nothing asked for, with the nearest that
      *     something did
      */
-    public void done() {
+    public void rejectUnknownKeys() {
         for (String key : root.keySet()) {
             if (!asked.containsKey(key)) {
                 throw new InvalidInputException(
-                        at(name, root.inputPositionOf(List.of(key)))
+                        positionPrefix(name, root.inputPositionOf(List.of(key)))
                                 + "no such table: "
                                 + key
-                                + SpellingSuggestion.hint(key, asked.keySet()));
+                                + SpellingSuggestion.suggestionSuffix(key, asked.keySet()));
             }
         }
-        asked.values().forEach(TomlSection::done);
+        asked.values().forEach(TomlSection::rejectUnknownKeys);
     }
 
-    static String at(String name, TomlPosition p) {
+    static String positionPrefix(String name, TomlPosition p) {
         return p == null ? name + ": " : name + ":" + p.line() + ":" + p.column() + ": ";
     }
 }
--- a/settings/src/main/java/mulleinlever/settings/TomlSection.java
+++ b/settings/src/main/java/mulleinlever/settings/TomlSection.java
@@ -56,53 +56,53 @@
     }
 
     /** Whether the file has this table, be it empty. */
-    public boolean present() {
+    public boolean isPresent() {
         return table != null;
     }
 
-    public boolean has(String key) {
+    public boolean hasKey(String key) {
         return value(key) != null;
     }
 
     /** A text, which must be there. */
-    public String text(String key) {
-        String v = text(key, null);
+    public String getString(String key) {
+        String v = getString(key, null);
         if (v == null) {
             throw missing(key);
         }
         return v;
     }
 
-    public String text(String key, String absent) {
+    public String getString(String key, String absent) {
         Object v = value(key);
         if (v != null && !(v instanceof String)) {
-            throw bad(key, "needs a text in quotes");
+            throw keyError(key, "needs a text in quotes");
         }
         return v == null ? absent : (String) v;
     }
 
     /** A path, which must be there; relative ones start from the process's folder. */
-    public Path path(String key) {
+    public Path getPath(String key) {
         try {
-            return Path.of(text(key));
+            return Path.of(getString(key));
         } catch (InvalidPathException e) {
-            throw bad(key, "needs a path");
+            throw keyError(key, "needs a path");
         }
     }
 
     /** A span of time such as "250ms", "10s", "5m", "12h" or "3d", in nanoseconds. */
-    public long duration(String key, String absent, String least, String most) {
-        String v = text(key, absent);
+    public long getDurationNs(String key, String absent, String least, String most) {
+        String v = getString(key, absent);
         Long ns = v == null ? null : nanoseconds(v);
         if (ns == null) {
             throw v == null
                     ? missing(key)
-                    : bad(
+                    : keyError(
                             key,
                             "needs a time such as \"250ms\", \"10s\", \"5m\", \"12h\" or \"3d\"");
         }
         if (ns < nanoseconds(least) || ns > nanoseconds(most)) {
-            throw bad(key, "needs a time from " + least + " to " + most);
+            throw keyError(key, "needs a time from " + least + " to " + most);
         }
         return ns;
     }
@@ -115,13 +115,13 @@
     }
 
     /** A number of bytes such as "512KiB" or "64MiB". */
-    public long size(String key, String absent, String least, String most) {
-        Long n = bytes(text(key, absent));
+    public long getSizeBytes(String key, String absent, String least, String most) {
+        Long n = bytes(getString(key, absent));
         if (n == null) {
-            throw bad(key, "needs a size such as \"512KiB\" or \"64MiB\"");
+            throw keyError(key, "needs a size such as \"512KiB\" or \"64MiB\"");
         }
         if (n < bytes(least) || n > bytes(most)) {
-            throw bad(key, "needs a size from " + least + " to " + most);
+            throw keyError(key, "needs a size from " + least + " to " + most);
         }
         return n;
     }
@@ -131,41 +131,41 @@
         return m.matches() ? (Long) (Long.parseLong(m.group(1)) << BITS.get(m.group(2))) : null;
     }
 
-    public long whole(String key, long absent, long least, long most) {
+    public long getLong(String key, long absent, long least, long most) {
         Object v = value(key);
         if (v != null && !(v instanceof Long)) {
-            throw bad(key, "needs a whole number");
+            throw keyError(key, "needs a whole number");
         }
         long n = v == null ? absent : (Long) v;
         if (n < least || n > most) {
-            throw bad(key, "needs a whole number from " + least + " to " + most);
+            throw keyError(key, "needs a whole number from " + least + " to " + most);
         }
         return n;
     }
 
-    public double number(String key, double absent, double least, double most) {
+    public double getDouble(String key, double absent, double least, double most) {
         Object v = value(key);
         if (v != null && !(v instanceof Number)) {
-            throw bad(key, "needs a number");
+            throw keyError(key, "needs a number");
         }
         double x = v == null ? absent : ((Number) v).doubleValue();
         if (!(x >= least && x <= most)) {
-            throw bad(key, "needs a number from " + least + " to " + most);
+            throw keyError(key, "needs a number from " + least + " to " + most);
         }
         return x;
     }
 
-    public boolean flag(String key, boolean absent) {
+    public boolean getBoolean(String key, boolean absent) {
         Object v = value(key);
         if (v != null && !(v instanceof Boolean)) {
-            throw bad(key, "needs true or false");
+            throw keyError(key, "needs true or false");
         }
         return v == null ? absent : (Boolean) v;
     }
 
     /** One of an enum's words, in small letters, with - for _. */
-    public <E extends Enum<E>> E word(String key, Class<E> type, E absent) {
-        String v = text(key, null);
+    public <E extends Enum<E>> E getEnum(String key, Class<E> type, E absent) {
+        String v = getString(key, null);
         List<String> words = new ArrayList<>();
         for (E e : type.getEnumConstants()) {
             String word = e.name().toLowerCase(Locale.ROOT).replace('_', '-');
@@ -177,30 +177,30 @@
         if (v == null && absent != null) {
             return absent;
         }
-        throw v == null ? missing(key) : bad(key, "needs one of " + String.join(", ", words));
+        throw v == null ? missing(key) : keyError(key, "needs one of " + String.join(", ", words));
     }
 
     /** A table within this one; where there is none it is empty. */
-    public TomlSection section(String key) {
+    public TomlSection getSection(String key) {
         return inner.computeIfAbsent(
                 key,
                 k -> {
                     Object v = value(k);
                     if (v != null && !(v instanceof TomlTable)) {
-                        throw bad(k, "needs to be a table");
+                        throw keyError(k, "needs to be a table");
                     }
                     return new TomlSection(file, path + "." + k, (TomlTable) v);
                 });
     }
 
     /** The tables of a list, such as those under [[section.key]]; none where it is absent. */
-    public List<TomlSection> sections(String key) {
+    public List<TomlSection> getSections(String key) {
         Object v = value(key);
         if (v == null) {
             return List.of();
         }
         if (!(v instanceof TomlArray array) || !array.containsTables() && !array.isEmpty()) {
-            throw bad(key, "needs to be a list of tables, [[" + path + "." + key + "]]");
+            throw keyError(key, "needs to be a list of tables, [[" + path + "." + key + "]]");
         }
         List<TomlSection> all = new ArrayList<>();
         for (int i = 0; i < array.size(); i++) {
@@ -211,22 +211,23 @@
     }
 
     /** The texts of a list; none where it is absent. */
-    public List<String> texts(String key) {
+    public List<String> getStrings(String key) {
         Object v = value(key);
         if (v == null) {
             return List.of();
         }
         if (!(v instanceof TomlArray array) || !array.containsStrings() && !array.isEmpty()) {
-            throw bad(key, "needs a list of texts in quotes");
+            throw keyError(key, "needs a list of texts in quotes");
         }
         return array.toList().stream().map(String.class::cast).toList();
     }
 
     /** The fault to throw for a key that is read but does not fit. */
-    public InvalidInputException bad(String key, String needs) {
+    public InvalidInputException keyError(String key, String needs) {
         TomlPosition at =
                 table == null || value(key) == null ? null : table.inputPositionOf(List.of(key));
-        return new InvalidInputException(TomlFile.at(file, at) + path + "." + key + " " + needs);
+        return new InvalidInputException(
+                TomlFile.positionPrefix(file, at) + path + "." + key + " " + needs);
     }
 
     private InvalidInputException missing(String key) {
@@ -238,22 +239,22 @@
         return table == null ? null : table.get(List.of(key));
     }
 
-    void done() {
+    void rejectUnknownKeys() {
         if (table == null) {
             return;
         }
         for (String key : table.keySet()) {
             if (!known.contains(key)) {
                 throw new InvalidInputException(
-                        TomlFile.at(file, table.inputPositionOf(List.of(key)))
+                        TomlFile.positionPrefix(file, table.inputPositionOf(List.of(key)))
                                 + "no such key: "
                                 + path
                                 + "."
                                 + key
-                                + SpellingSuggestion.hint(key, known));
+                                + SpellingSuggestion.suggestionSuffix(key, known));
             }
         }
-        inner.values().forEach(TomlSection::done);
-        listed.forEach(TomlSection::done);
+        inner.values().forEach(TomlSection::rejectUnknownKeys);
+        listed.forEach(TomlSection::rejectUnknownKeys);
     }
 }
--- a/settings/src/test/java/mulleinlever/settings/JsonTest.java
+++ b/settings/src/test/java/mulleinlever/settings/JsonTest.java
@@ -56,15 +56,15 @@
     }
 
     @Test
-    void jsonReadsWhatWasWrittenAndNoPartOfIt() {
+    void parsesGeneratedValuesAndRejectsTruncatedText() {
         SplittableRandom random = new SplittableRandom(3);
         for (int round = 0; round < ROUNDS; round++) {
             Object value = List.of(generated(random, 0));
             String text = written(value);
-            assertEquals(value, Json.read(" " + text + "\n"));
+            assertEquals(value, Json.parse(" " + text + "\n"));
             String part = text.substring(0, random.nextInt(text.length()));
-            assertThrows(InvalidInputException.class, () -> Json.read(part));
+            assertThrows(InvalidInputException.class, () -> Json.parse(part));
         }
-        assertThrows(InvalidInputException.class, () -> Json.read("[".repeat(5000)));
+        assertThrows(InvalidInputException.class, () -> Json.parse("[".repeat(5000)));
     }
 }
--- a/settings/src/test/java/mulleinlever/settings/TomlTest.java
+++ b/settings/src/test/java/mulleinlever/settings/TomlTest.java
@@ -19,14 +19,14 @@
     @TempDir Path folder;
 
     private static FeatureSettings of(String text) {
-        return FeatureSettings.of(TomlFile.parse("x.toml", text.replace('|', '\n')));
+        return FeatureSettings.fromToml(TomlFile.parse("x.toml", text.replace('|', '\n')));
     }
 
     @Test
-    void whatIsAbsentIsOffOrHasItsDefault() {
-        assertNull(of("# nothing").remember());
+    void absentTableDisablesFeatureAndAbsentKeysUseDefaults() {
+        assertNull(of("# nothing").stateSettings());
         FeatureSettings.StateSettings r =
-                of("[state]|folder = '/var/x'|every = \"1.5s\"").remember();
+                of("[state]|folder = '/var/x'|every = \"1.5s\"").stateSettings();
         assertEquals(
                 new FeatureSettings.StateSettings(
                         Path.of("/var/x"),
@@ -59,18 +59,19 @@
                 "[state]|folder = 'x, x.toml:2:",
                 "[state]|folder = 'x'|folder = 'y', x.toml:3:1: "
             })
-    void aFaultIsNamedByFileLineAndColumn(String text, String message) {
+    void errorsReportFileLineAndColumn(String text, String message) {
         InvalidInputException f = assertThrows(InvalidInputException.class, () -> of(text));
         assertTrue(f.getMessage().startsWith(message), f.getMessage());
         assertEquals(1, f.getMessage().lines().count());
     }
 
     @Test
-    void severalFilesCountTogetherAndNoTableTwice() throws IOException {
+    void mergesFilesAndRejectsDuplicateTables() throws IOException {
         Path empty = Files.writeString(folder.resolve("empty.toml"), "");
         Path one = Files.writeString(folder.resolve("one.toml"), "[state]\nfolder = 'x'\n");
         Path two = Files.writeString(folder.resolve("two.toml"), "[state]\nfolder = 'y'\n");
-        assertEquals(Path.of("x"), FeatureSettings.read(List.of(empty, one)).remember().folder());
+        assertEquals(
+                Path.of("x"), FeatureSettings.read(List.of(empty, one)).stateSettings().folder());
         InvalidInputException twice =
                 assertThrows(
                         InvalidInputException.class,
@@ -100,7 +101,7 @@
     }
 
     @Test
-    void editsAreCountedAsByThePlainModel() {
+    void levenshteinDistanceMatchesRecursiveModel() {
         SplittableRandom random = new SplittableRandom(5);
         for (int i = 0; i < 300; i++) {
             String[] words = new String[2];
@@ -113,7 +114,9 @@
                                         StringBuilder::append)
                                 .toString();
             }
-            assertEquals(plainly(words[0], words[1]), SpellingSuggestion.edits(words[0], words[1]));
+            assertEquals(
+                    plainly(words[0], words[1]),
+                    SpellingSuggestion.levenshteinDistance(words[0], words[1]));
         }
     }
 }
--- a/sidecar/src/main/java/mulleinlever/sidecar/AcceptFailureHandler.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/AcceptFailureHandler.java
@@ -44,7 +44,7 @@
         if (!told || nowNs - toldNs > TELL_NS) {
             told = true;
             toldNs = nowNs;
-            log.say("clients", "accept failed, " + failures + " times so far: " + cause);
+            log.info("clients", "accept failed, " + failures + " times so far: " + cause);
         }
     }
 
--- a/sidecar/src/main/java/mulleinlever/sidecar/AdaptiveConnectTimeout.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/AdaptiveConnectTimeout.java
@@ -34,25 +34,25 @@
         this.mostNs = mostNs;
     }
 
-    void up(long nowNs, long tookNs) {
+    void recordSuccess(long nowNs, long tookNs) {
         ups++;
         cameUp.add(nowNs, 1);
-        slowestNs.add(nowNs, Math.max(0, tookNs - slowestNs.read(nowNs)));
+        slowestNs.add(nowNs, Math.max(0, tookNs - slowestNs.valueAt(nowNs)));
     }
 
     /** It did not come up in its time; one that was refused tells nothing of how slow pods are. */
-    void tooLate(long nowNs) {
+    void recordTimeout(long nowNs) {
         tooLate.add(nowNs, 1);
     }
 
     /** In nanoseconds, for a connection opened now. */
-    long limitNs(long nowNs) {
-        double up = cameUp.read(nowNs);
+    long timeoutNs(long nowNs) {
+        double up = cameUp.valueAt(nowNs);
         if (ups < ENOUGH || up == 0) {
             return mostNs;
         }
-        double times = TIMES_SLOWEST * (up + tooLate.read(nowNs)) / up;
+        double times = TIMES_SLOWEST * (up + tooLate.valueAt(nowNs)) / up;
         return (long)
-                Math.min(mostNs, Math.max(LEAST_PART * mostNs, times * slowestNs.read(nowNs)));
+                Math.min(mostNs, Math.max(LEAST_PART * mostNs, times * slowestNs.valueAt(nowNs)));
     }
 }
--- a/sidecar/src/main/java/mulleinlever/sidecar/ChunkedHttpConnection.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/ChunkedHttpConnection.java
@@ -8,10 +8,10 @@
     private enum ParseState {
         STATUS,
         HEADERS,
-        SIZE,
-        DATA,
-        DATA_END,
-        TRAILER
+        CHUNK_SIZE,
+        CHUNK_DATA,
+        CHUNK_END,
+        TRAILERS
     }
 
     private static final int MOST_HEAD = 8192;
@@ -26,18 +26,18 @@
     }
 
     /** The last chunk has come. */
-    abstract void complete();
+    abstract void onResponseComplete();
 
     @Override
-    final void bytes(ByteBuf in) {
+    final void decode(ByteBuf in) {
         while (in.isReadable()) {
-            if (part == ParseState.DATA) {
+            if (part == ParseState.CHUNK_DATA) {
                 int n = Math.min(left, in.readableBytes());
                 for (int i = 0; i < n; i++) {
-                    letter(in.readByte());
+                    appendByte(in.readByte());
                 }
                 left -= n;
-                part = left == 0 ? ParseState.DATA_END : part;
+                part = left == 0 ? ParseState.CHUNK_END : part;
             } else {
                 headLetter((char) in.readUnsignedByte());
             }
@@ -66,16 +66,16 @@
                 if (text.isEmpty() && !chunked) {
                     throw new InvalidInputException("discovery answers in one piece");
                 }
-                part = text.isEmpty() ? ParseState.SIZE : part;
+                part = text.isEmpty() ? ParseState.CHUNK_SIZE : part;
             }
-            case SIZE -> {
+            case CHUNK_SIZE -> {
                 left = size(text);
-                part = left == 0 ? ParseState.TRAILER : ParseState.DATA;
+                part = left == 0 ? ParseState.TRAILERS : ParseState.CHUNK_DATA;
             }
-            case DATA_END -> part = ParseState.SIZE;
+            case CHUNK_END -> part = ParseState.CHUNK_SIZE;
             default -> {
                 if (text.isEmpty()) {
-                    complete();
+                    onResponseComplete();
                 }
             }
         }
--- a/sidecar/src/main/java/mulleinlever/sidecar/ClientConnection.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/ClientConnection.java
@@ -62,26 +62,26 @@
     public void channelActive(ChannelHandlerContext ctx) {
         channel = ctx.channel();
         frames = new PostgresMessageDecoder(ctx.alloc());
-        movedNs = clock.now();
-        clients.opened(this, movedNs);
+        movedNs = clock.nowNs();
+        clients.connectionOpened(this, movedNs);
     }
 
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object msg) {
-        movedNs = clock.now();
+        movedNs = clock.nowNs();
         if (closing) {
             ((ByteBuf) msg).release();
             return;
         }
-        frames.add((ByteBuf) msg);
+        frames.addBytes((ByteBuf) msg);
         decode();
     }
 
     private void decode() {
         try {
-            while (!closing && mayRead() && frames.next(started)) {
+            while (!closing && mayRead() && frames.nextMessage(started)) {
                 if (started) {
-                    command();
+                    handleMessage();
                 } else {
                     startup();
                 }
@@ -89,32 +89,32 @@
         } catch (InvalidInputException e) {
             malformed(e.getMessage());
         }
-        count(frames.taken());
+        count(frames.retainedCapacityBytes());
         channel.config().setAutoRead(!closing && mayRead());
     }
 
     private void count(int taken) {
         int more = taken - halfRead;
         halfRead = taken;
-        clients.owed(more);
+        clients.addBufferedBytes(more);
     }
 
-    boolean owes() {
+    boolean hasBufferedBytes() {
         return halfRead + untaken > 0;
     }
 
-    long movedNs() {
+    long lastProgressNs() {
         return movedNs;
     }
 
-    void drop() {
+    void closeNow() {
         closing = true;
         channel.close();
     }
 
     private boolean mayRead() {
-        if (flow.full()) {
-            flow.await(this);
+        if (flow.isExceeded()) {
+            flow.addWaiter(this);
             return false;
         }
         return line.size() < MOST_IN_LINE && channel.isWritable();
@@ -124,7 +124,7 @@
      * Not at once: the module may be in the middle of a call, and what is read next becomes
      * another.
      */
-    void resumeSoon() {
+    void scheduleDecode() {
         channel.eventLoop()
                 .execute(
                         () -> {
@@ -135,25 +135,25 @@
     }
 
     private void startup() {
-        int code = frames.length >= 4 ? frames.bytes().getInt(frames.at) : 0;
+        int code = frames.bodyLength >= 4 ? frames.buffer().getInt(frames.bodyIndex) : 0;
         if (code == SSL || code == GSS) {
-            channel.writeAndFlush(PostgresMessages.noCrypto());
+            channel.writeAndFlush(PostgresMessages.encryptionRefused());
         } else if (code >>> 16 == 3) {
             started = true;
-            channel.writeAndFlush(PostgresMessages.welcome());
+            channel.writeAndFlush(PostgresMessages.startupResponse());
         } else {
             throw new InvalidInputException("no such startup");
         }
     }
 
-    private void command() {
-        switch (frames.type) {
+    private void handleMessage() {
+        switch (frames.messageType) {
             case 'Q' -> {
-                if (frames.length < 1
-                        || frames.bytes().getByte(frames.at + frames.length - 1) != 0) {
+                if (frames.bodyLength < 1
+                        || frames.buffer().getByte(frames.bodyIndex + frames.bodyLength - 1) != 0) {
                     throw new InvalidInputException("a query without its end");
                 }
-                admit.query(this, frames.keep());
+                admit.handleQuery(this, frames.retainBody());
             }
             case 'X' -> {
                 closing = true;
@@ -166,52 +166,52 @@
     /** What came before gets its answers, then the connection ends. */
     private void malformed(String why) {
         closing = true;
-        command(PostgresMessages.error(PostgresMessages.MALFORMED, why, 0, false));
+        respond(PostgresMessages.errorResponse(PostgresMessages.PROTOCOL_VIOLATION, why, 0, false));
     }
 
     /** A command that is no req takes its place in the line with its answer. */
-    void command(ByteBuf answer) {
+    void respond(ByteBuf answer) {
         PendingCommand held = new PendingCommand(this, null);
-        held.answer = answer;
+        held.response = answer;
         line.add(held);
-        answerReady();
+        flushResponses();
     }
 
-    void inLine(PendingCommand held) {
+    void enqueue(PendingCommand held) {
         line.add(held);
-        flow.add(held.bytes());
+        flow.reserve(held.memoryBytes());
     }
 
-    void settled(PendingCommand held) {
-        flow.remove(held.bytes());
+    void releaseMemory(PendingCommand held) {
+        flow.release(held.memoryBytes());
     }
 
     /** Answers go out in the order of the commands. */
-    void answerReady() {
+    void flushResponses() {
         boolean any = false;
-        while (!line.isEmpty() && line.peek().answer != null) {
-            ByteBuf answer = line.poll().answer;
+        while (!line.isEmpty() && line.peek().response != null) {
+            ByteBuf answer = line.poll().response;
             int n = answer.readableBytes();
             untaken += n;
             channel.write(answer).addListener(f -> taken(n));
-            clients.owed(n);
+            clients.addBufferedBytes(n);
             any = true;
         }
         if (!any) {
             return;
         }
-        movedNs = clock.now();
+        movedNs = clock.nowNs();
         channel.flush();
-        if (line.isEmpty() && (closing || clients.finishing() && !frames.partial())) {
+        if (line.isEmpty() && (closing || clients.isShuttingDown() && !frames.hasUnreadBytes())) {
             close();
         } else if (!channel.config().isAutoRead()) {
-            resumeSoon();
+            scheduleDecode();
         }
     }
 
     private void taken(int n) {
         untaken -= n;
-        clients.owed(-n);
+        clients.addBufferedBytes(-n);
     }
 
     private void close() {
@@ -220,43 +220,43 @@
     }
 
     void closeIfIdle() {
-        if (line.isEmpty() && (closing || !frames.partial())) {
+        if (line.isEmpty() && (closing || !frames.hasUnreadBytes())) {
             close();
         }
     }
 
     /** For how long it has asked for nothing; -1 where it waits for an answer. */
     long idleNs(long now) {
-        return !closing && line.isEmpty() && !frames.partial() ? now - movedNs : -1;
+        return !closing && line.isEmpty() && !frames.hasUnreadBytes() ? now - movedNs : -1;
     }
 
-    void closeIfStuck(long now) {
-        boolean stuck = !started || frames.partial() || !channel.isWritable();
+    void closeIfStalled(long now) {
+        boolean stuck = !started || frames.hasUnreadBytes() || !channel.isWritable();
         if (stuck && now - movedNs > STUCK_NS) {
-            drop();
+            closeNow();
         }
     }
 
     @Override
     public void channelWritabilityChanged(ChannelHandlerContext ctx) {
         if (channel.isWritable()) {
-            resumeSoon();
+            scheduleDecode();
         }
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
         closing = true;
-        clients.closed(this);
-        flow.forget(this);
+        clients.connectionClosed(this);
+        flow.removeWaiter(this);
         count(0);
-        frames.close();
+        frames.release();
         for (PendingCommand held : line) {
-            if (held.answer != null) {
-                held.answer.release();
+            if (held.response != null) {
+                held.response.release();
             }
             if (held.statement != null) {
-                book.clientGone(held);
+                book.onClientDisconnected(held);
             }
         }
         line.clear();
@@ -265,7 +265,7 @@
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
         if (!(cause instanceof IOException)) {
-            log.fault("client", cause);
+            log.internalError("client", cause);
         }
         ctx.close();
     }
--- a/sidecar/src/main/java/mulleinlever/sidecar/ClientConnections.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/ClientConnections.java
@@ -21,11 +21,11 @@
         this.life = life;
     }
 
-    void listensAt(Channel channel) {
+    void setListener(Channel channel) {
         this.listener = channel;
     }
 
-    int count() {
+    int connectionCount() {
         return all.size();
     }
 
@@ -33,7 +33,7 @@
      * At the most, the one idle for longest goes. If none is idle no more are accepted: they wait
      * in the machine's queue rather than use up descriptors.
      */
-    void opened(ClientConnection client, long now) {
+    void connectionOpened(ClientConnection client, long now) {
         all.add(client);
         if (all.size() >= most) {
             all.stream()
@@ -45,7 +45,7 @@
         }
     }
 
-    void closed(ClientConnection client) {
+    void connectionClosed(ClientConnection client) {
         all.remove(client);
         if (all.size() < most && !listener.config().isAutoRead()) {
             listener.config().setAutoRead(true);
@@ -56,26 +56,26 @@
      * Peers that send half a message or take no answers hold memory for as long as they like. Past
      * the most, the one that has not moved for longest goes; all others are served as ever.
      */
-    void owed(int more) {
+    void addBufferedBytes(int more) {
         owed += more;
         if (more > 0 && owed > MOST_OWED) {
             all.stream()
-                    .filter(ClientConnection::owes)
-                    .min(Comparator.comparingLong(ClientConnection::movedNs))
-                    .ifPresent(ClientConnection::drop);
+                    .filter(ClientConnection::hasBufferedBytes)
+                    .min(Comparator.comparingLong(ClientConnection::lastProgressNs))
+                    .ifPresent(ClientConnection::closeNow);
         }
     }
 
-    void sweep(long now) {
-        new ArrayList<>(all).forEach(c -> c.closeIfStuck(now));
+    void closeStalled(long now) {
+        new ArrayList<>(all).forEach(c -> c.closeIfStalled(now));
     }
 
-    void finish() {
+    void shutDown() {
         listener.close();
         new ArrayList<>(all).forEach(ClientConnection::closeIfIdle);
     }
 
-    boolean finishing() {
-        return life.is(Lifecycle.Phase.FINISHING);
+    boolean isShuttingDown() {
+        return life.isIn(Lifecycle.Phase.FINISHING);
     }
 }
--- a/sidecar/src/main/java/mulleinlever/sidecar/Clock.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/Clock.java
@@ -30,7 +30,7 @@
         return wall.getEpochSecond() * 1_000_000_000L + wall.getNano();
     }
 
-    long now() {
+    long nowNs() {
         return System.nanoTime() + aheadNs;
     }
 
@@ -38,13 +38,13 @@
      * How far the wall clock was stepped forward since the start, in nanoseconds; 0 where it was
      * not.
      */
-    long steppedNs() {
-        long byNs = wallNs.getAsLong() - now();
+    long wallClockStepNs() {
+        long byNs = wallNs.getAsLong() - nowNs();
         return Math.abs(byNs) < STEP_NS ? 0 : byNs;
     }
 
     /** A moment told in Unix milliseconds; 0 stays 0, which means long ago. */
-    static long ofUnixMs(long ms) {
+    static long unixMsToNs(long ms) {
         return ms * 1_000_000L;
     }
 }
--- a/sidecar/src/main/java/mulleinlever/sidecar/ConfigReloader.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/ConfigReloader.java
@@ -28,17 +28,17 @@
     }
 
     /** What was told until now counts for these. */
-    void actsOn(SidecarComponents started) {
+    void applyTo(SidecarComponents started) {
         stages = started;
-        stages.discovery.moved(at.discovery());
-        stages.platform.moved(at.platform());
+        stages.discovery.updateAddress(at.discoveryAddress());
+        stages.releasePlatform.updateAddress(at.releaseApiAddress());
     }
 
     /**
      * Looked up by name: the JDK has no other way to a signal, and the compiler warns of any use of
      * this.
      */
-    void listen() {
+    void installSignalHandler() {
         try {
             Class<?> signal = Class.forName("sun.misc.Signal");
             Class<?> handler = Class.forName("sun.misc.SignalHandler");
@@ -53,7 +53,7 @@
             signal.getMethod("handle", signal, handler)
                     .invoke(null, signal.getConstructor(String.class).newInstance("HUP"), ours);
         } catch (ReflectiveOperationException | IllegalArgumentException e) {
-            log.say("reload", "SIGHUP can't be heard here: " + e);
+            log.info("reload", "SIGHUP can't be heard here: " + e);
         }
     }
 
@@ -67,37 +67,37 @@
         try {
             next = SidecarConfig.load(env);
         } catch (RuntimeException e) {
-            log.say(
+            log.info(
                     "reload",
                     "nothing is changed: "
                             + (e instanceof InvalidInputException ? e.getMessage() : e.toString()));
             return;
         }
-        net.soon(() -> take(next));
+        net.execute(() -> take(next));
     }
 
     private void take(SidecarConfig next) {
         List<String> left = new ArrayList<>();
-        for (String key : SidecarConfig.KEPT.keySet()) {
-            if (!SidecarConfig.KEPT
+        for (String key : SidecarConfig.RESTART_REQUIRED.keySet()) {
+            if (!SidecarConfig.RESTART_REQUIRED
                     .get(key)
                     .apply(next)
-                    .equals(SidecarConfig.KEPT.get(key).apply(at))) {
+                    .equals(SidecarConfig.RESTART_REQUIRED.get(key).apply(at))) {
                 left.add(key);
             }
         }
-        log.say(
+        log.info(
                 "reload",
                 "discovery at "
-                        + next.discovery()
+                        + next.discoveryAddress()
                         + ", platform at "
-                        + next.platform()
+                        + next.releaseApiAddress()
                         + (left.isEmpty()
                                 ? ""
                                 : "; a restart is needed for " + String.join(", ", left)));
         at = next;
         if (stages != null) {
-            actsOn(stages);
+            applyTo(stages);
         }
     }
 }
--- a/sidecar/src/main/java/mulleinlever/sidecar/DiscoveryClient.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/DiscoveryClient.java
@@ -63,47 +63,47 @@
         this.log = log;
         this.address = address;
         this.pods = pods;
-        this.heardNs = clock.now();
+        this.heardNs = clock.nowNs();
     }
 
-    void reportsTo(Policy decides) {
+    void setPolicy(Policy decides) {
         this.policy = decides;
     }
 
     /** Takes the list of the configuration, which nobody has confirmed yet. */
-    void takeKnown(PodList known) {
+    void applyInitialList(PodList known) {
         take(known);
-        policy.listNeverConfirmed();
+        policy.onPodListNeverConfirmed();
     }
 
     /** Takes a list from a watch. */
     private void take(PodList list) {
-        log.say(
+        log.info(
                 "discovery",
                 String.format(
                         Locale.ROOT,
                         "list: generation %d after %d, %s, %d entries",
                         list.version(),
                         version,
-                        list.whole() ? "whole" : "changes",
+                        list.isFull() ? "whole" : "changes",
                         list.entries().size()));
         version = list.version();
-        pods.learn(list);
-        if (list.whole()) {
-            policy.listWhole(clock.now(), list.entries());
+        pods.updateAddresses(list);
+        if (list.isFull()) {
+            policy.onPodListReplaced(clock.nowNs(), list.entries());
         } else {
-            policy.listChanged(clock.now(), list.entries());
+            policy.onPodListUpdated(clock.nowNs(), list.entries());
         }
-        pods.retire(list);
+        pods.closeToLeavingPods(list);
     }
 
     /** Of the list as last had. */
-    long version() {
+    long listVersion() {
         return version;
     }
 
     /** Whether the list is known to be true, or nobody is there who could tell. */
-    boolean settled() {
+    boolean isListConfirmedOrUnreachable() {
         return heard || unreached;
     }
 
@@ -111,29 +111,29 @@
      * How long ago the list was last known to be true, in nanoseconds; before any watch told of it,
      * since the start.
      */
-    long ageNs() {
-        return clock.now() - heardNs;
+    long listAgeNs() {
+        return clock.nowNs() - heardNs;
     }
 
     /**
      * Opens a watch in place of any before it, of whose end the module, having asked anew, need not
      * hear.
      */
-    void watch() {
+    void openWatch() {
         if (watch != null) {
-            watch.drop();
+            watch.cancel();
         }
         watch = new Watch(++watches);
-        log.say("discovery", watch + " opens at generation " + version);
-        watch.open(address, CONNECT_NS, SILENT_NS << Math.min(unanswered, MOST_DOUBLINGS));
+        log.info("discovery", watch + " opens at generation " + version);
+        watch.connect(address, CONNECT_NS, SILENT_NS << Math.min(unanswered, MOST_DOUBLINGS));
     }
 
     /** The list had so far stands; what changed behind its version is told at the other address. */
-    void moved(InetSocketAddress to) {
+    void updateAddress(InetSocketAddress to) {
         if (!to.equals(address)) {
             address = to;
-            policy.listMoved();
-            watch();
+            policy.onDiscoveryChanged();
+            openWatch();
         }
     }
 
@@ -142,7 +142,7 @@
         private final JsonObjectAssembler objects = new JsonObjectAssembler(LONGEST);
 
         /** When the object under way began, at the latest when the one before was whole. */
-        private long objectNs = clock.now();
+        private long objectNs = clock.nowNs();
 
         Watch(int number) {
             super(net, LONGEST, log, "discovery");
@@ -155,7 +155,7 @@
         }
 
         @Override
-        String says() {
+        String initialRequest() {
             return "GET /discovery/hosts?stream=1&index="
                     + version
                     + " HTTP/1.1\r\nHost: "
@@ -166,49 +166,49 @@
         }
 
         @Override
-        void progress() {
-            limit(Math.min(SILENT_NS, objectNs + OBJECT_NS - clock.now()));
+        void onBytesReceived() {
+            resetTimeout(Math.min(SILENT_NS, objectNs + OBJECT_NS - clock.nowNs()));
         }
 
         @Override
-        void line(String text) {
-            String object = objects.add(text);
+        void onLine(String text) {
+            String object = objects.addLine(text);
             if (object == null) {
                 return;
             }
             if (object.isBlank()) {
-                policy.listConfirmed(clock.now());
+                policy.onPodListConfirmed(clock.nowNs());
             } else {
-                take(PodList.read(new JsonFieldReader("discovery: ", Json.read(object))));
+                take(PodList.fromJson(new JsonFieldReader("discovery: ", Json.parse(object))));
             }
-            heardNs = clock.now();
+            heardNs = clock.nowNs();
             heard = true;
             objectNs = heardNs;
         }
 
         @Override
-        void complete() {
-            ended(EndReason.COMPLETE);
+        void onResponseComplete() {
+            terminate(EndReason.COMPLETE);
         }
 
         @Override
-        void end(EndReason reason) {
-            log.say(
+        void onEnd(EndReason reason) {
+            log.info(
                     "discovery",
                     this
                             + " has ended: "
                             + reason
                             + " "
-                            + history()
+                            + describeProgress()
                             + ", list "
                             + (heard ? "confirmed " : "never confirmed, taken ")
-                            + ageNs() / 1_000_000
+                            + listAgeNs() / 1_000_000
                             + " ms ago");
-            policy.listUnconfirmed(heardNs);
-            unanswered = reason == EndReason.SILENT && !begun() ? unanswered + 1 : 0;
+            policy.onPodListUnconfirmed(heardNs);
+            unanswered = reason == EndReason.SILENT && !hasReceivedBytes() ? unanswered + 1 : 0;
             unreached = reason == EndReason.REFUSED;
-            policy.listCalled(clock.now(), !unreached);
-            policy.listFailed(clock.now());
+            policy.onDiscoveryCallEnded(clock.nowNs(), !unreached);
+            policy.onPodListWatchFailed(clock.nowNs());
         }
     }
 }
--- a/sidecar/src/main/java/mulleinlever/sidecar/InProcessTransport.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/InProcessTransport.java
@@ -33,20 +33,20 @@
     }
 
     @Override
-    ChannelFuture begin(InetSocketAddress to, long withinNs, ChannelHandler handler) {
+    ChannelFuture startConnect(InetSocketAddress to, long withinNs, ChannelHandler handler) {
         return new Bootstrap()
-                .group(loop)
+                .group(eventLoop)
                 .channel(LocalChannel.class)
                 .handler(handler)
                 .connect(inner(to));
     }
 
     @Override
-    ChannelFuture listen(InetSocketAddress at, Supplier<ChannelHandler> handlers) {
+    ChannelFuture bind(InetSocketAddress at, Supplier<ChannelHandler> handlers) {
         return new ServerBootstrap()
-                .group(loop, loop)
+                .group(eventLoop, eventLoop)
                 .channel(LocalServerChannel.class)
-                .childHandler(each(handlers))
+                .childHandler(channelInitializer(handlers))
                 .bind(inner(at));
     }
 }
--- a/sidecar/src/main/java/mulleinlever/sidecar/JsonObjectAssembler.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/JsonObjectAssembler.java
@@ -24,7 +24,7 @@
      *     or null within one
      * @throws InvalidInputException where the object is longer than allowed
      */
-    String add(String line) {
+    String addLine(String line) {
         for (int i = 0; i < line.length(); i++) {
             look(line.charAt(i));
         }
--- a/sidecar/src/main/java/mulleinlever/sidecar/Lifecycle.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/Lifecycle.java
@@ -22,17 +22,17 @@
         this.log = log;
     }
 
-    boolean is(Phase other) {
+    boolean isIn(Phase other) {
         return phase == other;
     }
 
     /** Phases only go forward; whether this one is new. */
-    boolean enter(Phase next) {
+    boolean advanceTo(Phase next) {
         if (next.ordinal() <= phase.ordinal()) {
             return false;
         }
         phase = next;
-        log.say("life", next.name().toLowerCase(Locale.ROOT));
+        log.info("life", next.name().toLowerCase(Locale.ROOT));
         return true;
     }
 }
--- a/sidecar/src/main/java/mulleinlever/sidecar/LineConnection.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/LineConnection.java
@@ -69,20 +69,20 @@
         this.about = about;
     }
 
-    abstract String says();
+    abstract String initialRequest();
 
     /** Not called any more once the connection has ended or was dropped. */
-    abstract void line(String text);
+    abstract void onLine(String text);
 
     /** Bytes came, be it the middle of a line. */
-    void progress() {}
+    void onBytesReceived() {}
 
-    /** Called once, when the connection has ended for whatever reason but {@link #drop}. */
-    abstract void end(EndReason reason);
+    /** Called once, when the connection has ended for whatever reason but {@link #cancel}. */
+    abstract void onEnd(EndReason reason);
 
-    final void open(InetSocketAddress to, long withinNs, long limitNs) {
+    final void connect(InetSocketAddress to, long withinNs, long limitNs) {
         openedNs = System.nanoTime();
-        limit(limitNs);
+        resetTimeout(limitNs);
         channel =
                 net.connect(
                         to,
@@ -93,20 +93,20 @@
                             boolean refused =
                                     cause instanceof ConnectException
                                             && !(cause instanceof ConnectTimeoutException);
-                            ended(refused ? EndReason.REFUSED : EndReason.CONNECT_FAILED);
+                            terminate(refused ? EndReason.REFUSED : EndReason.CONNECT_FAILED);
                         });
     }
 
     /** It ends after this long, in place of any limit before. */
-    final void limit(long ns) {
+    final void resetTimeout(long ns) {
         if (limit != null) {
             limit.cancel(false);
         }
-        limit = net.after(ns, () -> ended(EndReason.SILENT));
+        limit = net.schedule(ns, () -> terminate(EndReason.SILENT));
     }
 
     /** Without a word about it: whoever drops it needs none. */
-    final void drop() {
+    final void cancel() {
         over = true;
         if (limit != null) {
             limit.cancel(false);
@@ -116,20 +116,20 @@
         }
     }
 
-    final void ended(EndReason reason) {
+    final void terminate(EndReason reason) {
         if (!over) {
-            drop();
-            end(reason);
+            cancel();
+            onEnd(reason);
         }
     }
 
     /** Whether any byte has come. */
-    final boolean begun() {
+    final boolean hasReceivedBytes() {
         return firstByteNs != 0;
     }
 
     /** What happened on this connection and when, in milliseconds since it began to open. */
-    final String history() {
+    final String describeProgress() {
         return String.format(
                         Locale.ROOT,
                         "after %d ms (connected %s, first byte %s, last byte %s; %d bytes, %d lines)",
@@ -147,19 +147,19 @@
     }
 
     /** What arrives is text already, unless a transfer coding lies around it. */
-    void bytes(ByteBuf in) {
+    void decode(ByteBuf in) {
         while (in.isReadable()) {
-            letter(in.readByte());
+            appendByte(in.readByte());
         }
     }
 
-    final void letter(byte b) {
+    final void appendByte(byte b) {
         if (b == '\n') {
             int end = length > 0 && line[length - 1] == '\r' ? length - 1 : length;
             length = 0;
             if (!over) {
                 linesRead++;
-                line(new String(line, 0, end, StandardCharsets.UTF_8));
+                onLine(new String(line, 0, end, StandardCharsets.UTF_8));
             }
             return;
         }
@@ -176,7 +176,7 @@
     public final void channelActive(ChannelHandlerContext ctx) {
         channel = ctx.channel();
         connectedNs = System.nanoTime();
-        ctx.writeAndFlush(Unpooled.copiedBuffer(says(), StandardCharsets.US_ASCII));
+        ctx.writeAndFlush(Unpooled.copiedBuffer(initialRequest(), StandardCharsets.US_ASCII));
     }
 
     @Override
@@ -187,9 +187,9 @@
         bytesRead += in.readableBytes();
         try {
             if (!over) {
-                progress();
+                onBytesReceived();
             }
-            bytes(in);
+            decode(in);
         } finally {
             in.release();
         }
@@ -197,7 +197,7 @@
 
     @Override
     public final void channelInactive(ChannelHandlerContext ctx) {
-        ended(brokenBy);
+        terminate(brokenBy);
     }
 
     /** What can't be read costs the connection, and what it was for is asked anew. */
@@ -209,7 +209,7 @@
             brokenBy = EndReason.STATUS;
         } else {
             brokenBy = EndReason.UNREADABLE;
-            log.fault(about, cause);
+            log.internalError(about, cause);
         }
         ctx.close();
     }
--- a/sidecar/src/main/java/mulleinlever/sidecar/NettyLogHandler.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/NettyLogHandler.java
@@ -22,7 +22,7 @@
     }
 
     /** From now on, instead of the handlers that the process started with. */
-    static void passTo(RateLimitedLog log) {
+    static void install(RateLimitedLog log) {
         NETTY.setUseParentHandlers(false);
         for (Handler before : NETTY.getHandlers()) {
             NETTY.removeHandler(before);
@@ -33,7 +33,7 @@
     @Override
     public void publish(LogRecord told) {
         if (isLoggable(told)) {
-            log.say(
+            log.info(
                     "netty",
                     told.getMessage() + (told.getThrown() == null ? "" : " " + told.getThrown()));
         }
--- a/sidecar/src/main/java/mulleinlever/sidecar/NettyTransport.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/NettyTransport.java
@@ -42,7 +42,7 @@
                     PooledByteBufAllocator.defaultNormalCacheSize(),
                     false);
     private final EventLoopGroup group;
-    final EventLoop loop;
+    final EventLoop eventLoop;
     private final RateLimitedLog log;
 
     NettyTransport(RateLimitedLog log) {
@@ -52,20 +52,20 @@
     NettyTransport(RateLimitedLog log, IoHandlerFactory factory) {
         this.log = log;
         this.group = new MultiThreadIoEventLoopGroup(1, factory);
-        this.loop = group.next();
+        this.eventLoop = group.next();
     }
 
     /** Not within the call that asks for it: the module is not to be called while it decides. */
-    void soon(Runnable what) {
-        loop.execute(guarded(what));
+    void execute(Runnable what) {
+        eventLoop.execute(guarded(what));
     }
 
-    Future<?> after(long ns, Runnable what) {
-        return loop.schedule(guarded(what), Math.max(0, ns), TimeUnit.NANOSECONDS);
+    Future<?> schedule(long ns, Runnable what) {
+        return eventLoop.schedule(guarded(what), Math.max(0, ns), TimeUnit.NANOSECONDS);
     }
 
-    void every(long ns, Runnable what) {
-        loop.scheduleAtFixedRate(guarded(what), ns, ns, TimeUnit.NANOSECONDS);
+    void scheduleAtFixedRate(long ns, Runnable what) {
+        eventLoop.scheduleAtFixedRate(guarded(what), ns, ns, TimeUnit.NANOSECONDS);
     }
 
     /** A fault in one task must neither pass unseen nor end those that repeat. */
@@ -74,7 +74,7 @@
             try {
                 what.run();
             } catch (RuntimeException e) {
-                log.fault("loop", e);
+                log.internalError("loop", e);
             }
         };
     }
@@ -90,13 +90,13 @@
             long withinNs,
             ChannelHandler handler,
             Consumer<Throwable> failed) {
-        ChannelFuture connecting = begin(to, withinNs, handler);
+        ChannelFuture connecting = startConnect(to, withinNs, handler);
         // Without a socket Netty tells of it on a thread of its own, and closing that channel
         // throws.
         if (connecting.isDone()
                 && !connecting.isSuccess()
                 && !connecting.channel().isRegistered()) {
-            soon(() -> failed.accept(connecting.cause()));
+            execute(() -> failed.accept(connecting.cause()));
             return null;
         }
         connecting.addListener(
@@ -109,9 +109,9 @@
     }
 
     /** Begins to connect. */
-    ChannelFuture begin(InetSocketAddress to, long withinNs, ChannelHandler handler) {
+    ChannelFuture startConnect(InetSocketAddress to, long withinNs, ChannelHandler handler) {
         return new Bootstrap()
-                .group(loop)
+                .group(eventLoop)
                 .channel(NioSocketChannel.class)
                 .handler(handler)
                 .option(ChannelOption.ALLOCATOR, alloc)
@@ -123,9 +123,9 @@
                 .connect(to);
     }
 
-    ChannelFuture listen(InetSocketAddress at, Supplier<ChannelHandler> handlers) {
+    ChannelFuture bind(InetSocketAddress at, Supplier<ChannelHandler> handlers) {
         return new ServerBootstrap()
-                .group(loop, loop)
+                .group(eventLoop, eventLoop)
                 .channel(NioServerSocketChannel.class)
                 .option(ChannelOption.SO_BACKLOG, BACKLOG)
                 .option(ChannelOption.SO_REUSEADDR, true)
@@ -133,11 +133,11 @@
                 .childOption(ChannelOption.RECVBUF_ALLOCATOR, reads())
                 .childOption(ChannelOption.TCP_NODELAY, true)
                 .handler(new AcceptFailureHandler(log))
-                .childHandler(each(handlers))
+                .childHandler(channelInitializer(handlers))
                 .bind(at);
     }
 
-    static ChannelHandler each(Supplier<ChannelHandler> handlers) {
+    static ChannelHandler channelInitializer(Supplier<ChannelHandler> handlers) {
         return new ChannelInitializer<Channel>() {
             @Override
             protected void initChannel(Channel c) {
--- a/sidecar/src/main/java/mulleinlever/sidecar/PendingCommand.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/PendingCommand.java
@@ -22,26 +22,26 @@
     /**
      * When it was taken, how long an answer earns its full worth, and how long its client waits.
      */
-    long takenNs;
+    long receivedNs;
 
-    long objectiveNs;
-    long waitsNs;
+    long latencyObjectiveNs;
+    long clientTimeoutNs;
 
     /** The answer, once there is one, waiting for those ahead of it on its connection. */
-    ByteBuf answer;
+    ByteBuf response;
 
-    boolean answered;
+    boolean outcomeDecided;
 
     PendingCommand(ClientConnection client, Statement statement) {
         this.client = client;
         this.statement = statement;
     }
 
-    boolean triesOut() {
-        return tries.stream().anyMatch(t -> !t.ended());
+    boolean hasTriesInFlight() {
+        return tries.stream().anyMatch(t -> !t.hasEnded());
     }
 
-    int bytes() {
+    int memoryBytes() {
         return statement.text.readableBytes() + OVERHEAD;
     }
 }
--- a/sidecar/src/main/java/mulleinlever/sidecar/PodConnection.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/PodConnection.java
@@ -19,11 +19,11 @@
      */
     private static final long REST_NS = 3_000_000L;
 
-    final String pod;
+    final String podId;
     final InetSocketAddress address;
 
     /** When it began to open. */
-    final long beganNs;
+    final long connectStartNs;
 
     private final PodConnectionPool pods;
     private final PodResponseHandler relay;
@@ -44,7 +44,7 @@
     private boolean ready;
 
     private boolean closed;
-    final PodResponseHandler.PartialResponse answer = new PodResponseHandler.PartialResponse();
+    final PodResponseHandler.PartialResponse response = new PodResponseHandler.PartialResponse();
     long idleSinceNs;
 
     PodConnection(
@@ -55,87 +55,87 @@
             TryDispatcher send,
             Clock clock,
             RateLimitedLog log) {
-        this.pod = pod;
+        this.podId = pod;
         this.address = address;
         this.pods = pods;
         this.relay = relay;
         this.send = send;
         this.clock = clock;
         this.log = log;
-        this.beganNs = clock.now();
+        this.connectStartNs = clock.nowNs();
     }
 
     Channel channel() {
         return channel;
     }
 
-    void awaits(UpstreamTry t) {
+    void setWaitingTry(UpstreamTry t) {
         at = t;
     }
 
-    void carry(UpstreamTry t) {
+    void setActiveTry(UpstreamTry t) {
         at = t;
         carries = true;
         ready = false;
-        answer.clear();
+        response.clear();
     }
 
     /** How long it is not to be written to yet. */
-    long restNs(long now) {
+    long remainingCooldownNs(long now) {
         return idleSinceNs + REST_NS - now;
     }
 
     /** After its rest the try is written, unless the connection is given up before. */
-    void rested(UpstreamTry t) {
+    void cooldownEnded(UpstreamTry t) {
         if (at == t && !carries && !closed) {
-            pods.opened(this);
-            send.write(t, this);
+            pods.removePending(this);
+            send.writeReq(t, this);
         }
     }
 
-    /** Null where no socket could be had, of which {@link #failed} tells. */
-    void opening(Channel connecting, Future<?> limit) {
+    /** Null where no socket could be had, of which {@link #connectFailed} tells. */
+    void setConnecting(Channel connecting, Future<?> limit) {
         channel = connecting;
         openLimit = limit;
     }
 
-    void failed(Throwable cause) {
+    void connectFailed(Throwable cause) {
         if (cause instanceof ConnectTimeoutException) {
-            notUp();
+            connectTimedOut();
         } else if (!closed) {
-            pods.refused();
+            pods.recordRefused();
             lost();
         }
     }
 
     /** It had its time. */
-    void notUp() {
+    void connectTimedOut() {
         if (!up && !closed) {
-            pods.tooLate();
+            pods.recordConnectTimeout();
         }
-        leave();
+        closeUnlessCarrying();
     }
 
     /** Its pod is not to be sent to any more: a try that waits here goes elsewhere. */
-    void leave() {
+    void closeUnlessCarrying() {
         if (!carries) {
             lost();
         }
     }
 
     /** What it was for is not sent: it waits for another. */
-    void spare() {
+    void releaseUnused() {
         at = null;
-        idleSinceNs = clock.now();
-        pods.free(this);
+        idleSinceNs = clock.nowNs();
+        pods.release(this);
     }
 
-    boolean usable() {
+    boolean isReusable() {
         return ready && !closed && channel.isActive() && at == null;
     }
 
     /** Its try is no longer waited for: the connection must not carry another behind it. */
-    void abandon() {
+    void abandonTry() {
         at = null;
         close();
     }
@@ -146,8 +146,8 @@
             if (openLimit != null) {
                 openLimit.cancel(false);
             }
-            answer.clear();
-            pods.closed(this);
+            response.clear();
+            pods.connectionClosed(this);
             if (channel != null) {
                 channel.close();
             }
@@ -160,8 +160,8 @@
         at = null;
         close();
         if (t != null) {
-            t.link = null;
-            send.end(t, TryOutcome.RESET);
+            t.connection = null;
+            send.endTry(t, TryOutcome.RESET);
         }
     }
 
@@ -173,8 +173,8 @@
         at = null;
         close();
         if (t != null) {
-            t.link = null;
-            send.connect(t);
+            t.connection = null;
+            send.openConnection(t);
         }
     }
 
@@ -182,7 +182,7 @@
     public void channelActive(ChannelHandlerContext ctx) {
         channel = ctx.channel();
         frames = new PostgresMessageDecoder(ctx.alloc());
-        ctx.writeAndFlush(PostgresMessages.opening());
+        ctx.writeAndFlush(PostgresMessages.startupMessage());
     }
 
     @Override
@@ -191,22 +191,22 @@
             ((ByteBuf) msg).release();
             return;
         }
-        frames.add((ByteBuf) msg);
+        frames.addBytes((ByteBuf) msg);
         try {
-            while (!closed && frames.next(true)) {
+            while (!closed && frames.nextMessage(true)) {
                 if (!up) {
                     opened();
-                } else if (frames.type == 'Z' && !ready) {
+                } else if (frames.messageType == 'Z' && !ready) {
                     free();
                 } else if (carries) {
-                    relay.message(this, at, frames);
-                } else if (frames.type != 'S' && frames.type != 'N') {
+                    relay.handleMessage(this, at, frames);
+                } else if (frames.messageType != 'S' && frames.messageType != 'N') {
                     // Nothing was asked: a copy, noise, or the pod says that it is about to end the
                     // connection.
                     stray();
                 }
             }
-            if (ready && frames.partial()) {
+            if (ready && frames.hasUnreadBytes()) {
                 stray();
             }
         } catch (InvalidInputException e) {
@@ -220,23 +220,23 @@
 
     /** A pod that turns the connection away never saw the req. */
     private void opened() {
-        if (frames.type == 'E') {
-            pods.refused();
+        if (frames.messageType == 'E') {
+            pods.recordRefused();
             lost();
-        } else if (frames.type == 'Z') {
+        } else if (frames.messageType == 'Z') {
             up = true;
             ready = true;
-            pods.cameUp(this);
+            pods.connectionReady(this);
             openLimit.cancel(false);
             if (at != null) {
-                send.write(at, this);
+                send.writeReq(at, this);
             }
         }
     }
 
     /** The try's end was told; until the pod is ready nothing else may go over this connection. */
-    void told() {
-        at.link = null;
+    void detachTry() {
+        at.connection = null;
         at = null;
         carries = false;
     }
@@ -246,8 +246,8 @@
             throw new InvalidInputException("ready without an answer");
         }
         ready = true;
-        idleSinceNs = clock.now();
-        pods.free(this);
+        idleSinceNs = clock.nowNs();
+        pods.release(this);
     }
 
     @Override
@@ -258,14 +258,14 @@
             lost();
         }
         if (frames != null) {
-            frames.close();
+            frames.release();
         }
     }
 
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
         if (!(cause instanceof IOException)) {
-            log.fault("pod " + pod, cause);
+            log.internalError("pod " + podId, cause);
         }
         lost();
     }
--- a/sidecar/src/main/java/mulleinlever/sidecar/PodConnectionPool.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/PodConnectionPool.java
@@ -56,17 +56,18 @@
                 new AdaptiveConnectTimeout(
                         limits.connectTimeoutNs() > 0 ? limits.connectTimeoutNs() : 1_000_000_000L);
         this.idleNs =
-                limits.connectionIdleNs() > 0
-                        ? (long) (IDLE_PART * limits.connectionIdleNs())
+                limits.connectionIdleTimeoutNs() > 0
+                        ? (long) (IDLE_PART * limits.connectionIdleTimeoutNs())
                         : Long.MAX_VALUE;
     }
 
     /** Before the module hears of the list, so that it can use all that stands on it. */
-    void learn(PodList list) {
+    void updateAddresses(PodList list) {
         for (PodEntry e : list.entries()) {
             Place place = places.computeIfAbsent(e.id(), id -> new Place());
             place.gone = e.state() == PodEntry.State.GONE;
-            InetSocketAddress now = SocketAddresses.of(list.addresses().getOrDefault(e.id(), ""));
+            InetSocketAddress now =
+                    SocketAddresses.parse(list.addressesByPodId().getOrDefault(e.id(), ""));
             if (now != null && !now.equals(place.address)) {
                 place.address = now;
                 closeIdle(place);
@@ -79,9 +80,9 @@
      * there late, past the time in which that is allowed, so it has failed to connect and the
      * module decides anew.
      */
-    void retire(PodList list) {
+    void closeToLeavingPods(PodList list) {
         Set<String> leaving =
-                list.whole() ? new LinkedHashSet<>(places.keySet()) : new LinkedHashSet<>();
+                list.isFull() ? new LinkedHashSet<>(places.keySet()) : new LinkedHashSet<>();
         for (PodEntry e : list.entries()) {
             if (e.state() == PodEntry.State.READY) {
                 leaving.remove(e.id());
@@ -90,9 +91,9 @@
             }
         }
         for (String id : leaving) {
-            places.get(id).gone |= list.whole() && !list.addresses().containsKey(id);
+            places.get(id).gone |= list.isFull() && !list.addressesByPodId().containsKey(id);
             closeIdle(places.get(id));
-            new ArrayList<>(places.get(id).opening).forEach(PodConnection::leave);
+            new ArrayList<>(places.get(id).opening).forEach(PodConnection::closeUnlessCarrying);
         }
     }
 
@@ -102,45 +103,47 @@
     }
 
     /** Where a pod listens, as address and port; null where that is not known. */
-    String addressOf(String pod) {
+    String podAddress(String pod) {
         Place place = places.get(pod);
-        return place == null || place.address == null ? null : SocketAddresses.text(place.address);
+        return place == null || place.address == null
+                ? null
+                : SocketAddresses.format(place.address);
     }
 
     /**
      * The one used last of those that have rested: those not needed grow old and are closed. Where
      * none has rested, the one that will have first, since to open another costs the pod more.
      */
-    PodConnection idle(String pod) {
+    PodConnection acquireIdle(String pod) {
         Place place = places.get(pod);
         if (place == null) {
             return null;
         }
-        long now = clock.now();
+        long now = clock.nowNs();
         PodConnection found = null;
         for (Iterator<PodConnection> i = place.idle.descendingIterator();
-                i.hasNext() && (found == null || found.restNs(now) > 0); ) {
+                i.hasNext() && (found == null || found.remainingCooldownNs(now) > 0); ) {
             PodConnection l = i.next();
-            found = l.usable() && now - l.idleSinceNs < idleNs ? l : found;
+            found = l.isReusable() && now - l.idleSinceNs < idleNs ? l : found;
         }
         place.idle.remove(found);
         if (found != null) {
-            counts.add(SidecarMetrics.Event.REUSED);
+            counts.increment(SidecarMetrics.Event.REUSED);
         }
         return found;
     }
 
     /** Lets a try wait until the connection has rested; it is given up like one that opens. */
-    void rest(UpstreamTry t, PodConnection link, long forNs) {
-        counts.add(SidecarMetrics.Event.RESTED);
-        t.link = link;
-        link.awaits(t);
-        places.get(link.pod).opening.add(link);
-        net.after(forNs, () -> link.rested(t));
+    void awaitCooldown(UpstreamTry t, PodConnection link, long forNs) {
+        counts.increment(SidecarMetrics.Event.RESTED);
+        t.connection = link;
+        link.setWaitingTry(t);
+        places.get(link.podId).opening.add(link);
+        net.schedule(forNs, () -> link.cooldownEnded(t));
     }
 
-    void free(PodConnection link) {
-        Place place = places.get(link.pod);
+    void release(PodConnection link) {
+        Place place = places.get(link.podId);
         if (link.address.equals(place.address)) {
             place.idle.addLast(link);
         } else {
@@ -148,52 +151,53 @@
         }
     }
 
-    void closed(PodConnection link) {
+    void connectionClosed(PodConnection link) {
         open--;
-        places.get(link.pod).links--;
-        places.get(link.pod).idle.remove(link);
-        places.get(link.pod).opening.remove(link);
+        places.get(link.podId).links--;
+        places.get(link.podId).idle.remove(link);
+        places.get(link.podId).opening.remove(link);
     }
 
-    void refused() {
-        counts.add(SidecarMetrics.Event.REFUSED);
+    void recordRefused() {
+        counts.increment(SidecarMetrics.Event.REFUSED);
     }
 
-    int links() {
+    int connectionCount() {
         return open;
     }
 
-    void opened(PodConnection link) {
-        places.get(link.pod).opening.remove(link);
+    void removePending(PodConnection link) {
+        places.get(link.podId).opening.remove(link);
     }
 
     /** It is ready for its first try. */
-    void cameUp(PodConnection link) {
-        patience.up(clock.now(), clock.now() - link.beganNs);
-        opened(link);
+    void connectionReady(PodConnection link) {
+        patience.recordSuccess(clock.nowNs(), clock.nowNs() - link.connectStartNs);
+        removePending(link);
     }
 
-    void tooLate() {
-        counts.add(SidecarMetrics.Event.TOO_LATE);
-        patience.tooLate(clock.now());
+    void recordConnectTimeout() {
+        counts.increment(SidecarMetrics.Event.TOO_LATE);
+        patience.recordTimeout(clock.nowNs());
     }
 
     /** Opens a connection for a try; false where none may be. */
-    boolean open(UpstreamTry t, TryDispatcher send) {
-        Place place = places.get(t.pod);
+    boolean openConnection(UpstreamTry t, TryDispatcher send) {
+        Place place = places.get(t.podId);
         if (place == null || place.address == null || open >= most && !makeRoom()) {
             return false;
         }
-        counts.add(SidecarMetrics.Event.OPENED);
+        counts.increment(SidecarMetrics.Event.OPENED);
         open++;
         place.links++;
-        PodConnection link = new PodConnection(t.pod, place.address, this, relay, send, clock, log);
-        t.link = link;
-        link.awaits(t);
+        PodConnection link =
+                new PodConnection(t.podId, place.address, this, relay, send, clock, log);
+        t.connection = link;
+        link.setWaitingTry(t);
         place.opening.add(link);
-        long limitNs = patience.limitNs(link.beganNs);
-        Channel connecting = net.connect(place.address, limitNs, link, link::failed);
-        link.opening(connecting, net.after(limitNs, link::notUp));
+        long limitNs = patience.timeoutNs(link.connectStartNs);
+        Channel connecting = net.connect(place.address, limitNs, link, link::connectFailed);
+        link.setConnecting(connecting, net.schedule(limitNs, link::connectTimedOut));
         return true;
     }
 
@@ -213,7 +217,7 @@
     }
 
     /** Pods that came and went would else pile up with each release. */
-    void sweep(long now) {
+    void evictExpired(long now) {
         places.values().removeIf(p -> p.gone && p.links == 0);
         for (Place p : places.values()) {
             while (!p.idle.isEmpty() && now - p.idle.peekFirst().idleSinceNs >= idleNs) {
--- a/sidecar/src/main/java/mulleinlever/sidecar/PodList.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/PodList.java
@@ -11,30 +11,35 @@
  * A list of pods as discovery writes it, or the changes since an earlier one, and where each pod
  * listens.
  */
-record PodList(long version, boolean whole, List<PodEntry> entries, Map<String, String> addresses) {
+record PodList(
+        long version,
+        boolean isFull,
+        List<PodEntry> entries,
+        Map<String, String> addressesByPodId) {
     /** Before any list was told: discovery is asked for all of it. */
-    static final PodList NONE = new PodList(0, true, List.of(), Map.of());
+    static final PodList EMPTY = new PodList(0, true, List.of(), Map.of());
 
-    static PodList read(JsonFieldReader from) {
+    static PodList fromJson(JsonFieldReader from) {
         List<PodEntry> entries = new ArrayList<>();
         Map<String, String> addresses = new LinkedHashMap<>();
-        for (JsonFieldReader pod : from.all("instances")) {
-            String id = pod.text("instanceId");
-            PodEntry.State state = pod.word("lifecycle", PodEntry.State.class);
+        for (JsonFieldReader pod : from.getObjects("instances")) {
+            String id = pod.getString("instanceId");
+            PodEntry.State state = pod.getEnum("lifecycle", PodEntry.State.class);
             entries.add(
                     new PodEntry(
                             id,
-                            pod.text("zone", ""),
-                            pod.text("machineType", ""),
-                            (int) pod.whole("cell", 0),
-                            (int) pod.whole("build", 0),
+                            pod.getString("zone", ""),
+                            pod.getString("machineType", ""),
+                            (int) pod.getLong("cell", 0),
+                            (int) pod.getLong("build", 0),
                             state,
-                            pod.number("weight", 1),
-                            Clock.ofUnixMs(pod.whole("startedAtMs", 0))));
-            if (state != PodEntry.State.GONE || pod.has("hostPort")) {
-                addresses.put(id, pod.text("hostPort"));
+                            pod.getDouble("weight", 1),
+                            Clock.unixMsToNs(pod.getLong("startedAtMs", 0))));
+            if (state != PodEntry.State.GONE || pod.hasField("hostPort")) {
+                addresses.put(id, pod.getString("hostPort"));
             }
         }
-        return new PodList(from.whole("generation"), from.flag("reset", false), entries, addresses);
+        return new PodList(
+                from.getLong("generation"), from.getBoolean("reset", false), entries, addresses);
     }
 }
--- a/sidecar/src/main/java/mulleinlever/sidecar/PodResponseHandler.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/PodResponseHandler.java
@@ -40,41 +40,41 @@
         }
 
         private ByteBuf take() {
-            ByteBuf all = parts.addComponent(true, PostgresMessages.ready());
+            ByteBuf all = parts.addComponent(true, PostgresMessages.readyForQuery());
             parts = null;
             clear();
             return all;
         }
     }
 
-    void message(PodConnection link, UpstreamTry t, PostgresMessageDecoder at) {
-        PartialResponse a = link.answer;
-        switch (at.type) {
+    void handleMessage(PodConnection link, UpstreamTry t, PostgresMessageDecoder at) {
+        PartialResponse a = link.response;
+        switch (at.messageType) {
             case 'T' -> {
                 a.described = true;
-                a.add(at.keepWhole());
+                a.add(at.retainMessage());
             }
             case 'D' -> {
                 if (!a.described || ++a.rows > 1) {
                     throw new InvalidInputException("a row too many");
                 }
-                a.add(at.keepWhole());
+                a.add(at.retainMessage());
             }
             case 'C' -> {
-                link.told();
+                link.detachTry();
                 if (a.rows == 1) {
-                    a.add(at.keepWhole());
-                    book.ended(t, TryOutcome.OK, a.take());
+                    a.add(at.retainMessage());
+                    book.onTryEnded(t, TryOutcome.OK, a.take());
                 } else {
                     // No row, no value: it ran, but there is nothing to pass on.
-                    book.ended(t, TryOutcome.ERROR, null);
+                    book.onTryEnded(t, TryOutcome.ERROR, null);
                 }
             }
             case 'E' -> {
                 a.clear();
-                link.told();
-                boolean turnedAway = PostgresMessages.SHED.equals(code(at));
-                book.ended(t, turnedAway ? TryOutcome.FULL : TryOutcome.ERROR, null);
+                link.detachTry();
+                boolean turnedAway = PostgresMessages.TOO_MANY_CONNECTIONS.equals(code(at));
+                book.onTryEnded(t, turnedAway ? TryOutcome.FULL : TryOutcome.ERROR, null);
             }
             // Notices and settings change nothing.
             default -> {}
@@ -82,9 +82,9 @@
     }
 
     private static String code(PostgresMessageDecoder at) {
-        ByteBuf b = at.bytes();
-        int end = at.at + at.length;
-        for (int i = at.at; i < end && b.getByte(i) != 0; ) {
+        ByteBuf b = at.buffer();
+        int end = at.bodyIndex + at.bodyLength;
+        for (int i = at.bodyIndex; i < end && b.getByte(i) != 0; ) {
             int zero = b.indexOf(i + 1, end, (byte) 0);
             if (zero < 0) {
                 return "";
--- a/sidecar/src/main/java/mulleinlever/sidecar/PostgresMessages.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/PostgresMessages.java
@@ -6,10 +6,10 @@
 
 /** The messages of our own that a client or a pod is sent. */
 final class PostgresMessages {
-    static final String SHED = "53300";
-    static final String ERRORED = "XX000";
-    static final String MALFORMED = "08P01";
-    static final String UNKNOWN = "42601";
+    static final String TOO_MANY_CONNECTIONS = "53300";
+    static final String INTERNAL_ERROR = "XX000";
+    static final String PROTOCOL_VIOLATION = "08P01";
+    static final String SYNTAX_ERROR = "42601";
 
     private static final ByteBuf WELCOME = welcoming();
     private static final ByteBuf READY = fixed(new byte[] {'Z', 0, 0, 0, 5, 'I'});
@@ -65,29 +65,29 @@
         return fixed(bytes);
     }
 
-    static ByteBuf welcome() {
+    static ByteBuf startupResponse() {
         return WELCOME.duplicate();
     }
 
-    static ByteBuf ready() {
+    static ByteBuf readyForQuery() {
         return READY.duplicate();
     }
 
-    static ByteBuf empty() {
+    static ByteBuf emptyQueryResponse() {
         return EMPTY.duplicate();
     }
 
-    static ByteBuf noCrypto() {
+    static ByteBuf encryptionRefused() {
         return NO_CRYPTO.duplicate();
     }
 
     /** What opens a connection to a pod. */
-    static ByteBuf opening() {
+    static ByteBuf startupMessage() {
         return HELLO.duplicate();
     }
 
     /** ErrorResponse and ReadyForQuery; {@code comeBackMs} 0 gives no advice. */
-    static ByteBuf error(String code, String text, long comeBackMs, boolean ready) {
+    static ByteBuf errorResponse(String code, String text, long comeBackMs, boolean ready) {
         ByteBuf b = Unpooled.buffer(96);
         b.writeByte('E').writeInt(0);
         field(b, 'S', "ERROR");
--- a/sidecar/src/main/java/mulleinlever/sidecar/QueryHandler.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/QueryHandler.java
@@ -24,29 +24,39 @@
     }
 
     /** Takes over the text. What no pod would understand is turned down here and never sent on. */
-    void query(ClientConnection client, ByteBuf text) {
+    void handleQuery(ClientConnection client, ByteBuf text) {
         if (blank(text)) {
             text.release();
-            client.command(PostgresMessages.empty());
+            client.respond(PostgresMessages.emptyQueryResponse());
             return;
         }
-        Statement s = Statement.read(text);
+        Statement s = Statement.parse(text);
         Settings.RouteSettings row = s == null ? null : routes.get(s.route);
         PendingCommand held = row == null ? null : new PendingCommand(client, s);
-        if (held == null || !book.take(held)) {
+        if (held == null || !book.register(held)) {
             text.release();
             String why =
                     s == null
                             ? "no req: the comment with id, c and d is missing"
                             : row == null ? "no such route" : "this id is in hand";
-            client.command(PostgresMessages.error(PostgresMessages.UNKNOWN, why, 0, true));
+            client.respond(
+                    PostgresMessages.errorResponse(PostgresMessages.SYNTAX_ERROR, why, 0, true));
             return;
         }
-        held.objectiveNs = row.objectiveNs();
-        long waitsNs = s.waitsMs < 0 ? row.timeoutNs() : s.waitsMs * 1_000_000L;
-        held.waitsNs = waitsNs;
-        client.inLine(held);
-        route.req(new Req(s.id, s.route, s.repeat, s.write(), waitsNs, 0, s.key(), s.tenant));
+        held.latencyObjectiveNs = row.latencyObjectiveNs();
+        long waitsNs = s.clientTimeoutMs < 0 ? row.timeoutNs() : s.clientTimeoutMs * 1_000_000L;
+        held.clientTimeoutNs = waitsNs;
+        client.enqueue(held);
+        route.submitReq(
+                new Req(
+                        s.id,
+                        s.route,
+                        s.isClientRetry,
+                        s.isWrite(),
+                        waitsNs,
+                        0,
+                        s.key(),
+                        s.tenant));
     }
 
     private static boolean blank(ByteBuf text) {
--- a/sidecar/src/main/java/mulleinlever/sidecar/RateLimitedLog.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/RateLimitedLog.java
@@ -20,17 +20,17 @@
     RateLimitedLog(PrintStream out, Clock clock) {
         this.out = out;
         this.clock = clock;
-        this.startNs = clock.now();
+        this.startNs = clock.nowNs();
     }
 
     /** A fault of our own: with where it was thrown, which is what its mender asks first. */
-    void fault(String about, Throwable e) {
+    void internalError(String about, Throwable e) {
         StackTraceElement[] at = e.getStackTrace();
-        say(about, "fault: " + e + (at.length > 0 ? " at " + at[0] : ""));
+        info(about, "fault: " + e + (at.length > 0 ? " at " + at[0] : ""));
     }
 
-    synchronized void say(String about, String text) {
-        long sinceMs = (clock.now() - startNs) / 1_000_000;
+    synchronized void info(String about, String text) {
+        long sinceMs = (clock.nowNs() - startNs) / 1_000_000;
         if (sinceMs / 1000 != second) {
             second = sinceMs / 1000;
             said = 0;
--- a/sidecar/src/main/java/mulleinlever/sidecar/ReconnectBackoff.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/ReconnectBackoff.java
@@ -28,7 +28,7 @@
      * from all, on average: no more than a minute, whatever was set. While it is still bunched, a
      * large one makes more in single seconds.
      */
-    static long mostFor(int sidecars, double callsPerSecond) {
+    static long maxDelayNs(int sidecars, double callsPerSecond) {
         return (long)
                 (1e9
                         * Math.min(
@@ -36,12 +36,12 @@
                                 2.0 * sidecars / (callsPerSecond > 0.1 ? callsPerSecond : 0.1)));
     }
 
-    void opened(long nowNs) {
+    void recordOpened(long nowNs) {
         openedNs = nowNs;
     }
 
     /** How long to wait, in nanoseconds, after it has ended now. */
-    long endedNs(long nowNs) {
+    long nextDelayNs(long nowNs) {
         boolean stood = nowNs - openedNs > mostNs + firstNs;
         waitNs = waitNs == 0 || stood ? firstNs : Math.min(mostNs, 2 * waitNs);
         return waitNs / 2 + random.nextLong(waitNs / 2 + 1);
--- a/sidecar/src/main/java/mulleinlever/sidecar/ReleasePlatformClient.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/ReleasePlatformClient.java
@@ -54,27 +54,28 @@
         this.net = net;
         this.clock = clock;
         this.log = log;
-        this.address = config.platform();
+        this.address = config.releaseApiAddress();
         Settings set = config.settings();
-        this.voteWaitNs = set.rollout().voteWaitNs();
+        this.voteWaitNs = set.rollout().voteTimeoutNs();
         this.again =
                 new ReconnectBackoff(
                         RETRY_NS,
-                        ReconnectBackoff.mostFor(set.sidecars(), set.rollout().votesPerSecond()),
+                        ReconnectBackoff.maxDelayNs(
+                                set.sidecarCount(), set.rollout().votesPerSecond()),
                         config.seed());
     }
 
-    void reportsTo(Policy decides) {
+    void setPolicy(Policy decides) {
         this.policy = decides;
     }
 
-    static RolloutStatus.Phase phase(String word, FieldReader at) {
+    static RolloutStatus.Phase parsePhase(String word, FieldReader at) {
         return switch (word) {
             case "testing" -> RolloutStatus.Phase.ON_TRIAL;
             case "recalling" -> RolloutStatus.Phase.REVERTING;
             case "live" -> RolloutStatus.Phase.RELEASED;
             case "recalled" -> RolloutStatus.Phase.WITHDRAWN;
-            default -> throw at.bad("phase", "testing, recalling, live or recalled");
+            default -> throw at.fieldError("phase", "testing, recalling, live or recalled");
         };
     }
 
@@ -85,22 +86,23 @@
      * deaf.
      */
     private void tell(RolloutStatus n) {
-        long now = clock.now();
+        long now = clock.nowNs();
         if (last == null || now - lastNs > ORDER_NS || FORWARD.compare(n, last) >= 0) {
             last = n;
             lastNs = now;
-            policy.news(now, n);
+            policy.onRolloutStatus(now, n);
         }
     }
 
     /** Where the newest build stood when last told, be it at the start. */
-    RolloutStatus last(RolloutStatus atFirst) {
+    RolloutStatus latestStatusOr(RolloutStatus atFirst) {
         return last == null ? atFirst : last;
     }
 
     /** The news behind a line's first words. */
     private static RolloutStatus news(String[] words, int from) {
-        RolloutStatus.Phase phase = phase(words[from + 2], new JsonFieldReader("platform: ", null));
+        RolloutStatus.Phase phase =
+                parsePhase(words[from + 2], new JsonFieldReader("platform: ", null));
         return new RolloutStatus(
                 Integer.parseInt(words[from]),
                 Integer.parseInt(words[from + 1]),
@@ -113,22 +115,22 @@
         return (long) (Math.max(0, Double.parseDouble(ms)) * MS);
     }
 
-    void listen() {
+    void subscribe() {
         listener = new NotificationConnection();
-        again.opened(clock.now());
-        listener.open(address, CONNECT_NS, SILENT_NS);
+        again.recordOpened(clock.nowNs());
+        listener.connect(address, CONNECT_NS, SILENT_NS);
     }
 
     /** Votes under way at the old address are still answered there, or end and may have counted. */
-    void moved(InetSocketAddress to) {
+    void updateAddress(InetSocketAddress to) {
         if (!to.equals(address)) {
             address = to;
-            listener.drop();
-            listen();
+            listener.cancel();
+            subscribe();
         }
     }
 
-    void vote(int build, int stage, RolloutVote verdict) {
+    void sendVote(int build, int stage, RolloutVote verdict) {
         String word =
                 switch (verdict) {
                     case NONE -> "clear";
@@ -136,9 +138,9 @@
                     case HOLD -> "wait";
                     case BACK -> "reject";
                 };
-        log.say("platform", "vote: build " + build + " stage " + stage + " " + word);
+        log.info("platform", "vote: build " + build + " stage " + stage + " " + word);
         new VoteConnection("BALLOT " + build + " " + stage + " " + word)
-                .open(address, Math.min(CONNECT_NS, voteWaitNs), voteWaitNs);
+                .connect(address, Math.min(CONNECT_NS, voteWaitNs), voteWaitNs);
     }
 
     private final class VoteConnection extends LineConnection {
@@ -150,32 +152,32 @@
         }
 
         @Override
-        String says() {
+        String initialRequest() {
             return ballot + "\r\n";
         }
 
         @Override
-        void line(String text) {
+        void onLine(String text) {
             if (text.startsWith("*")) {
                 return;
             }
             String[] words = text.split(" ");
             boolean counts = words[0].equals("OK") && words.length >= 6;
             RolloutStatus n = counts ? news(words, 1) : null;
-            drop();
-            policy.voteAnswered(clock.now(), counts);
+            cancel();
+            policy.onVoteAnswered(clock.nowNs(), counts);
             if (counts) {
                 tell(n);
             } else {
-                log.say("platform", "vote not taken: " + text);
+                log.info("platform", "vote not taken: " + text);
             }
         }
 
         /** With no answer it may count all the same, which the module allows for. */
         @Override
-        void end(EndReason reason) {
-            log.say("platform", "no answer to the vote: " + reason + " " + history());
-            policy.voteAnswered(clock.now(), false);
+        void onEnd(EndReason reason) {
+            log.info("platform", "no answer to the vote: " + reason + " " + describeProgress());
+            policy.onVoteAnswered(clock.nowNs(), false);
         }
     }
 
@@ -185,19 +187,19 @@
         }
 
         @Override
-        String says() {
+        String initialRequest() {
             return "NOTIFY\r\n";
         }
 
         @Override
-        void line(String text) {
-            limit(SILENT_NS);
+        void onLine(String text) {
+            resetTimeout(SILENT_NS);
             String[] w = text.split(" ");
-            long now = clock.now();
+            long now = clock.nowNs();
             switch (w.length > 1 && w[0].equals("*") ? w[1] : "") {
                 case "progress" -> tell(news(w, 2));
                 case "metrics" ->
-                        policy.tally(
+                        policy.onPlatformTally(
                                 now,
                                 w[3],
                                 Integer.parseInt(w[2]),
@@ -205,21 +207,21 @@
                                 Double.parseDouble(w[5]),
                                 age(w[6]),
                                 age(w[7]));
-                case "complaint" -> policy.flagged(now, w[2], w[3]);
+                case "complaint" -> policy.onComplaint(now, w[2], w[3]);
                 default -> {}
             }
         }
 
         @Override
-        void end(EndReason reason) {
-            log.say("platform", "the news have ended: " + reason + " " + history());
-            net.after(
-                    again.endedNs(clock.now()),
+        void onEnd(EndReason reason) {
+            log.info("platform", "the news have ended: " + reason + " " + describeProgress());
+            net.schedule(
+                    again.nextDelayNs(clock.nowNs()),
                     () -> {
                         // Unless the platform has moved meanwhile: news heard twice would count
                         // twice.
                         if (listener == this) {
-                            listen();
+                            subscribe();
                         }
                     });
         }
--- a/sidecar/src/main/java/mulleinlever/sidecar/ReqMemoryLimiter.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/ReqMemoryLimiter.java
@@ -13,27 +13,27 @@
     private final Set<ClientConnection> waiting = new LinkedHashSet<>();
     private long bytes;
 
-    boolean full() {
+    boolean isExceeded() {
         return bytes > MOST;
     }
 
-    void add(int more) {
+    void reserve(int more) {
         bytes += more;
     }
 
-    void remove(int less) {
+    void release(int less) {
         bytes -= less;
-        if (!full() && !waiting.isEmpty()) {
-            waiting.forEach(ClientConnection::resumeSoon);
+        if (!isExceeded() && !waiting.isEmpty()) {
+            waiting.forEach(ClientConnection::scheduleDecode);
             waiting.clear();
         }
     }
 
-    void await(ClientConnection client) {
+    void addWaiter(ClientConnection client) {
         waiting.add(client);
     }
 
-    void forget(ClientConnection client) {
+    void removeWaiter(ClientConnection client) {
         waiting.remove(client);
     }
 }
--- a/sidecar/src/main/java/mulleinlever/sidecar/ReqRegistry.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/ReqRegistry.java
@@ -18,7 +18,7 @@
         this.counts = counts;
     }
 
-    void reportsTo(Policy decides) {
+    void setPolicy(Policy decides) {
         this.policy = decides;
     }
 
@@ -26,68 +26,71 @@
         return inHand.get(id);
     }
 
-    boolean take(PendingCommand held) {
+    boolean register(PendingCommand held) {
         boolean mine = inHand.putIfAbsent(held.statement.id, held) == null;
         if (mine) {
-            held.takenNs = clock.now();
-            counts.add(SidecarMetrics.Event.IN);
+            held.receivedNs = clock.nowNs();
+            counts.increment(SidecarMetrics.Event.IN);
         }
         return mine;
     }
 
-    int count() {
+    int inFlightCount() {
         return inHand.size();
     }
 
     /**
      * A try is over, once; what still comes for it is passed over. A served one answers the req.
      */
-    void ended(UpstreamTry t, TryOutcome ending, ByteBuf served) {
-        if (t.ended()) {
+    void onTryEnded(UpstreamTry t, TryOutcome ending, ByteBuf served) {
+        if (t.hasEnded()) {
             if (served != null) {
                 served.release();
             }
             return;
         }
-        t.how = ending;
-        counts.ended(ending);
-        if (t.limit != null) {
-            t.limit.cancel(false);
+        t.outcome = ending;
+        counts.recordTryOutcome(ending);
+        if (t.timeoutTask != null) {
+            t.timeoutTask.cancel(false);
         }
-        long now = clock.now();
+        long now = clock.nowNs();
         if (served != null) {
-            answer(t.held, served, SidecarMetrics.Event.COMPLETED);
+            respond(t.command, served, SidecarMetrics.Event.COMPLETED);
         }
-        boolean complete = t.held.answered;
-        policy.tryEnded(now, t.held.statement.id, t.no, ending, now - t.calledNs, complete);
-        settle(t.held);
+        boolean complete = t.command.outcomeDecided;
+        policy.onTryEnded(
+                now, t.command.statement.id, t.tryNo, ending, now - t.startedNs, complete);
+        settle(t.command);
     }
 
     /** The first answer goes to the client, any other nowhere. */
-    void answer(PendingCommand held, ByteBuf answer, SidecarMetrics.Event how) {
-        if (held.answered) {
+    void respond(PendingCommand held, ByteBuf answer, SidecarMetrics.Event how) {
+        if (held.outcomeDecided) {
             answer.release();
             return;
         }
-        held.answered = true;
-        held.answer = answer;
-        counts.answered(held, how);
-        held.client.answerReady();
+        held.outcomeDecided = true;
+        held.response = answer;
+        counts.recordOutcome(held, how);
+        held.client.flushResponses();
         settle(held);
     }
 
-    void clientGone(PendingCommand held) {
-        if (!held.answered) {
-            held.answered = true;
-            counts.answered(held, SidecarMetrics.Event.GONE);
-            policy.clientGone(clock.now(), held.statement.id);
+    void onClientDisconnected(PendingCommand held) {
+        if (!held.outcomeDecided) {
+            held.outcomeDecided = true;
+            counts.recordOutcome(held, SidecarMetrics.Event.GONE);
+            policy.onClientDisconnected(clock.nowNs(), held.statement.id);
         }
         settle(held);
     }
 
     private void settle(PendingCommand held) {
-        if (held.answered && !held.triesOut() && inHand.remove(held.statement.id, held)) {
-            held.client.settled(held);
+        if (held.outcomeDecided
+                && !held.hasTriesInFlight()
+                && inHand.remove(held.statement.id, held)) {
+            held.client.releaseMemory(held);
             held.statement.text.release();
         }
     }
--- a/sidecar/src/main/java/mulleinlever/sidecar/SidecarComponents.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/SidecarComponents.java
@@ -15,10 +15,10 @@
 
     private static final double PODS_PART = 0.35;
 
-    final ClientConnections clients;
-    final ReqRegistry book;
+    final ClientConnections clientConnections;
+    final ReqRegistry reqRegistry;
     final DiscoveryClient discovery;
-    final ReleasePlatformClient platform;
+    final ReleasePlatformClient releasePlatform;
     final Policy policy;
     private final PodConnectionPool pods;
     private final ReqMemoryLimiter flow = new ReqMemoryLimiter();
@@ -37,63 +37,67 @@
         this.clock = clock;
         this.log = log;
         Settings set = config.settings();
-        clients = new ClientConnections((int) (CLIENTS_PART * config.sockets()), life);
+        clientConnections = new ClientConnections((int) (CLIENTS_PART * config.maxSockets()), life);
         counts = new SidecarMetrics(clock, log);
-        book = new ReqRegistry(clock, counts);
+        reqRegistry = new ReqRegistry(clock, counts);
         pods =
                 new PodConnectionPool(
                         net,
                         clock,
                         log,
-                        new PodResponseHandler(book),
-                        (int) (PODS_PART * config.sockets()),
-                        set.limits(),
+                        new PodResponseHandler(reqRegistry),
+                        (int) (PODS_PART * config.maxSockets()),
+                        set.policyLimits(),
                         counts);
-        discovery = new DiscoveryClient(net, clock, log, config.discovery(), pods);
-        platform = new ReleasePlatformClient(net, clock, log, config);
+        discovery = new DiscoveryClient(net, clock, log, config.discoveryAddress(), pods);
+        releasePlatform = new ReleasePlatformClient(net, clock, log, config);
         SidecarPolicyActions route =
                 new SidecarPolicyActions(
                         net,
                         clock,
-                        book,
-                        new TryDispatcher(net, clock, book, pods),
+                        reqRegistry,
+                        new TryDispatcher(net, clock, reqRegistry, pods),
                         discovery,
-                        platform,
+                        releasePlatform,
                         log);
-        policy = new Policy(set, config.seed(), clock.now(), route);
-        book.reportsTo(policy);
-        route.asks(policy);
-        discovery.reportsTo(policy);
-        platform.reportsTo(policy);
-        discovery.takeKnown(config.known());
-        policy.news(clock.now(), config.news());
-        admit = new QueryHandler(set, book, route);
+        policy = new Policy(set, config.seed(), clock.nowNs(), route);
+        reqRegistry.setPolicy(policy);
+        route.setPolicy(policy);
+        discovery.setPolicy(policy);
+        releasePlatform.setPolicy(policy);
+        discovery.applyInitialList(config.initialPodList());
+        policy.onRolloutStatus(clock.nowNs(), config.initialRolloutStatus());
+        admit = new QueryHandler(set, reqRegistry, route);
     }
 
     /** For one client's connection. */
-    ChannelHandler client() {
-        return new ClientConnection(admit, clients, flow, book, clock, log);
+    ChannelHandler newClientHandler() {
+        return new ClientConnection(admit, clientConnections, flow, reqRegistry, clock, log);
     }
 
     /** Where a pod listens; null where that is not known. */
-    String addressOf(String pod) {
-        return pods.addressOf(pod);
+    String podAddress(String pod) {
+        return pods.podAddress(pod);
     }
 
     /** A step is told to the policy once: it can't be undone. */
     private void watchWallClock() {
-        long steppedNs = clock.steppedNs();
+        long steppedNs = clock.wallClockStepNs();
         if (steppedNs != 0 && !wallClockStepped) {
             wallClockStepped = true;
-            log.say("clock", "the wall clock was stepped by " + steppedNs / 1_000_000 + " ms");
-            policy.wallClockStepped();
+            log.info("clock", "the wall clock was stepped by " + steppedNs / 1_000_000 + " ms");
+            policy.onWallClockStepped();
         }
     }
 
-    void sweep() {
+    void runMaintenance() {
         watchWallClock();
-        clients.sweep(clock.now());
-        pods.sweep(clock.now());
-        counts.tell(policy.sight(clock.now()), clients.count(), pods.links(), discovery.ageNs());
+        clientConnections.closeStalled(clock.nowNs());
+        pods.evictExpired(clock.nowNs());
+        counts.logAndReset(
+                policy.stats(clock.nowNs()),
+                clientConnections.connectionCount(),
+                pods.connectionCount(),
+                discovery.listAgeNs());
     }
 }
--- a/sidecar/src/main/java/mulleinlever/sidecar/SidecarMetrics.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/SidecarMetrics.java
@@ -43,33 +43,33 @@
         this.log = log;
     }
 
-    void add(Event what) {
+    void increment(Event what) {
         of[what.ordinal()]++;
     }
 
-    void ended(TryOutcome how) {
+    void recordTryOutcome(TryOutcome how) {
         ends[how.ordinal()]++;
     }
 
     /**
      * How a req was answered: completed and in time or late, shed, errored, or left by its client.
      */
-    void answered(PendingCommand held, Event how) {
-        add(how);
-        long tookNs = clock.now() - held.takenNs;
-        if (how == Event.COMPLETED && tookNs > held.objectiveNs) {
-            add(Event.LATE);
+    void recordOutcome(PendingCommand held, Event how) {
+        increment(how);
+        long tookNs = clock.nowNs() - held.receivedNs;
+        if (how == Event.COMPLETED && tookNs > held.latencyObjectiveNs) {
+            increment(Event.LATE);
         }
-        boolean sent = held.tries.stream().anyMatch(t -> t.written);
+        boolean sent = held.tries.stream().anyMatch(t -> t.fullyWritten);
         if (!sent) {
-            add(Event.UNSENT);
+            increment(Event.UNSENT);
         }
-        boolean overdue = tookNs > held.waitsNs;
+        boolean overdue = tookNs > held.clientTimeoutNs;
         if (overdue) {
-            add(Event.OVERDUE);
+            increment(Event.OVERDUE);
         }
         if ((overdue || how != Event.COMPLETED && how != Event.GONE) && ++stories <= STORIES) {
-            log.say("req", story(held, how, tookNs));
+            log.info("req", story(held, how, tookNs));
         }
     }
 
@@ -81,22 +81,22 @@
                         .append(" after ")
                         .append(tookNs / 1_000_000)
                         .append(" of ")
-                        .append(held.waitsNs / 1_000_000)
+                        .append(held.clientTimeoutNs / 1_000_000)
                         .append(" ms");
         for (UpstreamTry t : held.tries) {
             b.append("; ")
-                    .append(t.pod)
+                    .append(t.podId)
                     .append(" at ")
-                    .append((t.calledNs - held.takenNs) / 1_000_000)
+                    .append((t.startedNs - held.receivedNs) / 1_000_000)
                     .append(' ')
-                    .append(t.ended() ? word(t.how) : "out")
-                    .append(t.written ? "" : " unwritten");
+                    .append(t.hasEnded() ? word(t.outcome) : "out")
+                    .append(t.fullyWritten ? "" : " unwritten");
         }
         return b.toString();
     }
 
     /** Says what there is to say, and begins anew. */
-    void tell(Policy.Stats sight, int clients, int links, long listAgeNs) {
+    void logAndReset(Policy.Stats sight, int clients, int links, long listAgeNs) {
         StringBuilder b = new StringBuilder();
         for (Event w : Event.values()) {
             put(b, word(w), of[w.ordinal()]);
@@ -108,7 +108,7 @@
         }
         stories = 0;
         if (b.length() > 0) {
-            log.say(
+            log.info(
                     "count",
                     b.append(
                                     String.format(
@@ -117,16 +117,16 @@
                                                     + "further=%d ease=%.2f ready=%d usable=%d fit=%d cold=%d dark=%d list_age=%.1f",
                                             clients,
                                             links,
-                                            sight.room(),
-                                            sight.open(),
-                                            sight.firstTries(),
-                                            sight.furtherTries(),
-                                            sight.ease(),
-                                            sight.ready(),
-                                            sight.usable(),
-                                            sight.fit(),
-                                            sight.cold(),
-                                            sight.dark(),
+                                            sight.tryLimit(),
+                                            sight.openTryCount(),
+                                            sight.queuedFirstTryCount(),
+                                            sight.queuedRetryCount(),
+                                            sight.meanLatencyRatio(),
+                                            sight.readyPodCount(),
+                                            sight.leasedPodCount(),
+                                            sight.healthyPodCount(),
+                                            sight.coldPodCount(),
+                                            sight.unreachablePodCount(),
                                             listAgeNs / 1e9))
                             .toString());
         }
--- a/sidecar/src/main/java/mulleinlever/sidecar/SidecarPolicyActions.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/SidecarPolicyActions.java
@@ -34,34 +34,38 @@
         this.log = log;
     }
 
-    void asks(Policy decides) {
+    void setPolicy(Policy decides) {
         this.policy = decides;
     }
 
-    void req(Req req) {
-        policy.req(clock.now(), req);
+    void submitReq(Req req) {
+        policy.onReq(clock.nowNs(), req);
     }
 
     @Override
-    public void relay(String rq, String pod, long writeWithinNs, long limitNs) {
-        send.start(book.find(rq), pod, writeWithinNs, limitNs);
+    public void startTry(String rq, String pod, long writeWithinNs, long limitNs) {
+        send.startTry(book.find(rq), pod, writeWithinNs, limitNs);
     }
 
     @Override
-    public void shed(String rq, long backoffNs) {
+    public void shedReq(String rq, long backoffNs) {
         answer(
                 rq,
                 SidecarMetrics.Event.SHED,
-                PostgresMessages.error(
-                        PostgresMessages.SHED, "shed: try again", backoffNs / 1_000_000, true));
+                PostgresMessages.errorResponse(
+                        PostgresMessages.TOO_MANY_CONNECTIONS,
+                        "shed: try again",
+                        backoffNs / 1_000_000,
+                        true));
     }
 
     @Override
-    public void error(String rq) {
+    public void failReq(String rq) {
         answer(
                 rq,
                 SidecarMetrics.Event.ERRORED,
-                PostgresMessages.error(PostgresMessages.ERRORED, "errored", 0, true));
+                PostgresMessages.errorResponse(
+                        PostgresMessages.INTERNAL_ERROR, "errored", 0, true));
     }
 
     private void answer(String rq, SidecarMetrics.Event how, ByteBuf answer) {
@@ -69,35 +73,35 @@
         if (held == null) {
             answer.release();
         } else {
-            book.answer(held, answer, how);
+            book.respond(held, answer, how);
         }
     }
 
     @Override
-    public void cancel(String rq, int tryNo) {
+    public void cancelTry(String rq, int tryNo) {
         PendingCommand held = book.find(rq);
         if (held != null && tryNo >= 0 && tryNo < held.tries.size()) {
-            send.cancel(held.tries.get(tryNo));
+            send.cancelTry(held.tries.get(tryNo));
         }
     }
 
     @Override
-    public void vote(int build, int stage, RolloutVote verdict) {
-        platform.vote(build, stage, verdict);
+    public void castVote(int build, int stage, RolloutVote verdict) {
+        platform.sendVote(build, stage, verdict);
     }
 
     @Override
-    public void watchList() {
-        discovery.watch();
+    public void watchPodList() {
+        discovery.openWatch();
     }
 
     @Override
-    public void timer(long atNs, String token) {
-        net.after(atNs - clock.now(), () -> policy.timer(clock.now(), token));
+    public void scheduleTimer(long atNs, String token) {
+        net.schedule(atNs - clock.nowNs(), () -> policy.onTimer(clock.nowNs(), token));
     }
 
     @Override
     public void log(String line) {
-        log.say("module", line);
+        log.info("module", line);
     }
 }
--- a/sidecar/src/main/java/mulleinlever/sidecar/SidecarServer.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/SidecarServer.java
@@ -55,7 +55,7 @@
         this.config = config;
         this.memory = memory;
         this.clock = clock;
-        this.startedNs = clock.now();
+        this.startedNs = clock.nowNs();
         this.log = log;
         this.life = new Lifecycle(log);
         this.net = new NettyTransport(log);
@@ -70,40 +70,40 @@
     public static int run(Map<String, String> env, List<Path> with) throws InterruptedException {
         Clock clock = new Clock();
         RateLimitedLog log = new RateLimitedLog(System.err, clock);
-        NettyLogHandler.passTo(log);
+        NettyLogHandler.install(log);
         SidecarConfig config;
         FeatureSettings ours;
         try {
             config = SidecarConfig.load(env);
             ours = with.isEmpty() ? FeatureSettings.NONE : FeatureSettings.read(with);
         } catch (RuntimeException e) {
-            log.say("config", e instanceof InvalidInputException ? e.getMessage() : e.toString());
+            log.info("config", e instanceof InvalidInputException ? e.getMessage() : e.toString());
             return 2;
         }
         // Not even named where it is off: what it needs is not on the bare daemon's class path.
         StatePersistence memory =
-                ours.remember() == null
+                ours.stateSettings() == null
                         ? null
-                        : new StatePersistence(ours.remember(), config, clock, log);
+                        : new StatePersistence(ours.stateSettings(), config, clock, log);
         SidecarServer serve = new SidecarServer(env, config, memory, clock, log);
         Runtime.getRuntime().addShutdownHook(new Thread(serve::stop, "stop"));
         AtomicInteger code = new AtomicInteger();
-        serve.reload.listen();
+        serve.reload.installSignalHandler();
         if (memory == null) {
             // Discovery may have a long line, so it is asked while the rehearsal goes on.
-            serve.net.soon(serve::prepare);
+            serve.net.execute(serve::prepare);
         }
-        WarmUp.play(
+        WarmUp.run(
                 config,
                 played -> {
-                    log.say("life", played.toString());
+                    log.info("life", played.toString());
                     serve.remember();
-                    serve.net.soon(
+                    serve.net.execute(
                             () -> {
                                 try {
                                     serve.start(code);
                                 } catch (RuntimeException e) {
-                                    log.say("life", "can't start: " + e);
+                                    log.info("life", "can't start: " + e);
                                     code.set(2);
                                     serve.end();
                                 }
@@ -118,7 +118,7 @@
     private void remember() {
         try {
             if (memory != null) {
-                memory.await();
+                memory.awaitLoaded();
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
@@ -127,25 +127,25 @@
 
     private void forgo() throws InterruptedException {
         if (memory != null) {
-            memory.close();
+            memory.awaitFinalWrite();
         }
     }
 
     private void start(AtomicInteger code) {
-        if (life.is(Lifecycle.Phase.ENDED)) {
+        if (life.isIn(Lifecycle.Phase.ENDED)) {
             return;
         }
         if (stages == null) {
             prepare();
         }
         if (memory != null) {
-            memory.begin(net, stages);
+            memory.restoreAndScheduleSnapshots(net, stages);
         }
-        stages.platform.listen();
-        reload.actsOn(stages);
-        net.every(SECOND, stages::sweep);
-        lastNs = clock.now();
-        net.every(WATCH_NS, this::watchLoop);
+        stages.releasePlatform.subscribe();
+        reload.applyTo(stages);
+        net.scheduleAtFixedRate(SECOND, stages::runMaintenance);
+        lastNs = clock.nowNs();
+        net.scheduleAtFixedRate(WATCH_NS, this::watchLoop);
         listenOnceListed(code);
     }
 
@@ -153,9 +153,9 @@
     private void prepare() {
         stages =
                 new SidecarComponents(
-                        memory == null ? config : memory.startsFrom(), net, clock, log, life);
-        if (!config.settings().listMustBeAsked()) {
-            stages.discovery.watch();
+                        memory == null ? config : memory.initialConfig(), net, clock, log, life);
+        if (!config.settings().requiresListWatch()) {
+            stages.discovery.openWatch();
         }
     }
 
@@ -164,28 +164,31 @@
      * long.
      */
     private void listenOnceListed(AtomicInteger code) {
-        if (life.is(Lifecycle.Phase.ENDED)) {
+        if (life.isIn(Lifecycle.Phase.ENDED)) {
             return;
         }
-        if (stages.discovery.settled() || clock.now() >= startedNs + LIST_WITHIN_NS) {
+        if (stages.discovery.isListConfirmedOrUnreachable()
+                || clock.nowNs() >= startedNs + LIST_WITHIN_NS) {
             listen(LISTEN_TRIES, code);
         } else {
-            net.after(LIST_LOOK_NS, () -> listenOnceListed(code));
+            net.schedule(LIST_LOOK_NS, () -> listenOnceListed(code));
         }
     }
 
     /** A predecessor may hold the address for a moment after it was told to go. */
     private void listen(int tries, AtomicInteger code) {
-        ChannelFuture listening = net.listen(config.listen(), stages::client);
+        ChannelFuture listening = net.bind(config.listenAddress(), stages::newClientHandler);
         listening.addListener(
                 f -> {
                     if (f.isSuccess()) {
-                        stages.clients.listensAt(listening.channel());
-                        life.enter(Lifecycle.Phase.SERVING);
+                        stages.clientConnections.setListener(listening.channel());
+                        life.advanceTo(Lifecycle.Phase.SERVING);
                     } else if (tries > 1) {
-                        net.after(LISTEN_AGAIN_NS, () -> listen(tries - 1, code));
+                        net.schedule(LISTEN_AGAIN_NS, () -> listen(tries - 1, code));
                     } else {
-                        log.say("life", "can't listen at " + config.listen() + ": " + f.cause());
+                        log.info(
+                                "life",
+                                "can't listen at " + config.listenAddress() + ": " + f.cause());
                         code.set(2);
                         end();
                     }
@@ -194,27 +197,31 @@
 
     /** All time limits are as late as the loop is. */
     private void watchLoop() {
-        long now = clock.now();
+        long now = clock.nowNs();
         long late = now - lastNs - WATCH_NS;
         if (late > LATE_NS) {
-            log.say(
+            log.info(
                     "loop",
-                    "late by " + late / MS + " ms, " + stages.book.count() + " reqs in hand");
+                    "late by "
+                            + late / MS
+                            + " ms, "
+                            + stages.reqRegistry.inFlightCount()
+                            + " reqs in hand");
         }
         lastNs = now;
     }
 
     /** Runs when the process is told to stop, which it does when this returns. */
     private void stop() {
-        if (life.is(Lifecycle.Phase.ENDED)) {
+        if (life.isIn(Lifecycle.Phase.ENDED)) {
             return;
         }
-        net.soon(
+        net.execute(
                 () -> {
-                    if (life.is(Lifecycle.Phase.STARTING)) {
+                    if (life.isIn(Lifecycle.Phase.STARTING)) {
                         end();
-                    } else if (life.enter(Lifecycle.Phase.LEAVING)) {
-                        net.after(LEAVING_NS, this::finish);
+                    } else if (life.advanceTo(Lifecycle.Phase.LEAVING)) {
+                        net.schedule(LEAVING_NS, this::finish);
                     }
                 });
         try {
@@ -226,27 +233,27 @@
     }
 
     private void finish() {
-        life.enter(Lifecycle.Phase.FINISHING);
-        stages.clients.finish();
+        life.advanceTo(Lifecycle.Phase.FINISHING);
+        stages.clientConnections.shutDown();
         long longest =
                 config.settings().routes().stream()
                         .mapToLong(Settings.RouteSettings::timeoutNs)
                         .max()
                         .orElse(0);
-        net.after(longest + SLACK_NS, this::end);
-        net.every(
+        net.schedule(longest + SLACK_NS, this::end);
+        net.scheduleAtFixedRate(
                 10 * MS,
                 () -> {
-                    if (stages.clients.count() == 0) {
+                    if (stages.clientConnections.connectionCount() == 0) {
                         end();
                     }
                 });
     }
 
     private void end() {
-        if (life.enter(Lifecycle.Phase.ENDED)) {
+        if (life.advanceTo(Lifecycle.Phase.ENDED)) {
             if (memory != null) {
-                memory.last();
+                memory.writeFinalSnapshot();
             }
             net.close();
             done.countDown();
--- a/sidecar/src/main/java/mulleinlever/sidecar/SocketAddresses.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/SocketAddresses.java
@@ -12,12 +12,12 @@
     private SocketAddresses() {}
 
     /** The same form for the same address, however it was written. */
-    static String text(InetSocketAddress address) {
+    static String format(InetSocketAddress address) {
         return address.getAddress().getHostAddress() + ":" + address.getPort();
     }
 
     /** Null where the text is none. */
-    static InetSocketAddress of(String text) {
+    static InetSocketAddress parse(String text) {
         int colon = text.lastIndexOf(':');
         String host = colon < 0 ? "" : text.substring(0, colon).replaceAll("^\\[(.*)]$", "$1");
         String port = text.substring(colon + 1);
--- a/sidecar/src/main/java/mulleinlever/sidecar/StatePersistence.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/StatePersistence.java
@@ -61,33 +61,37 @@
         this.log = log;
         FileSystemDirectory disk = new FileSystemDirectory(set.folder());
         try {
-            disk.make();
+            disk.createDirectories();
         } catch (IOException e) {
             // The keeper says so at each step that needs it.
         }
         keeper =
                 new StateStore(
-                        disk, set.keep(), set.mostBytes(), config.name(), l -> log.say("state", l));
+                        disk,
+                        set.retainedFileCount(),
+                        set.maxFileBytes(),
+                        config.name(),
+                        l -> log.info("state", l));
         // The seed alone may stand in a file and be the same at each start.
-        random = new SplittableRandom(config.seed() ^ clock.now());
+        random = new SplittableRandom(config.seed() ^ clock.nowNs());
         start = random.nextLong();
-        opening = keeper.open();
+        opening = keeper.openAsync();
     }
 
     /** Not on the loop: waits for what is read, for a time that is bounded. */
-    void await() throws InterruptedException {
-        found = keeper.await(opening, set.readWithinNs());
+    void awaitLoaded() throws InterruptedException {
+        found = keeper.awaitLoad(opening, set.readTimeoutNs());
         if (found == null) {
             return;
         }
-        found.passedOver().stream()
+        found.skippedFiles().stream()
                 .limit(MOST_LINES)
-                .forEach(l -> log.say("state", "passed over " + l));
-        if (found.kept() == null) {
-            log.say("state", "nothing taken: no whole file in " + set.folder());
+                .forEach(l -> log.info("state", "passed over " + l));
+        if (found.snapshot() == null) {
+            log.info("state", "nothing taken: no whole file in " + set.folder());
             found = null;
         } else {
-            ageNs = StateDecay.age(found.kept().head().unixMs(), clock.now());
+            ageNs = StateDecay.computeAgeNs(found.snapshot().head().unixMs(), clock.nowNs());
         }
     }
 
@@ -95,25 +99,29 @@
      * The configuration to start from: the list that was kept where it is newer, news that allow
      * less.
      */
-    SidecarConfig startsFrom() {
+    SidecarConfig initialConfig() {
         if (found == null) {
             return config;
         }
-        StateSnapshot kept = found.kept();
-        RolloutStatus tighter = SnapshotFilter.tighter(kept.news(), config.news());
+        StateSnapshot kept = found.snapshot();
+        RolloutStatus tighter =
+                SnapshotFilter.selectIfStricter(
+                        kept.rolloutStatus(), config.initialRolloutStatus());
         if (tighter != null) {
-            log.say(
+            log.info(
                     "state",
                     "build " + tighter.build() + " stays " + tighter.phase() + ", as it was kept");
         }
-        boolean list = SnapshotFilter.listHolds(kept, ageNs, config.known().version());
+        boolean list =
+                SnapshotFilter.isPodListUsable(kept, ageNs, config.initialPodList().version());
         if (list) {
-            log.say(
+            log.info(
                     "state",
                     "starting from list " + kept.head().listVersion() + ", as it was kept");
         }
-        return config.from(
-                list ? list(kept) : config.known(), tighter == null ? config.news() : tighter);
+        return config.withInitialState(
+                list ? list(kept) : config.initialPodList(),
+                tighter == null ? config.initialRolloutStatus() : tighter);
     }
 
     private static PodList list(StateSnapshot kept) {
@@ -127,16 +135,17 @@
      * On the loop, before the first client: gives the policy what still holds, then captures from
      * time to time.
      */
-    void begin(NettyTransport on, SidecarComponents of) {
+    void restoreAndScheduleSnapshots(NettyTransport on, SidecarComponents of) {
         net = on;
         stages = of;
         if (found != null) {
-            SnapshotFilter.RestoreResult taken = SnapshotFilter.of(found.kept(), ageNs, here());
-            taken.learned().forEach(l -> stages.policy.recall(clock.now(), l));
-            boolean moved = !found.kept().head().machine().equals(machine());
-            log.say(
+            SnapshotFilter.RestoreResult taken =
+                    SnapshotFilter.filter(found.snapshot(), ageNs, here());
+            taken.restoredValues().forEach(l -> stages.policy.restoreLearned(clock.nowNs(), l));
+            boolean moved = !found.snapshot().head().machine().equals(machine());
+            log.info(
                     "state",
-                    found.file()
+                    found.fileName()
                             + (moved ? ", written on another machine, " : ", ")
                             + age()
                             + ": "
@@ -147,19 +156,21 @@
     }
 
     private String age() {
-        return ageNs == StateDecay.UNKNOWN ? "of unknown age" : ageNs / 1_000_000 / 1e3 + " s old";
+        return ageNs == StateDecay.UNKNOWN_AGE_NS
+                ? "of unknown age"
+                : ageNs / 1_000_000 / 1e3 + " s old";
     }
 
     private SnapshotFilter.RestoreContext here() {
         Map<String, PodEntry> pods = new HashMap<>();
         Map<String, String> addresses = new HashMap<>();
         stages.policy
-                .learned(clock.now())
+                .exportLearned(clock.nowNs())
                 .forEachRemaining(
                         l -> {
                             if (l instanceof LearnedState.PodStats p) {
                                 pods.put(p.is().id(), p.is());
-                                addresses.put(p.is().id(), stages.addressOf(p.is().id()));
+                                addresses.put(p.is().id(), stages.podAddress(p.is().id()));
                             }
                         });
         return new SnapshotFilter.RestoreContext(
@@ -173,11 +184,11 @@
 
     /** With jitter, so that sidecars that started together do not write together. */
     private void later() {
-        double part = 1 + set.jitter() * (2 * random.nextDouble() - 1);
-        net.after(
-                (long) (set.everyNs() * part),
+        double part = 1 + set.jitterRatio() * (2 * random.nextDouble() - 1);
+        net.schedule(
+                (long) (set.captureIntervalNs() * part),
                 () -> {
-                    if (keeper.idle()) {
+                    if (keeper.isIdle()) {
                         slice(capture());
                     } else {
                         later();
@@ -186,20 +197,20 @@
     }
 
     private SnapshotBuilder capture() {
-        return new SnapshotBuilder(stages.policy.learned(clock.now()), stages::addressOf);
+        return new SnapshotBuilder(stages.policy.exportLearned(clock.nowNs()), stages::podAddress);
     }
 
     private void slice(SnapshotBuilder c) {
-        if (c.slice(clock::now, clock.now() + set.sliceNs())) {
+        if (c.collectUntil(clock::nowNs, clock.nowNs() + set.maxCaptureSliceNs())) {
             keeper.offer(kept(c));
             later();
         } else {
-            net.after(PAUSE_NS, () -> slice(c));
+            net.schedule(PAUSE_NS, () -> slice(c));
         }
     }
 
     private StateSnapshot kept(SnapshotBuilder c) {
-        return c.kept(
+        return c.toSnapshot(
                 new StateSnapshot.Header(
                         Version.TEXT,
                         config.name(),
@@ -207,23 +218,23 @@
                         config.settings().zone(),
                         start,
                         0,
-                        clock.now() / 1_000_000,
-                        stages.discovery.version()),
-                stages.platform.last(config.news()));
+                        clock.nowNs() / 1_000_000,
+                        stages.discovery.listVersion()),
+                stages.releasePlatform.latestStatusOr(config.initialRolloutStatus()));
     }
 
     /** When nothing is in hand any more; all at once, since nobody waits. */
-    void last() {
+    void writeFinalSnapshot() {
         if (stages != null) {
             SnapshotBuilder c = capture();
-            c.slice(clock::now, Long.MAX_VALUE);
+            c.collectUntil(clock::nowNs, Long.MAX_VALUE);
             keeper.offer(kept(c));
         }
     }
 
     /** Not on the loop: waits for the last write, for a time that is bounded. */
-    void close() throws InterruptedException {
-        keeper.close(set.lastWithinNs());
+    void awaitFinalWrite() throws InterruptedException {
+        keeper.close(set.finalWriteTimeoutNs());
     }
 
     /** Tells a machine from another without telling its name. */
--- a/sidecar/src/main/java/mulleinlever/sidecar/Statement.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/Statement.java
@@ -13,15 +13,15 @@
     String id;
     String route;
     String tenant;
-    boolean repeat;
-    long waitsMs = -1;
+    boolean isClientRetry;
+    long clientTimeoutMs = -1;
 
     /**
      * Where the number stands that says how long the client waits: each pod is told its own there.
      */
-    int waitsAt;
+    int clientTimeoutIndex;
 
-    int waitsLength;
+    int clientTimeoutLength;
 
     private Statement(ByteBuf text) {
         this.text = text;
@@ -30,7 +30,7 @@
     /**
      * Null where the text is not in the form that reqs have; it is left to the caller to release.
      */
-    static Statement read(ByteBuf text) {
+    static Statement parse(ByteBuf text) {
         Statement s = new Statement(text);
         int end = text.readerIndex() + text.readableBytes() - 1;
         while (end > text.readerIndex() && text.getByte(end - 1) <= ' ') {
@@ -81,12 +81,12 @@
         switch (text.getByte(nameAt)) {
             case 'c' -> route = word(from, to);
             case 't' -> tenant = word(from, to);
-            case 'r' -> repeat = to == from + 1 && text.getByte(from) == '1';
+            case 'r' -> isClientRetry = to == from + 1 && text.getByte(from) == '1';
             case 'd' -> {
-                waitsAt = from;
-                waitsLength = to - from;
-                waitsMs = digits(from, to);
-                return waitsMs >= 0;
+                clientTimeoutIndex = from;
+                clientTimeoutLength = to - from;
+                clientTimeoutMs = digits(from, to);
+                return clientTimeoutMs >= 0;
             }
             default -> {}
         }
@@ -109,7 +109,7 @@
         return to > from ? n : -1;
     }
 
-    boolean write() {
+    boolean isWrite() {
         return text.getByte(text.readerIndex()) == 'I' || text.getByte(text.readerIndex()) == 'i';
     }
 
--- a/sidecar/src/main/java/mulleinlever/sidecar/TryDispatcher.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/TryDispatcher.java
@@ -22,53 +22,53 @@
         this.pods = pods;
     }
 
-    void start(PendingCommand held, String pod, long writeWithinNs, long limitNs) {
-        long now = clock.now();
+    void startTry(PendingCommand held, String pod, long writeWithinNs, long limitNs) {
+        long now = clock.nowNs();
         UpstreamTry t =
                 new UpstreamTry(
                         held, held.tries.size(), pod, now, now + writeWithinNs, now + limitNs);
         held.tries.add(t);
-        if (held.answered || limitNs <= 0) {
-            net.soon(() -> book.ended(t, TryOutcome.MOOT, null));
+        if (held.outcomeDecided || limitNs <= 0) {
+            net.execute(() -> book.onTryEnded(t, TryOutcome.MOOT, null));
             return;
         }
-        t.limit = net.after(limitNs, () -> end(t, TryOutcome.TIMEOUT));
-        PodConnection link = pods.idle(pod);
-        long restNs = link == null ? 0 : link.restNs(now);
+        t.timeoutTask = net.schedule(limitNs, () -> endTry(t, TryOutcome.TIMEOUT));
+        PodConnection link = pods.acquireIdle(pod);
+        long restNs = link == null ? 0 : link.remainingCooldownNs(now);
         if (link == null) {
-            connect(t);
+            openConnection(t);
         } else if (restNs > 0) {
-            pods.rest(t, link, restNs);
+            pods.awaitCooldown(t, link, restNs);
         } else {
-            write(t, link);
+            writeReq(t, link);
         }
     }
 
-    void connect(UpstreamTry t) {
-        if (!pods.open(t, this)) {
-            net.soon(() -> book.ended(t, TryOutcome.CONNECT_FAILED, null));
+    void openConnection(UpstreamTry t) {
+        if (!pods.openConnection(t, this)) {
+            net.execute(() -> book.onTryEnded(t, TryOutcome.CONNECT_FAILED, null));
         }
     }
 
     /** Closing is what tells the pod to stop. */
-    void cancel(UpstreamTry t) {
-        if (!t.ended()) {
+    void cancelTry(UpstreamTry t) {
+        if (!t.hasEnded()) {
             abandon(t);
-            net.soon(() -> book.ended(t, TryOutcome.CANCELLED, null));
+            net.execute(() -> book.onTryEnded(t, TryOutcome.CANCELLED, null));
         }
     }
 
     /** What was not written whole has not run, however it ended. */
-    void end(UpstreamTry t, TryOutcome ending) {
+    void endTry(UpstreamTry t, TryOutcome ending) {
         abandon(t);
-        book.ended(t, t.written ? ending : TryOutcome.CONNECT_FAILED, null);
+        book.onTryEnded(t, t.fullyWritten ? ending : TryOutcome.CONNECT_FAILED, null);
     }
 
     private static void abandon(UpstreamTry t) {
-        if (t.link != null) {
-            PodConnection link = t.link;
-            t.link = null;
-            link.abandon();
+        if (t.connection != null) {
+            PodConnection link = t.connection;
+            t.connection = null;
+            link.abandonTry();
         }
     }
 
@@ -76,33 +76,33 @@
      * The text goes on as it was read but for the time that is left: a new head, then the parts
      * around it.
      */
-    void write(UpstreamTry t, PodConnection link) {
-        if (clock.now() > t.writeByNs) {
-            t.link = null;
-            link.spare();
-            net.soon(() -> end(t, TryOutcome.CONNECT_FAILED));
+    void writeReq(UpstreamTry t, PodConnection link) {
+        if (clock.nowNs() > t.writeDeadlineNs) {
+            t.connection = null;
+            link.releaseUnused();
+            net.execute(() -> endTry(t, TryOutcome.CONNECT_FAILED));
             return;
         }
-        t.link = link;
-        link.carry(t);
+        t.connection = link;
+        link.setActiveTry(t);
         Channel to = link.channel();
-        Statement s = t.held.statement;
+        Statement s = t.command.statement;
         ByteBuf text = s.text;
-        long leftMs = Math.max(1, (t.untilNs - clock.now()) / 1_000_000);
+        long leftMs = Math.max(1, (t.deadlineNs - clock.nowNs()) / 1_000_000);
         ChannelFuture last;
-        if (s.waitsMs < 0) {
+        if (s.clientTimeoutMs < 0) {
             to.write(head(to, text.readableBytes()));
             last = to.write(text.retainedDuplicate());
         } else {
             String left = Long.toString(leftMs);
             int from = text.readerIndex();
-            int behind = s.waitsAt + s.waitsLength;
-            to.write(head(to, text.readableBytes() - s.waitsLength + left.length()));
-            to.write(text.retainedSlice(from, s.waitsAt - from));
+            int behind = s.clientTimeoutIndex + s.clientTimeoutLength;
+            to.write(head(to, text.readableBytes() - s.clientTimeoutLength + left.length()));
+            to.write(text.retainedSlice(from, s.clientTimeoutIndex - from));
             to.write(ByteBufUtil.writeAscii(to.alloc(), left));
             last = to.write(text.retainedSlice(behind, text.writerIndex() - behind));
         }
-        last.addListener(f -> t.written |= f.isSuccess());
+        last.addListener(f -> t.fullyWritten |= f.isSuccess());
         to.flush();
     }
 
--- a/sidecar/src/main/java/mulleinlever/sidecar/UpstreamTry.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/UpstreamTry.java
@@ -5,35 +5,35 @@
 
 /** One upstream try, from the module's call until its end is booked. */
 final class UpstreamTry {
-    final PendingCommand held;
-    final int no;
-    final String pod;
-    final long calledNs;
+    final PendingCommand command;
+    final int tryNo;
+    final String podId;
+    final long startedNs;
 
     /** It is written by then or not at all. */
-    final long writeByNs;
+    final long writeDeadlineNs;
 
-    final long untilNs;
-    PodConnection link;
-    Future<?> limit;
+    final long deadlineNs;
+    PodConnection connection;
+    Future<?> timeoutTask;
 
     /** Whether the last byte of the req was handed to the network: from then on it may have run. */
-    boolean written;
+    boolean fullyWritten;
 
     /** How it ended; null until it has. */
-    TryOutcome how;
+    TryOutcome outcome;
 
     UpstreamTry(
             PendingCommand held, int no, String pod, long calledNs, long writeByNs, long untilNs) {
-        this.held = held;
-        this.no = no;
-        this.pod = pod;
-        this.calledNs = calledNs;
-        this.writeByNs = writeByNs;
-        this.untilNs = untilNs;
+        this.command = held;
+        this.tryNo = no;
+        this.podId = pod;
+        this.startedNs = calledNs;
+        this.writeDeadlineNs = writeByNs;
+        this.deadlineNs = untilNs;
     }
 
-    boolean ended() {
-        return how != null;
+    boolean hasEnded() {
+        return outcome != null;
     }
 }
