--- a/sidecar/src/main/java/mulleinlever/sidecar/WarmUp.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/WarmUp.java
@@ -27,7 +27,7 @@
      * Enough for what each req passes to be loaded and mostly compiled; no longer, since others
      * wait for us.
      */
-    static final int REQS = 400;
+    static final int REQ_COUNT = 400;
 
     private static final long LONGEST_NS = 1_500_000_000L;
     private static final int CLIENTS = 8;
@@ -39,7 +39,7 @@
     private final RateLimitedLog quiet =
             new RateLimitedLog(new PrintStream(OutputStream.nullOutputStream()), clock);
     private final NettyTransport net = new InProcessTransport(quiet);
-    private final long startNs = clock.now();
+    private final long startNs = clock.nowNs();
     private int asked;
     private int ended;
     private int completed;
@@ -51,39 +51,40 @@
     }
 
     /** Calls back once, on a thread of its own. */
-    static void play(SidecarConfig config, Consumer<WarmUp> then) {
+    static void run(SidecarConfig config, Consumer<WarmUp> then) {
         WarmUp r = new WarmUp(config, then);
-        r.net.after(LONGEST_NS, r::end);
-        r.net.soon(r::begin);
+        r.net.schedule(LONGEST_NS, r::end);
+        r.net.execute(r::begin);
     }
 
-    int completed() {
+    int completedReqCount() {
         return completed;
     }
 
     @Override
     public String toString() {
-        return completed + " reqs rehearsed in " + (clock.now() - startNs) / 1_000_000 + " ms";
+        return completed + " reqs rehearsed in " + (clock.nowNs() - startNs) / 1_000_000 + " ms";
     }
 
     private void begin() {
         SidecarComponents stages =
                 new SidecarComponents(config, net, clock, quiet, new Lifecycle(quiet));
-        stages.policy.listConfirmed(clock.now());
-        Set<String> addresses = new TreeSet<>(config.known().addresses().values());
+        stages.policy.onPodListConfirmed(clock.nowNs());
+        Set<String> addresses = new TreeSet<>(config.initialPodList().addressesByPodId().values());
         for (String a : addresses) {
-            InetSocketAddress at = SocketAddresses.of(a);
+            InetSocketAddress at = SocketAddresses.parse(a);
             if (at != null) {
-                net.listen(at, StubPod::new);
+                net.bind(at, StubPod::new);
             }
         }
-        stages.clients.listensAt(net.listen(config.listen(), stages::client).channel());
+        stages.clientConnections.setListener(
+                net.bind(config.listenAddress(), stages::newClientHandler).channel());
         for (int i = 0; i < CLIENTS; i++) {
             net.connect(
-                    config.listen(),
+                    config.listenAddress(),
                     LONGEST_NS,
                     new WarmUpClient(),
-                    cause -> quiet.say("life", cause.toString()));
+                    cause -> quiet.info("life", cause.toString()));
         }
     }
 
@@ -103,20 +104,20 @@
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
             frames = new PostgresMessageDecoder(ctx.alloc());
-            ctx.writeAndFlush(PostgresMessages.opening());
+            ctx.writeAndFlush(PostgresMessages.startupMessage());
         }
 
         @Override
         public void channelRead(ChannelHandlerContext ctx, Object msg) {
-            frames.add((ByteBuf) msg);
-            while (frames.next(true)) {
-                if (frames.type == 'D') {
+            frames.addBytes((ByteBuf) msg);
+            while (frames.nextMessage(true)) {
+                if (frames.messageType == 'D') {
                     completed++;
-                } else if (frames.type == 'Z') {
+                } else if (frames.messageType == 'Z') {
                     ended += waits ? 1 : 0;
-                    if (ended == REQS) {
+                    if (ended == REQ_COUNT) {
                         end();
-                    } else if (asked < REQS) {
+                    } else if (asked < REQ_COUNT) {
                         ask(ctx);
                     }
                 }
@@ -127,7 +128,7 @@
             waits = true;
             List<Settings.RouteSettings> routes = config.settings().routes();
             Settings.RouteSettings route = routes.get(asked++ % routes.size());
-            boolean read = route.repeat() == Settings.RetrySafety.RETRIABLE;
+            boolean read = route.retrySafety() == Settings.RetrySafety.IDEMPOTENT;
             String text =
                     String.format(
                                     read
@@ -172,8 +173,8 @@
 
         @Override
         public void channelRead(ChannelHandlerContext ctx, Object msg) {
-            frames.add((ByteBuf) msg);
-            while (frames.next(started)) {
+            frames.addBytes((ByteBuf) msg);
+            while (frames.nextMessage(started)) {
                 boolean asked = started;
                 started = true;
                 later(
@@ -181,7 +182,7 @@
                         () ->
                                 asked
                                         ? ctx.alloc().buffer(ROW.length).writeBytes(ROW)
-                                        : PostgresMessages.welcome());
+                                        : PostgresMessages.startupResponse());
             }
         }
     }
--- a/sidecar/src/test/java/mulleinlever/sidecar/AdaptiveConnectTimeoutTest.java
+++ b/sidecar/src/test/java/mulleinlever/sidecar/AdaptiveConnectTimeoutTest.java
@@ -36,7 +36,7 @@
     }
 
     @Test
-    void agreesWithThePlainModel() {
+    void matchesReferenceModel() {
         for (int seed = 0; seed < 50; seed++) {
             var random = new SplittableRandom(seed);
             AdaptiveConnectTimeout p = new AdaptiveConnectTimeout(MOST);
@@ -48,29 +48,29 @@
                 long took = random.nextDouble() < bad ? 0 : 1 + random.nextLong(60 * MS);
                 all.add(new Seen(now, took));
                 if (took > 0) {
-                    p.up(now, took);
+                    p.recordSuccess(now, took);
                 } else {
-                    p.tooLate(now);
+                    p.recordTimeout(now);
                 }
                 long then = now + random.nextLong(1000 * MS);
-                assertEquals(model(all, now), p.limitNs(now), 1000, "seed " + seed + ", " + i);
+                assertEquals(model(all, now), p.timeoutNs(now), 1000, "seed " + seed + ", " + i);
                 now = then;
-                assertEquals(model(all, now), p.limitNs(now), 1000, "seed " + seed + ", " + i);
+                assertEquals(model(all, now), p.timeoutNs(now), 1000, "seed " + seed + ", " + i);
             }
         }
     }
 
     @Test
-    void waitsAllThatIsAllowedWhereHardlyAnyComeUp() {
+    void usesMaximumWhenMostConnectsTimeOut() {
         AdaptiveConnectTimeout p = new AdaptiveConnectTimeout(MOST);
         for (int i = 0; i < 30; i++) {
-            p.up(i, 10 * MS);
+            p.recordSuccess(i, 10 * MS);
         }
-        assertEquals(30 * MS, p.limitNs(30), MS);
+        assertEquals(30 * MS, p.timeoutNs(30), MS);
         for (int i = 0; i < 300; i++) {
-            p.tooLate(30);
+            p.recordTimeout(30);
         }
-        assertEquals(MOST, p.limitNs(30));
-        assertTrue(new AdaptiveConnectTimeout(MOST).limitNs(0) == MOST);
+        assertEquals(MOST, p.timeoutNs(30));
+        assertTrue(new AdaptiveConnectTimeout(MOST).timeoutNs(0) == MOST);
     }
 }
--- a/sidecar/src/test/java/mulleinlever/sidecar/ClockTest.java
+++ b/sidecar/src/test/java/mulleinlever/sidecar/ClockTest.java
@@ -12,17 +12,17 @@
     // Time limits and windows are spans of the steady clock; a step of the wall clock is only
     // noticed.
     @Test
-    void aStepOfTheWallClockMovesNoTimeLimitAndIsNoticed() {
+    void wallClockStepIsDetectedAndDoesNotShiftTime() {
         AtomicLong stepNs = new AtomicLong();
         Clock clock = new Clock(() -> System.nanoTime() + stepNs.get());
-        assertEquals(0, clock.steppedNs());
+        assertEquals(0, clock.wallClockStepNs());
         for (long by : new long[] {HOUR_NS, -HOUR_NS, 5_000_000_000L, -5_000_000_000L}) {
-            long beforeNs = clock.now();
+            long beforeNs = clock.nowNs();
             stepNs.set(by);
-            assertEquals(by, clock.steppedNs(), 1e8);
-            assertTrue(clock.now() - beforeNs < 1e9);
+            assertEquals(by, clock.wallClockStepNs(), 1e8);
+            assertTrue(clock.nowNs() - beforeNs < 1e9);
         }
         stepNs.set(1_000_000);
-        assertEquals(0, clock.steppedNs());
+        assertEquals(0, clock.wallClockStepNs());
     }
 }
--- a/sidecar/src/test/java/mulleinlever/sidecar/DecodersTest.java
+++ b/sidecar/src/test/java/mulleinlever/sidecar/DecodersTest.java
@@ -44,7 +44,7 @@
     }
 
     @Test
-    void messagesAreTheSameHoweverCut() {
+    void decodesMessagesSplitAtRandomPositions() {
         SplittableRandom random = new SplittableRandom(1);
         for (int round = 0; round < ROUNDS; round++) {
             ByteBuf all = Unpooled.buffer();
@@ -59,14 +59,14 @@
             List<ByteBuf> kept = new ArrayList<>();
             List<String> types = new ArrayList<>();
             for (ByteBuf piece : cut(bytes(all), random)) {
-                frames.add(piece);
-                while (frames.next(true)) {
-                    types.add(String.valueOf(frames.type));
-                    kept.add(frames.keep());
+                frames.addBytes(piece);
+                while (frames.nextMessage(true)) {
+                    types.add(String.valueOf(frames.messageType));
+                    kept.add(frames.retainBody());
                 }
             }
-            assertEquals(0, frames.pending());
-            frames.close();
+            assertEquals(0, frames.unreadBytes());
+            frames.release();
             // What was kept outlives all later reads.
             for (int i = 0; i < kept.size(); i++) {
                 assertEquals(expected.get(i), types.get(i) + new String(bytes(kept.get(i))));
@@ -77,10 +77,10 @@
 
     @ParameterizedTest
     @CsvSource({"0", "3", "-1", "200000", "2147483647"})
-    void aLengthThatCannotBeIsAFault(int length) {
+    void rejectsInvalidMessageLength(int length) {
         PostgresMessageDecoder frames = new PostgresMessageDecoder(ByteBufAllocator.DEFAULT);
-        frames.add(Unpooled.buffer().writeByte('Q').writeInt(length));
-        assertThrows(InvalidInputException.class, () -> frames.next(true));
+        frames.addBytes(Unpooled.buffer().writeByte('Q').writeInt(length));
+        assertThrows(InvalidInputException.class, () -> frames.nextMessage(true));
     }
 
     private static final Pattern FORM = Pattern.compile("(?s).*/\\*((?:(?!/\\*).)*)\\*/\\s*");
@@ -114,7 +114,7 @@
     }
 
     @Test
-    void commentsAreReadAsAPlainReadingDoes() {
+    void statementParserMatchesReferenceParser() {
         SplittableRandom random = new SplittableRandom(2);
         String[] parts = {
             "id=9b1f",
@@ -148,19 +148,29 @@
                             + " */"
                             + " ".repeat(random.nextInt(3));
             ByteBuf b = Unpooled.copiedBuffer(text + "\0", StandardCharsets.UTF_8);
-            Statement s = Statement.read(b);
+            Statement s = Statement.parse(b);
             String got =
                     s == null
                             ? null
-                            : s.id + " " + s.route + " " + s.tenant + " " + s.waitsMs + " "
-                                    + s.repeat;
+                            : s.id
+                                    + " "
+                                    + s.route
+                                    + " "
+                                    + s.tenant
+                                    + " "
+                                    + s.clientTimeoutMs
+                                    + " "
+                                    + s.isClientRetry;
             assertEquals(plainly(text), got, text);
             read += s == null ? 0 : 1;
-            if (s != null && s.waitsMs >= 0) {
+            if (s != null && s.clientTimeoutMs >= 0) {
                 assertEquals(
-                        s.waitsMs,
+                        s.clientTimeoutMs,
                         Long.parseLong(
-                                b.toString(s.waitsAt, s.waitsLength, StandardCharsets.UTF_8)));
+                                b.toString(
+                                        s.clientTimeoutIndex,
+                                        s.clientTimeoutLength,
+                                        StandardCharsets.UTF_8)));
             }
         }
         assertEquals(true, read > ROUNDS);
@@ -177,13 +187,13 @@
         "SELECT '7f3a9c21e0b4d6551', ",
         "SELECT '7f3a, "
     })
-    void theRowNamedIsTheKey(String text, String key) {
+    void parsesKeyFromQuotedHexLiteral(String text, String key) {
         ByteBuf b = Unpooled.copiedBuffer(text + " /* id=1,c=get,d=5 */\0", StandardCharsets.UTF_8);
-        assertEquals(key == null ? -1 : Long.parseLong(key, 16), Statement.read(b).key());
+        assertEquals(key == null ? -1 : Long.parseLong(key, 16), Statement.parse(b).key());
     }
 
     @Test
-    void linesAreTheSameHoweverChunked() {
+    void decodesLinesSplitAcrossChunks() {
         SplittableRandom random = new SplittableRandom(4);
         for (int round = 0; round < ROUNDS; round++) {
             List<String> expected = new ArrayList<>();
@@ -218,7 +228,7 @@
         "HTTP/1.1 200 OK|Transfer-Encoding: chunked||zz|",
         "HTTP/1.1 200 OK|Transfer-Encoding: chunked||-5|"
     })
-    void otherAnswersEndTheWatch(String text) {
+    void unexpectedResponseEndsWatch(String text) {
         List<String> got = new ArrayList<>();
         EmbeddedChannel channel = new EmbeddedChannel(lines(got));
         channel.writeInbound(
@@ -231,22 +241,22 @@
                 new RateLimitedLog(new PrintStream(OutputStream.nullOutputStream()), new Clock());
         return new ChunkedHttpConnection(null, 100, log, "test") {
             @Override
-            String says() {
+            String initialRequest() {
                 return "";
             }
 
             @Override
-            void line(String text) {
+            void onLine(String text) {
                 got.add(text);
             }
 
             @Override
-            void complete() {
+            void onResponseComplete() {
                 got.add("complete");
             }
 
             @Override
-            void end(EndReason reason) {
+            void onEnd(EndReason reason) {
                 got.add("ended");
             }
         };
@@ -268,14 +278,14 @@
                 "\"voteWaitNs\":5|\"voteWaitNs\":x5|JSON: expected a value at character",
                 "\"settings\":{|\"set\":{|configuration: settings needs an object"
             })
-    void aFaultyConfigurationIsNamedByItsKey(String there, String instead, String message) {
+    void configurationErrorNamesKey(String there, String instead, String message) {
         String known = "{\"generation\":1,\"instances\":[]}";
         String good =
-                SidecarTestBase.config("127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3", known, 99);
-        assertEquals(99, SidecarConfig.read(good, Map.of()).sockets());
+                SidecarTestBase.configJson("127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3", known, 99);
+        assertEquals(99, SidecarConfig.parse(good, Map.of()).maxSockets());
         String bad = good.replace(there, instead == null ? "" : instead);
         InvalidInputException fault =
-                assertThrows(InvalidInputException.class, () -> SidecarConfig.read(bad, Map.of()));
+                assertThrows(InvalidInputException.class, () -> SidecarConfig.parse(bad, Map.of()));
         assertEquals(
                 message,
                 fault.getMessage()
--- a/sidecar/src/test/java/mulleinlever/sidecar/DescriptorExhaustionTest.java
+++ b/sidecar/src/test/java/mulleinlever/sidecar/DescriptorExhaustionTest.java
@@ -24,7 +24,7 @@
         for (int i = 0; i < 2 * DESCRIPTORS; i++) {
             all.add(new Socket(InetAddress.getLoopbackAddress(), port));
         }
-        until(() -> logged().contains("Too many open files"));
+        awaitTrue(() -> logText().contains("Too many open files"));
         return all;
     }
 
@@ -37,48 +37,48 @@
     // A watch for which no socket could be had threw within its own end, and was never opened
     // again.
     @Test
-    void aWatchIsOpenedAgainThoughNoSocketCouldBeHadForIt() throws Exception {
-        pod((q, out) -> give(out, "v"));
-        descriptors = DESCRIPTORS;
-        start(1024);
-        until(() -> discovery.told.size() == 1);
+    void reopensWatchAfterSocketCreationFailed() throws Exception {
+        startPod((q, out) -> sendRow(out, "v"));
+        descriptorLimit = DESCRIPTORS;
+        startSidecar(1024);
+        awaitTrue(() -> discovery.received.size() == 1);
         List<Socket> taken = exhaust();
-        cut(discovery);
+        closeConnections(discovery);
         // Its own descriptor is taken by the next client in line before it is opened anew.
-        until(() -> logged().contains("watch 2 has ended"));
+        awaitTrue(() -> logText().contains("watch 2 has ended"));
         close(taken);
-        until(() -> discovery.told.size() == 2);
+        awaitTrue(() -> discovery.received.size() == 2);
     }
 
     // An attempt for which no socket could be had was told of it by another thread, or waited for
     // its time limit.
     @Test
-    void anAttemptForWhichNoSocketCouldBeHadIsAnsweredAtOnce() throws Exception {
-        pod((q, out) -> give(out, "v"));
-        descriptors = DESCRIPTORS;
-        start(1024);
+    void failsTryFastWhenSocketCreationFails() throws Exception {
+        startPod((q, out) -> sendRow(out, "v"));
+        descriptorLimit = DESCRIPTORS;
+        startSidecar(1024);
         try (Client client = new Client()) {
             List<Socket> taken = exhaust();
             long fromNs = System.nanoTime();
-            assertEquals("E53300 with advice", client.ask(get("1", 1400)));
+            assertEquals("E53300 with advice", client.execute(selectSql("1", 1400)));
             long tookMs = (System.nanoTime() - fromNs) / 1_000_000;
             assertTrue(tookMs < 700, "answered after " + tookMs + " ms of 1400");
             close(taken);
-            untilServed(client);
+            awaitServed(client);
         }
     }
 
     // After one failed accept nobody was accepted for a second.
     @Test
-    void clientsAreAcceptedAgainSoonAfterAnAcceptFailed() throws Exception {
-        pod((q, out) -> give(out, "v"));
-        descriptors = DESCRIPTORS;
-        start(1024);
+    void resumesAcceptingAfterAcceptFailure() throws Exception {
+        startPod((q, out) -> sendRow(out, "v"));
+        descriptorLimit = DESCRIPTORS;
+        startSidecar(1024);
         for (int i = 0; i < 5; i++) {
             close(exhaust());
             long fromNs = System.nanoTime();
             try (Client client = new Client()) {
-                assertEquals("TDvC", client.ask(get("1", 1400)));
+                assertEquals("TDvC", client.execute(selectSql("1", 1400)));
             }
             long tookMs = (System.nanoTime() - fromNs) / 1_000_000;
             assertTrue(tookMs < 500, "accepted and served after " + tookMs + " ms");
--- a/sidecar/src/test/java/mulleinlever/sidecar/ProcessPauseTest.java
+++ b/sidecar/src/test/java/mulleinlever/sidecar/ProcessPauseTest.java
@@ -53,7 +53,7 @@
                                     new byte[] {'R', 0, 0, 0, 8, 0, 0, 0, 0, 'Z', 0, 0, 0, 5, 'I'});
                             while (in.read() == 'Q') {
                                 byte[] text = in.readNBytes(in.readInt() - 4);
-                                if (!answers.to(new String(text, 0, text.length - 1), out)) {
+                                if (!answers.respond(new String(text, 0, text.length - 1), out)) {
                                     return;
                                 }
                             }
@@ -65,17 +65,17 @@
     // A repeat that waited for its connection was written after the servers may have forgotten the
     // first attempt.
     @Test
-    void aRepeatIsWrittenWithinItsWindowOrNotAtAll() throws Exception {
+    void retryIsSentWithinIdempotencyWindowOrNotAtAll() throws Exception {
         Map<String, Long> firstMs = new ConcurrentHashMap<>();
         List<Long> gaps = new ArrayList<>();
         PodBehavior failsLate =
                 (q, out) -> {
                     firstMs.putIfAbsent(id(q), System.nanoTime() / 1_000_000);
                     Thread.sleep(290);
-                    return refuse(out, "XX000");
+                    return sendError(out, "XX000");
                 };
-        pod(failsLate);
-        pod((q, out) -> give(out, "v"));
+        startPod(failsLate);
+        startPod((q, out) -> sendRow(out, "v"));
         // Idle connections are closed after a second: each repeat opens one of its own.
         slowToLetIn(
                 200,
@@ -86,13 +86,13 @@
                             gaps.add(System.nanoTime() / 1_000_000 - first);
                         }
                     }
-                    give(out, "v");
+                    sendRow(out, "v");
                     return false;
                 });
-        start();
+        startSidecar();
         try (Client client = new Client()) {
             for (int i = 0; i < 60; i++) {
-                client.ask(put("9f", 1400));
+                client.execute(insertSql("9f", 1400));
             }
         }
         assertFalse(firstMs.isEmpty());
@@ -103,15 +103,15 @@
     // Held up for 0.15 s again and again: what is due meanwhile is answered within half a second of
     // its time.
     @Test
-    void answersAreInTimeThoughTheProcessIsHeldUp() throws Exception {
-        pod(
+    void timeoutsAreMetWhileProcessIsRepeatedlySuspended() throws Exception {
+        startPod(
                 (q, out) -> {
                     Thread.sleep(30_000);
                     return false;
                 });
-        start();
+        startSidecar();
         AtomicBoolean over = new AtomicBoolean();
-        thread(
+        startDaemonThread(
                 () -> {
                     while (!over.get()) {
                         signal("STOP");
@@ -123,7 +123,7 @@
         try (Client client = new Client()) {
             for (int i = 0; i < 12; i++) {
                 long fromNs = System.nanoTime();
-                client.ask(get("1", 600 + 10 * i));
+                client.execute(selectSql("1", 600 + 10 * i));
                 long lateMs = (System.nanoTime() - fromNs) / 1_000_000 - 600 - 10 * i;
                 assertTrue(lateMs < 500, "answered " + lateMs + " ms after its time");
             }
--- a/sidecar/src/test/java/mulleinlever/sidecar/ReconnectBackoffTest.java
+++ b/sidecar/src/test/java/mulleinlever/sidecar/ReconnectBackoffTest.java
@@ -23,17 +23,17 @@
         for (int i = 0; i < sidecars; i++) {
             all[i] =
                     new ReconnectBackoff(
-                            300 * MS, ReconnectBackoff.mostFor(sidecars, callsPerSecond), i);
+                            300 * MS, ReconnectBackoff.maxDelayNs(sidecars, callsPerSecond), i);
             agenda.add(new Call(0, i));
         }
-        int grown = (int) (2 * ReconnectBackoff.mostFor(sidecars, callsPerSecond) / S) + 3;
+        int grown = (int) (2 * ReconnectBackoff.maxDelayNs(sidecars, callsPerSecond) / S) + 3;
         int[] inSecond = new int[grown + 40];
         while (agenda.peek().atNs < (grown + 40) * S) {
             Call c = agenda.poll();
             inSecond[(int) (c.atNs / S)]++;
-            all[c.by].opened(c.atNs);
+            all[c.by].recordOpened(c.atNs);
             long ended = c.atNs + failsAfterNs;
-            agenda.add(new Call(ended + all[c.by].endedNs(ended), c.by));
+            agenda.add(new Call(ended + all[c.by].nextDelayNs(ended), c.by));
         }
         int most = 0;
         for (int s = grown + 20; s < grown + 40; s++) {
@@ -43,7 +43,7 @@
     }
 
     @Test
-    void aFleetWhosePlatformIsDownCallsItOutOfStep() {
+    void jitterSpreadsReconnectsOfFleet() {
         assertTrue(
                 mostCallsASecond(14, 16, MS) <= 16,
                 mostCallsASecond(14, 16, MS) + " refused at once");
@@ -63,7 +63,7 @@
     }
 
     @Test
-    void agreesWithAPlainModelOfTheBounds() {
+    void delayStaysWithinReferenceBounds() {
         for (int seed = 0; seed < 200; seed++) {
             var random = new SplittableRandom(seed);
             long first = 1 + random.nextLong(500 * MS);
@@ -73,12 +73,12 @@
             long now = 0;
             int inRow = 0;
             for (int i = 0; i < 50; i++) {
-                a.opened(now);
+                a.recordOpened(now);
                 long stands =
                         random.nextBoolean() ? random.nextLong(100 * MS) : random.nextLong(12 * S);
                 inRow = stands > bound + first ? 0 : inRow;
                 now += stands;
-                long wait = a.endedNs(now);
+                long wait = a.nextDelayNs(now);
                 double full = Math.min(bound, first * Math.pow(2, inRow++));
                 assertTrue(
                         wait >= (long) full / 2 && wait <= full,
@@ -89,9 +89,9 @@
     }
 
     @Test
-    void oddFiguresStayBounded() {
-        assertEquals(60 * S, ReconnectBackoff.mostFor(1000, -5));
-        assertEquals(60 * S, ReconnectBackoff.mostFor(1000, Double.NaN));
-        assertEquals(0, ReconnectBackoff.mostFor(3, Double.POSITIVE_INFINITY));
+    void maxDelayIsBoundedForInvalidInput() {
+        assertEquals(60 * S, ReconnectBackoff.maxDelayNs(1000, -5));
+        assertEquals(60 * S, ReconnectBackoff.maxDelayNs(1000, Double.NaN));
+        assertEquals(0, ReconnectBackoff.maxDelayNs(3, Double.POSITIVE_INFINITY));
     }
 }
--- a/sidecar/src/test/java/mulleinlever/sidecar/SidecarTestBase.java
+++ b/sidecar/src/test/java/mulleinlever/sidecar/SidecarTestBase.java
@@ -33,39 +33,40 @@
 abstract class SidecarTestBase {
     /** What serves one connection of a stand-in. */
     interface ConnectionHandler {
-        void serve(DataInputStream in, DataOutputStream out) throws Exception;
+        void handle(DataInputStream in, DataOutputStream out) throws Exception;
     }
 
     /** A stand-in that listens; it keeps what it was told, and its open connections. */
     final class FakeServer implements Closeable {
-        volatile ServerSocket at = new ServerSocket(0, 100, InetAddress.getLoopbackAddress());
+        volatile ServerSocket serverSocket =
+                new ServerSocket(0, 100, InetAddress.getLoopbackAddress());
         private final ConnectionHandler serving;
-        final List<String> told = new CopyOnWriteArrayList<>();
-        final List<Socket> open = new CopyOnWriteArrayList<>();
-        volatile int ended;
+        final List<String> received = new CopyOnWriteArrayList<>();
+        final List<Socket> openSockets = new CopyOnWriteArrayList<>();
+        volatile int closedCount;
 
         FakeServer(ConnectionHandler serving) throws IOException {
             this.serving = serving;
-            accept(at);
-            all.add(this);
+            accept(serverSocket);
+            closeables.add(this);
         }
 
         private void accept(ServerSocket from) {
-            thread(
+            startDaemonThread(
                     () -> {
                         while (true) {
                             Socket s = from.accept();
                             s.setTcpNoDelay(true);
-                            open.add(s);
-                            thread(
+                            openSockets.add(s);
+                            startDaemonThread(
                                     () -> {
                                         try (s) {
-                                            serving.serve(
+                                            serving.handle(
                                                     new DataInputStream(s.getInputStream()),
                                                     new DataOutputStream(s.getOutputStream()));
                                         } finally {
-                                            open.remove(s);
-                                            ended++;
+                                            openSockets.remove(s);
+                                            closedCount++;
                                         }
                                     });
                         }
@@ -73,27 +74,27 @@
         }
 
         /** Listens again where it did before it was closed, as a process that starts anew. */
-        void reopen() throws IOException {
+        void listenAgain() throws IOException {
             var again = new ServerSocket();
             again.setReuseAddress(true);
-            again.bind(at.getLocalSocketAddress());
-            at = again;
+            again.bind(serverSocket.getLocalSocketAddress());
+            serverSocket = again;
             accept(again);
         }
 
         /** Where it listens, or did before it was closed. */
-        SocketAddress bound() {
-            return at.getLocalSocketAddress();
+        SocketAddress localSocketAddress() {
+            return serverSocket.getLocalSocketAddress();
         }
 
-        String address() {
-            return "127.0.0.1:" + at.getLocalPort();
+        String hostPort() {
+            return "127.0.0.1:" + serverSocket.getLocalPort();
         }
 
         @Override
         public void close() throws IOException {
-            at.close();
-            for (Socket s : open) {
+            serverSocket.close();
+            for (Socket s : openSockets) {
                 s.close();
             }
         }
@@ -103,7 +104,7 @@
         void run() throws Exception;
     }
 
-    static void thread(ThrowingRunnable work) {
+    static void startDaemonThread(ThrowingRunnable work) {
         Thread t =
                 new Thread(
                         () -> {
@@ -119,18 +120,18 @@
 
     /** How a pod answers a query; false ends the connection. */
     interface PodBehavior {
-        boolean to(String query, DataOutputStream out) throws Exception;
+        boolean respond(String query, DataOutputStream out) throws Exception;
     }
 
-    final List<Closeable> all = new ArrayList<>();
+    final List<Closeable> closeables = new ArrayList<>();
     final List<FakeServer> pods = new ArrayList<>();
-    final List<String> extraLines = new CopyOnWriteArrayList<>();
+    final List<String> discoveryLines = new CopyOnWriteArrayList<>();
     // Which those are may change within a test, as it may for the program.
-    volatile FakeServer discovery = new FakeServer(this::discover);
-    volatile FakeServer platform = new FakeServer(this::stage);
-    volatile boolean silent;
-    volatile String ballotAnswer = "OK 1 2 live 1 5000";
-    volatile String progress = "* progress 1 2 live 1 5000";
+    volatile FakeServer discovery = new FakeServer(this::serveDiscovery);
+    volatile FakeServer platform = new FakeServer(this::servePlatform);
+    volatile boolean watchesSilent;
+    volatile String ballotResponse = "OK 1 2 live 1 5000";
+    volatile String progressLine = "* progress 1 2 live 1 5000";
 
     /**
      * The configuration's word on discovery: subscribe, or automatic where it tells changes
@@ -142,10 +143,10 @@
      * Descriptors the process may hold, set as the hard limit of the system; 0 for what the machine
      * gives.
      */
-    int descriptors;
+    int descriptorLimit;
 
     /** What the program is started with besides. */
-    final List<String> with = new ArrayList<>();
+    final List<String> extraArguments = new ArrayList<>();
 
     Process process;
     int port;
@@ -154,16 +155,16 @@
     SidecarTestBase() throws IOException {}
 
     @AfterEach
-    void end() throws Exception {
+    void stopAll() throws Exception {
         if (process != null) {
             process.destroyForcibly().waitFor();
         }
-        for (Closeable c : all) {
+        for (Closeable c : closeables) {
             c.close();
         }
     }
 
-    FakeServer pod(PodBehavior answers) throws IOException {
+    FakeServer startPod(PodBehavior answers) throws IOException {
         FakeServer[] self = new FakeServer[1];
         self[0] =
                 new FakeServer(
@@ -179,8 +180,8 @@
                                 String query =
                                         new String(
                                                 text, 0, text.length - 1, StandardCharsets.UTF_8);
-                                self[0].told.add(query);
-                                if (!answers.to(query, out)) {
+                                self[0].received.add(query);
+                                if (!answers.respond(query, out)) {
                                     return;
                                 }
                             }
@@ -189,7 +190,7 @@
         return self[0];
     }
 
-    static byte[] message(char type, byte[]... parts) throws IOException {
+    static byte[] encodeMessage(char type, byte[]... parts) throws IOException {
         var body = new ByteArrayOutputStream();
         for (byte[] p : parts) {
             body.write(p);
@@ -202,44 +203,44 @@
         return out.toByteArray();
     }
 
-    static final byte[] ROW = {
+    static final byte[] ROW_DESCRIPTION_BODY = {
         0, 1, 'p', 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 17, -1, -1, -1, -1, -1, -1, 0, 1
     };
 
     /** Row, CommandComplete, ReadyForQuery. */
-    static byte[] served(byte[] value) throws IOException {
+    static byte[] rowResponse(byte[] value) throws IOException {
         byte[] head = {
             0, 1, 0, (byte) (value.length >> 16), (byte) (value.length >> 8), (byte) value.length
         };
         var out = new ByteArrayOutputStream();
-        out.write(message('T', ROW));
-        out.write(message('D', head, value));
-        out.write(message('C', "SELECT 1\0".getBytes(StandardCharsets.US_ASCII)));
-        out.write(message('Z', new byte[] {'I'}));
+        out.write(encodeMessage('T', ROW_DESCRIPTION_BODY));
+        out.write(encodeMessage('D', head, value));
+        out.write(encodeMessage('C', "SELECT 1\0".getBytes(StandardCharsets.US_ASCII)));
+        out.write(encodeMessage('Z', new byte[] {'I'}));
         return out.toByteArray();
     }
 
-    static boolean give(DataOutputStream out, String value) throws IOException {
-        out.write(served(value.getBytes(StandardCharsets.UTF_8)));
+    static boolean sendRow(DataOutputStream out, String value) throws IOException {
+        out.write(rowResponse(value.getBytes(StandardCharsets.UTF_8)));
         return true;
     }
 
-    static boolean refuse(DataOutputStream out, String code) throws IOException {
+    static boolean sendError(DataOutputStream out, String code) throws IOException {
         out.write(
-                message(
+                encodeMessage(
                         'E',
                         ("SERROR\0C" + code + "\0Mno\0\0").getBytes(StandardCharsets.US_ASCII)));
-        out.write(message('Z', new byte[] {'I'}));
+        out.write(encodeMessage('Z', new byte[] {'I'}));
         return true;
     }
 
-    void discover(DataInputStream in, DataOutputStream out) throws Exception {
-        discovery.told.add(line(in));
-        while (!line(in).isEmpty()) {}
+    void serveDiscovery(DataInputStream in, DataOutputStream out) throws Exception {
+        discovery.received.add(readLine(in));
+        while (!readLine(in).isEmpty()) {}
         out.writeBytes("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
         int said = 0;
-        while (!silent) {
-            String text = said < extraLines.size() ? extraLines.get(said++) + "\n" : "\n";
+        while (!watchesSilent) {
+            String text = said < discoveryLines.size() ? discoveryLines.get(said++) + "\n" : "\n";
             // In two chunks: a line may be split anywhere.
             int half = text.length() / 2;
             for (String part : List.of(text.substring(0, half), text.substring(half))) {
@@ -253,17 +254,17 @@
         Thread.sleep(30_000);
     }
 
-    void stage(DataInputStream in, DataOutputStream out) throws Exception {
-        String says = line(in);
-        platform.told.add(says);
-        out.writeBytes((says.equals("NOTIFY") ? "OK\r\n" + progress : ballotAnswer) + "\r\n");
+    void servePlatform(DataInputStream in, DataOutputStream out) throws Exception {
+        String says = readLine(in);
+        platform.received.add(says);
+        out.writeBytes((says.equals("NOTIFY") ? "OK\r\n" + progressLine : ballotResponse) + "\r\n");
         while (says.equals("NOTIFY")) {
             Thread.sleep(100);
-            out.writeBytes(silent ? "" : "*\r\n");
+            out.writeBytes(watchesSilent ? "" : "*\r\n");
         }
     }
 
-    static String line(DataInputStream in) throws IOException {
+    static String readLine(DataInputStream in) throws IOException {
         var text = new StringBuilder();
         for (int c = in.read(); c != '\n'; c = in.read()) {
             if (c < 0) {
@@ -274,14 +275,14 @@
         return text.toString().trim();
     }
 
-    String entry(int i, int build, String state) {
+    String podJson(int i, int build, String state) {
         return String.format(
                 "{\"instanceId\":\"p%d\",\"hostPort\":\"%s\",\"zone\":\"%s\",\"machineType\":\"m\","
                         + "\"cell\":0,\"lifecycle\":\"%s\",\"weight\":1.0,\"startedAtMs\":0,\"build\":%d}",
-                i, pods.get(i).address(), i % 2 == 0 ? "a" : "b", state, build);
+                i, pods.get(i).hostPort(), i % 2 == 0 ? "a" : "b", state, build);
     }
 
-    String list(long version, boolean whole, String... entries) {
+    String podListJson(long version, boolean whole, String... entries) {
         return "{\"generation\":"
                 + version
                 + ",\"reset\":"
@@ -291,7 +292,7 @@
                 + "]}";
     }
 
-    static String route(String name, String repeat) {
+    static String routeJson(String name, String repeat) {
         return "{\"name\":\""
                 + name
                 + "\",\"aimNs\":500000000,\"deadlineNs\":1500000000,\"worth\":1.0,\"repeat\":\""
@@ -299,7 +300,7 @@
                 + "\",\"keyScope\":\"zone\",\"windowNs\":400000000,\"lateWorth\":0.2}";
     }
 
-    static String config(
+    static String configJson(
             String listen, String discovery, String platform, String known, int sockets) {
         return "{\"name\":\"n0\",\"listen\":\""
                 + listen
@@ -316,9 +317,9 @@
                 + ",\"settings\":{"
                 + "\"rank\":0,\"balancers\":1,\"zone\":\"a\",\"zones\":[\"a\",\"b\"],\"discovery\":\"subscribe\","
                 + "\"stepNs\":5000000,\"grades\":["
-                + route("get", "safe")
+                + routeJson("get", "safe")
                 + ","
-                + route("put", "keyed")
+                + routeJson("put", "keyed")
                 + "],"
                 + "\"familyInfo\":{\"control\":\"majority\",\"ayesNeeded\":1,\"votesToRevert\":1,"
                 + "\"bakeNs\":200000000,\"voteStandsNs\":4000000000,\"voteWaitNs\":500000000,"
@@ -330,27 +331,27 @@
                 + "\"connIdleNs\":1000000000}}}";
     }
 
-    void start() throws Exception {
-        start(256);
+    void startSidecar() throws Exception {
+        startSidecar(256);
     }
 
-    Path configure(int sockets) throws IOException {
+    Path writeConfig(int sockets) throws IOException {
         String[] entries = new String[pods.size()];
-        Arrays.setAll(entries, i -> entry(i, 1, "ready"));
+        Arrays.setAll(entries, i -> podJson(i, 1, "ready"));
         return Files.writeString(
                 folder.resolve("config.json"),
-                config(
+                configJson(
                                 "127.0.0.1:" + port,
-                                discovery.address(),
-                                platform.address(),
-                                list(7, true, entries),
+                                discovery.hostPort(),
+                                platform.hostPort(),
+                                podListJson(7, true, entries),
                                 sockets)
                         .replace(
                                 "\"discovery\":\"subscribe\"",
                                 "\"discovery\":\"" + discoveryMode + "\""));
     }
 
-    String logged() {
+    String logText() {
         try {
             return Files.readString(folder.resolve("log"));
         } catch (IOException e) {
@@ -358,16 +359,16 @@
         }
     }
 
-    void hangUp() throws Exception {
+    void sendHangup() throws Exception {
         assertEquals(
                 0, new ProcessBuilder("sh", "-c", "kill -HUP " + process.pid()).start().waitFor());
     }
 
-    void start(int sockets) throws Exception {
+    void startSidecar(int sockets) throws Exception {
         try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             port = free.getLocalPort();
         }
-        Path file = configure(sockets);
+        Path file = writeConfig(sockets);
         // From another class path and with other flags, where these properties are set.
         List<String> command =
                 new ArrayList<>(
@@ -376,17 +377,18 @@
                                 "-cp",
                                 System.getProperty(
                                         "sidecar.classpath",
-                                        with.isEmpty()
+                                        extraArguments.isEmpty()
                                                 ? lean()
                                                 : System.getProperty("java.class.path"))));
         String flags = System.getProperty("sidecar.flags", "-Xmx40m -XX:MaxDirectMemorySize=40m");
         command.addAll(List.of(flags.split(" ")));
         command.addAll(
                 List.of(System.getProperty("sidecar.main", ServeMain.class.getName()), "serve"));
-        command.addAll(with);
-        if (descriptors > 0) {
+        command.addAll(extraArguments);
+        if (descriptorLimit > 0) {
             command.addAll(
-                    0, List.of("sh", "-c", "ulimit -n " + descriptors + " && exec \"$@\"", "sh"));
+                    0,
+                    List.of("sh", "-c", "ulimit -n " + descriptorLimit + " && exec \"$@\"", "sh"));
         }
         var b = new ProcessBuilder(command);
         b.environment().put("LB_CONFIG", file.toString());
@@ -394,11 +396,11 @@
                 b.redirectErrorStream(true).redirectOutput(folder.resolve("log").toFile()).start();
         Process started = process;
         Runtime.getRuntime().addShutdownHook(new Thread(started::destroyForcibly));
-        until(
+        awaitTrue(
                 () -> {
                     try (Client c = new Client()) {
-                        c.query("");
-                        return c.next().equals("I");
+                        c.sendQuery("");
+                        return c.readMessage().equals("I");
                     } catch (IOException e) {
                         return false;
                     }
@@ -418,7 +420,7 @@
                 .collect(Collectors.joining(File.pathSeparator));
     }
 
-    static void until(BooleanSupplier holds) throws InterruptedException {
+    static void awaitTrue(BooleanSupplier holds) throws InterruptedException {
         long end = System.nanoTime() + 20_000_000_000L;
         while (!holds.getAsBoolean()) {
             assertTrue(System.nanoTime() < end, "waited in vain");
@@ -427,11 +429,11 @@
     }
 
     /** Asks again until a row comes. */
-    void untilServed(Client client) throws InterruptedException {
-        until(
+    void awaitServed(Client client) throws InterruptedException {
+        awaitTrue(
                 () -> {
                     try {
-                        return client.ask(get("1", 1400)).equals("TDvC");
+                        return client.execute(selectSql("1", 1400)).equals("TDvC");
                     } catch (IOException e) {
                         return false;
                     }
@@ -439,8 +441,8 @@
     }
 
     /** Ends all open connections of a stand-in. */
-    static void cut(FakeServer listener) throws IOException {
-        for (Socket s : listener.open) {
+    static void closeConnections(FakeServer listener) throws IOException {
+        for (Socket s : listener.openSockets) {
             s.close();
         }
     }
@@ -461,16 +463,16 @@
             socket.setTcpNoDelay(true);
             socket.setSoTimeout(10_000);
             if (greets) {
-                socket.getOutputStream().write(hello());
-                while (!next().equals("Z")) {}
+                socket.getOutputStream().write(startupMessage());
+                while (!readMessage().equals("Z")) {}
             }
         }
 
-        void query(String text) throws IOException {
-            socket.getOutputStream().write(queryBytes(text));
+        void sendQuery(String text) throws IOException {
+            socket.getOutputStream().write(queryMessage(text));
         }
 
-        String next() throws IOException {
+        String readMessage() throws IOException {
             char type = (char) in.readUnsignedByte();
             byte[] body = in.readNBytes(in.readInt() - 4);
             String text = new String(body, StandardCharsets.UTF_8);
@@ -485,20 +487,20 @@
         }
 
         /** The whole answer to one command. */
-        String answer() throws IOException {
+        String readResponse() throws IOException {
             var s = new StringBuilder();
-            for (String m = next(); !m.equals("Z"); m = next()) {
+            for (String m = readMessage(); !m.equals("Z"); m = readMessage()) {
                 s.append(m);
             }
             return s.toString();
         }
 
-        String ask(String text) throws IOException {
-            query(text);
-            return answer();
+        String execute(String text) throws IOException {
+            sendQuery(text);
+            return readResponse();
         }
 
-        boolean ended() throws IOException {
+        boolean isClosedByPeer() throws IOException {
             try {
                 return in.read() < 0;
             } catch (IOException e) {
@@ -512,7 +514,7 @@
         }
     }
 
-    static byte[] hello() throws IOException {
+    static byte[] startupMessage() throws IOException {
         byte[] words =
                 "\0\3\0\0user\0web\0database\0orders\0\0".getBytes(StandardCharsets.US_ASCII);
         var out = new ByteArrayOutputStream();
@@ -521,22 +523,22 @@
         return out.toByteArray();
     }
 
-    static byte[] queryBytes(String text) throws IOException {
-        return message('Q', (text + "\0").getBytes(StandardCharsets.UTF_8));
+    static byte[] queryMessage(String text) throws IOException {
+        return encodeMessage('Q', (text + "\0").getBytes(StandardCharsets.UTF_8));
     }
 
-    int ids;
+    int lastReqId;
 
-    String get(String ref, int waitsMs) {
+    String selectSql(String ref, int waitsMs) {
         return String.format(
                 "SELECT payload FROM entries WHERE ref = '%s' /* id=%016x,c=get,t=acme,d=%d */",
-                ref, ++ids, waitsMs);
+                ref, ++lastReqId, waitsMs);
     }
 
-    String put(String value, int waitsMs) {
+    String insertSql(String value, int waitsMs) {
         return String.format(
                 "INSERT INTO entries (ref, payload) VALUES ('7f', '%s') RETURNING payload"
                         + " /* id=%016x,c=put,t=acme,d=%d,k=5c0f */",
-                value, ++ids, waitsMs);
+                value, ++lastReqId, waitsMs);
     }
 }
--- a/sidecar/src/test/java/mulleinlever/sidecar/SoakRun.java
+++ b/sidecar/src/test/java/mulleinlever/sidecar/SoakRun.java
@@ -38,31 +38,31 @@
     private static final long FOREVER = Long.MAX_VALUE / 2;
 
     private enum DiscoveryMode {
-        RIGHT,
-        CROWDED,
+        HEALTHY,
+        OVERLOADED,
         SILENT,
         SLOW
     }
 
     /** One server: what the list says of it, since when, and how it behaves. */
     private final class FaultyPod {
-        final int number;
-        volatile String state = "ready";
-        volatile long leftMs = FOREVER;
+        final int index;
+        volatile String lifecycle = "ready";
+        volatile long notReadySinceMs = FOREVER;
 
         /** When discovery wrote to the sidecar that it leaves. */
-        volatile long writtenMs = FOREVER;
+        volatile long removalSentMs = FOREVER;
 
-        volatile int resets;
-        volatile int errors;
-        volatile long delayMs;
+        volatile int resetsLeft;
+        volatile int errorsLeft;
+        volatile long responseDelayMs;
 
         FaultyPod(int number) throws IOException {
-            this.number = number;
-            pod(this::answer);
+            this.index = number;
+            startPod(this::handleQuery);
         }
 
-        boolean answer(String query, DataOutputStream out) throws Exception {
+        boolean handleQuery(String query, DataOutputStream out) throws Exception {
             long now = now();
             Matcher m = ID.matcher(query);
             if (!m.find()) {
@@ -71,40 +71,40 @@
             }
             long toldMs =
                     Math.min(
-                            Math.min(writtenMs, leftMs + TOLD_MS),
-                            movedMs > leftMs ? movedMs + TOLD_MOVED_MS : FOREVER);
-            if (!state.equals("ready") && now > toldMs + GRACE_MS + RIG_MS) {
+                            Math.min(removalSentMs, notReadySinceMs + TOLD_MS),
+                            movedMs > notReadySinceMs ? movedMs + TOLD_MOVED_MS : FOREVER);
+            if (!lifecycle.equals("ready") && now > toldMs + GRACE_MS + RIG_MS) {
                 broken(
                         "drain: p"
-                                + number
+                                + index
                                 + " got "
                                 + m.group(2)
                                 + " "
                                 + (now - toldMs)
                                 + " ms after told");
             }
-            if (state.equals("draining")) {
-                return refuse(out, "53300");
+            if (lifecycle.equals("draining")) {
+                return sendError(out, "53300");
             }
             ran(m.group(2), m.group(3), now);
-            if (delayMs > 0) {
-                Thread.sleep(delayMs);
+            if (responseDelayMs > 0) {
+                Thread.sleep(responseDelayMs);
             }
-            if (resets > 0) {
-                resets--;
+            if (resetsLeft > 0) {
+                resetsLeft--;
                 return false;
             }
-            if (errors > 0) {
-                errors--;
-                return refuse(out, "XX000");
+            if (errorsLeft > 0) {
+                errorsLeft--;
+                return sendError(out, "XX000");
             }
-            return give(out, m.group(1));
+            return sendRow(out, m.group(1));
         }
 
         private void ran(String id, String route, long now) {
-            long[] first = ran.computeIfAbsent(id, i -> new long[] {now, number});
+            long[] first = ran.computeIfAbsent(id, i -> new long[] {now, index});
             if (route.equals("put")
-                    && (first[1] % 2 != number % 2 || now > first[0] + WINDOW_MS + RIG_MS)) {
+                    && (first[1] % 2 != index % 2 || now > first[0] + WINDOW_MS + RIG_MS)) {
                 broken(
                         "duplicate: put "
                                 + id
@@ -113,7 +113,7 @@
                                 + ", "
                                 + (now - first[0])
                                 + " ms later at p"
-                                + number);
+                                + index);
             }
         }
     }
@@ -128,7 +128,7 @@
     private final AtomicInteger asked = new AtomicInteger();
     private final AtomicInteger ids = new AtomicInteger();
     private final long startMs = System.nanoTime() / 1_000_000;
-    private volatile DiscoveryMode mode = DiscoveryMode.RIGHT;
+    private volatile DiscoveryMode mode = DiscoveryMode.HEALTHY;
     private volatile int version = 7;
     private volatile long outageEndsMs;
     private volatile long movedMs = -FOREVER;
@@ -158,9 +158,9 @@
     }
 
     private void serveList(DataInputStream in, DataOutputStream out) throws Exception {
-        line(in);
-        while (!line(in).isEmpty()) {}
-        if (mode == DiscoveryMode.CROWDED) {
+        readLine(in);
+        while (!readLine(in).isEmpty()) {}
+        if (mode == DiscoveryMode.OVERLOADED) {
             Thread.sleep(1_000);
             out.writeBytes("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
             return;
@@ -177,15 +177,15 @@
             } else {
                 String[] entries =
                         servers.stream()
-                                .filter(s -> !s.state.equals("gone"))
-                                .map(s -> entry(s.number, 1, s.state))
+                                .filter(s -> !s.lifecycle.equals("gone"))
+                                .map(s -> podJson(s.index, 1, s.lifecycle))
                                 .toArray(String[]::new);
                 List<FaultyPod> leaving =
-                        servers.stream().filter(s -> !s.state.equals("ready")).toList();
-                chunk(out, list(at, true, entries) + "\n");
+                        servers.stream().filter(s -> !s.lifecycle.equals("ready")).toList();
+                chunk(out, podListJson(at, true, entries) + "\n");
                 leaving.stream()
-                        .filter(s -> !s.state.equals("ready"))
-                        .forEach(s -> s.writtenMs = Math.min(s.writtenMs, now()));
+                        .filter(s -> !s.lifecycle.equals("ready"))
+                        .forEach(s -> s.removalSentMs = Math.min(s.removalSentMs, now()));
                 told = at;
             }
             for (int i = 0; i < 20 && version == told; i++) {
@@ -205,29 +205,29 @@
 
     /** The list changes, and with it what the server does. */
     private void change(FaultyPod s, String state) {
-        if (s.leftMs == FOREVER && !state.equals("ready")) {
-            s.leftMs = now();
+        if (s.notReadySinceMs == FOREVER && !state.equals("ready")) {
+            s.notReadySinceMs = now();
         }
-        s.state = state;
+        s.lifecycle = state;
         if (state.equals("ready")) {
-            s.leftMs = FOREVER;
-            s.writtenMs = FOREVER;
+            s.notReadySinceMs = FOREVER;
+            s.removalSentMs = FOREVER;
         }
         version++;
-        tell("p" + s.number + " " + state);
+        tell("p" + s.index + " " + state);
     }
 
     /** It drains, ends, listens again before it is listed, and is listed. */
     private void replace(FaultyPod s, long drainsMs, long gone, long unlisted) {
-        thread(
+        startDaemonThread(
                 () -> {
                     change(s, "draining");
                     Thread.sleep(drainsMs);
                     change(s, "gone");
-                    pods.get(s.number).close();
+                    pods.get(s.index).close();
                     Thread.sleep(gone);
-                    pods.get(s.number).reopen();
-                    tell("p" + s.number + " listens");
+                    pods.get(s.index).listenAgain();
+                    tell("p" + s.index + " listens");
                     Thread.sleep(unlisted);
                     change(s, "ready");
                 });
@@ -239,8 +239,8 @@
         tell("event " + what);
         switch (what) {
             case 0, 1, 2 -> {
-                long ready = servers.stream().filter(o -> o.state.equals("ready")).count();
-                if (s.state.equals("ready") && ready > SERVERS / 2) {
+                long ready = servers.stream().filter(o -> o.lifecycle.equals("ready")).count();
+                if (s.lifecycle.equals("ready") && ready > SERVERS / 2) {
                     replace(
                             s,
                             500 + random.nextInt(1_500),
@@ -249,36 +249,36 @@
                 }
             }
             case 3 -> {
-                s.delayMs = 0;
+                s.responseDelayMs = 0;
                 mode = now() > outageEndsMs ? DiscoveryMode.SLOW : mode;
             }
-            case 4, 5 -> mode = now() > outageEndsMs ? DiscoveryMode.RIGHT : mode;
-            case 6 -> cut(discovery);
-            case 7 -> cut(platform);
+            case 4, 5 -> mode = now() > outageEndsMs ? DiscoveryMode.HEALTHY : mode;
+            case 6 -> closeConnections(discovery);
+            case 7 -> closeConnections(platform);
             case 8 -> hold();
             case 9 -> {
                 FakeServer old = discovery;
                 discovery = new FakeServer(this::serveList);
-                configure(256);
+                writeConfig(256);
                 movedMs = now();
-                hangUp();
-                thread(
+                sendHangup();
+                startDaemonThread(
                         () -> {
                             Thread.sleep(1_500);
                             old.close();
                         });
             }
             case 10 -> {
-                s.resets += random.nextInt(4);
-                s.errors += random.nextInt(4);
-                s.delayMs = random.nextInt(3) == 0 ? 50 + random.nextInt(400) : 0;
-                cut(pods.get(s.number));
+                s.resetsLeft += random.nextInt(4);
+                s.errorsLeft += random.nextInt(4);
+                s.responseDelayMs = random.nextInt(3) == 0 ? 50 + random.nextInt(400) : 0;
+                closeConnections(pods.get(s.index));
             }
             default -> {
                 if (killedMs < 0 && random.nextBoolean()) {
                     killedMs = FOREVER;
                     process.destroyForcibly().waitFor();
-                    start();
+                    startSidecar();
                     killedMs = now();
                 }
             }
@@ -290,10 +290,10 @@
      * count as told.
      */
     private void beginOutage() throws IOException {
-        mode = random.nextBoolean() ? DiscoveryMode.CROWDED : DiscoveryMode.SILENT;
+        mode = random.nextBoolean() ? DiscoveryMode.OVERLOADED : DiscoveryMode.SILENT;
         outageEndsMs = now() + 8_000 + random.nextInt(4_000);
         tell("discovery is " + mode + " until " + outageEndsMs);
-        cut(discovery);
+        closeConnections(discovery);
     }
 
     private void hold() throws Exception {
@@ -326,7 +326,7 @@
         String answer;
         try {
             answer =
-                    c.ask(
+                    c.execute(
                             put
                                     ? "INSERT INTO entries (ref) VALUES ('"
                                             + ref
@@ -364,12 +364,12 @@
     }
 
     /** Plays the run, and returns what was broken. */
-    List<String> play() throws Exception {
+    List<String> run() throws Exception {
         try {
-            start();
+            startSidecar();
             for (int i = 0; i < CLIENTS; i++) {
                 SplittableRandom chance = random.split();
-                thread(() -> client(chance));
+                startDaemonThread(() -> client(chance));
             }
             long outageMs = 1_000 + random.nextInt(4_000);
             while (now() < FAULTS_MS) {
@@ -380,12 +380,12 @@
                 event();
             }
             tell("calm");
-            mode = DiscoveryMode.RIGHT;
+            mode = DiscoveryMode.HEALTHY;
             servers.forEach(
                     s -> {
-                        s.resets = 0;
-                        s.errors = 0;
-                        s.delayMs = 0;
+                        s.resetsLeft = 0;
+                        s.errorsLeft = 0;
+                        s.responseDelayMs = 0;
                     });
             Thread.sleep(CALM_MS);
             served.set(0);
@@ -406,10 +406,10 @@
             if (!process.waitFor(4, java.util.concurrent.TimeUnit.SECONDS)) {
                 broken("still there 4 s after SIGTERM");
             }
-            logged().lines().filter(l -> l.contains("fault")).limit(3).forEach(this::broken);
+            logText().lines().filter(l -> l.contains("fault")).limit(3).forEach(this::broken);
         } finally {
             over = true;
-            end();
+            stopAll();
         }
         return List.copyOf(broken);
     }
@@ -418,10 +418,11 @@
      * What happened and what the program logged of it but for its counts, for whoever looks into a
      * broken run.
      */
-    String story() {
+    String eventLog() {
         return String.join("\n", story)
                 + "\n"
-                + logged().lines()
+                + logText()
+                        .lines()
                         .filter(l -> l.matches(".* (discovery|reload|life|clients): .*"))
                         .reduce("", (a, b) -> a + "\n" + b);
     }
--- a/sidecar/src/test/java/mulleinlever/sidecar/SoakTest.java
+++ b/sidecar/src/test/java/mulleinlever/sidecar/SoakTest.java
@@ -28,21 +28,21 @@
     }
 
     @Test
-    void theRulesHoldWhateverFails() throws Exception {
+    void invariantsHoldUnderInjectedFaults() throws Exception {
         ExecutorService pool = Executors.newFixedThreadPool(Integer.getInteger("soak.parallel", 2));
         List<Future<List<String>>> runs = new ArrayList<>();
         for (long seed : seeds()) {
             Callable<List<String>> run =
                     () -> {
                         SoakRun soak = new SoakRun(seed);
-                        List<String> broken = soak.play();
+                        List<String> broken = soak.run();
                         System.out.println(
                                 "soak seed "
                                         + seed
                                         + ": "
                                         + (broken.isEmpty() ? "held" : broken.size() + " broken"));
                         if (!broken.isEmpty()) {
-                            System.out.println(soak.story());
+                            System.out.println(soak.eventLog());
                             broken.stream().limit(10).forEach(System.out::println);
                         }
                         return broken;
--- a/sidecar/src/test/java/mulleinlever/sidecar/StalePodListTest.java
+++ b/sidecar/src/test/java/mulleinlever/sidecar/StalePodListTest.java
@@ -42,8 +42,8 @@
     private void discoverInLine(DataInputStream in, DataOutputStream out) throws Exception {
         Thread.sleep(lineMs);
         if (slowly != null) {
-            discovery.told.add(line(in));
-            while (!line(in).isEmpty()) {}
+            discovery.received.add(readLine(in));
+            while (!readLine(in).isEmpty()) {}
             out.writeBytes("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
             String text = slowly + "\n";
             for (int i = 0; i < text.length(); i += 20) {
@@ -53,11 +53,11 @@
             }
             Thread.sleep(30_000);
         } else if (!crowded) {
-            discover(in, out);
+            serveDiscovery(in, out);
             return;
         }
-        discovery.told.add(line(in));
-        while (!line(in).isEmpty()) {}
+        discovery.received.add(readLine(in));
+        while (!readLine(in).isEmpty()) {}
         Thread.sleep(CALL_WAITS_MS);
         out.writeBytes("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
     }
@@ -69,7 +69,7 @@
     private int[] askUntil(Client client, long endNs) throws Exception {
         int[] served = new int[2];
         while (System.nanoTime() < endNs) {
-            served[0] += client.ask(get("1", 800)).equals("TDvC") ? 1 : 0;
+            served[0] += client.execute(selectSql("1", 800)).equals("TDvC") ? 1 : 0;
             served[1]++;
             Thread.sleep(20);
         }
@@ -79,33 +79,36 @@
     // Report abbe30: so did a process that had started with a list of unknown age, while discovery
     // turned it away.
     @Test
-    void aProcessThatWasNeverToldAListSendsNothingByTheOneItStartedWith() throws Exception {
+    void configuredListIsNotUsedWhileDiscoveryIsOverloaded() throws Exception {
         crowded = true;
-        FakeServer server = pod((q, out) -> give(out, "v"));
-        start();
+        FakeServer server = startPod((q, out) -> sendRow(out, "v"));
+        startSidecar();
         try (Client client = new Client()) {
             long fromNs = System.nanoTime();
-            assertEquals("E53300 with advice", client.ask(get("1", 1400)));
+            assertEquals("E53300 with advice", client.execute(selectSql("1", 1400)));
             assertTrue(System.nanoTime() - fromNs < SECOND / 2, "not answered at once");
             askUntil(client, System.nanoTime() + 4 * SECOND);
-            assertEquals(0, server.told.size());
+            assertEquals(0, server.received.size());
             crowded = false;
-            until(() -> logged().contains("bytes, 0 lines") && discovery.open.size() == 1);
-            untilServed(client);
+            awaitTrue(
+                    () ->
+                            logText().contains("bytes, 0 lines")
+                                    && discovery.openSockets.size() == 1);
+            awaitServed(client);
         }
     }
 
     // The other duty: where nobody is there who could tell of a change, none counts, and requests
     // are served.
     @Test
-    void aProcessServesByTheListItStartedWithWhereDiscoveryCantBeReached() throws Exception {
+    void configuredListIsUsedWhenDiscoveryIsUnreachable() throws Exception {
         discovery.close();
-        pod((q, out) -> give(out, "v"));
+        startPod((q, out) -> sendRow(out, "v"));
         // Nobody else may come to listen there.
         try (Socket held = new Socket()) {
             held.setReuseAddress(true);
-            held.bind(discovery.bound());
-            start();
+            held.bind(discovery.localSocketAddress());
+            startSidecar();
             servedThroughout();
         }
     }
@@ -113,107 +116,108 @@
     private void servedThroughout() throws Exception {
         try (Client client = new Client()) {
             int[] served = askUntil(client, System.nanoTime() + 12 * SECOND);
-            assertEquals(served[1], served[0], logged());
+            assertEquals(served[1], served[0], logText());
         }
     }
 
     // An indented list was taken for a faulty one: it ended the watch, and the next brought the
     // same again.
     @Test
-    void anIndentedListIsTakenLikeAnyOther() throws Exception {
-        FakeServer leaving = pod((q, out) -> give(out, "v"));
-        pod((q, out) -> give(out, "v"));
-        start();
+    void indentedListIsAccepted() throws Exception {
+        FakeServer leaving = startPod((q, out) -> sendRow(out, "v"));
+        startPod((q, out) -> sendRow(out, "v"));
+        startSidecar();
         try (Client client = new Client()) {
             askUntil(client, System.nanoTime() + SECOND / 2);
-            extraLines.add(
-                    list(8, false, entry(0, 1, "draining")).replaceAll("([{\\[,])", "$1\n  "));
-            until(() -> leaving.open.isEmpty());
-            int before = leaving.told.size();
+            discoveryLines.add(
+                    podListJson(8, false, podJson(0, 1, "draining"))
+                            .replaceAll("([{\\[,])", "$1\n  "));
+            awaitTrue(() -> leaving.openSockets.isEmpty());
+            int before = leaving.received.size();
             askUntil(client, System.nanoTime() + SECOND / 2);
-            assertEquals(before, leaving.told.size());
+            assertEquals(before, leaving.received.size());
         }
-        assertEquals(1, discovery.told.size());
+        assertEquals(1, discovery.received.size());
     }
 
     // A list of which bytes kept coming was given up after 2.7 s, and asked for again from its
     // beginning.
     @Test
-    void aListThatComesSlowlyIsWaitedFor() throws Exception {
-        FakeServer leaving = pod((q, out) -> give(out, "v"));
-        pod((q, out) -> give(out, "v"));
-        start();
-        until(() -> discovery.told.size() == 1);
-        slowly = list(8, false, entry(0, 1, "draining"));
-        cut(discovery);
-        until(() -> logged().contains("list: generation 8"));
-        assertEquals(2, discovery.told.size());
+    void slowlySentListIsNotTimedOut() throws Exception {
+        FakeServer leaving = startPod((q, out) -> sendRow(out, "v"));
+        startPod((q, out) -> sendRow(out, "v"));
+        startSidecar();
+        awaitTrue(() -> discovery.received.size() == 1);
+        slowly = podListJson(8, false, podJson(0, 1, "draining"));
+        closeConnections(discovery);
+        awaitTrue(() -> logText().contains("list: generation 8"));
+        assertEquals(2, discovery.received.size());
         try (Client client = new Client()) {
-            int before = leaving.told.size();
+            int before = leaving.received.size();
             askUntil(client, System.nanoTime() + SECOND / 2);
-            assertEquals(before, leaving.told.size());
+            assertEquals(before, leaving.received.size());
         }
     }
 
     // Where discovery tells changes unasked, a watch that had ended was never opened again.
     @Test
-    void aWatchThatEndedIsOpenedAgainWhereListsArePushed() throws Exception {
+    void endedWatchIsReopenedInPushMode() throws Exception {
         discoveryMode = "automatic";
-        pod((q, out) -> give(out, "v"));
-        start();
-        until(() -> discovery.told.size() == 1);
-        cut(discovery);
-        until(() -> discovery.told.size() == 2);
+        startPod((q, out) -> sendRow(out, "v"));
+        startSidecar();
+        awaitTrue(() -> discovery.received.size() == 1);
+        closeConnections(discovery);
+        awaitTrue(() -> discovery.received.size() == 2);
     }
 
     // A call that stood in a long line was given up after 2.7 s and made again at its end, so it
     // was never served.
     @Test
-    void aCallThatStandsInALongLineIsWaitedFor() throws Exception {
-        pod((q, out) -> give(out, "v"));
-        start();
-        until(() -> discovery.told.size() == 1);
+    void queuedDiscoveryCallIsNotTimedOut() throws Exception {
+        startPod((q, out) -> sendRow(out, "v"));
+        startSidecar();
+        awaitTrue(() -> discovery.received.size() == 1);
         lineMs = 4_000;
-        extraLines.add(list(8, false));
-        cut(discovery);
-        until(() -> logged().contains("list: generation 8"));
+        discoveryLines.add(podListJson(8, false));
+        closeConnections(discovery);
+        awaitTrue(() -> logText().contains("list: generation 8"));
     }
 
     // A watch opened anew that has nothing new to tell was given up every four seconds, one more
     // call each time.
     @Test
-    void aWatchThatStandsIsKeptThoughNothingChanges() throws Exception {
-        pod((q, out) -> give(out, "v"));
-        start();
-        until(() -> discovery.told.size() == 1);
-        cut(discovery);
-        until(() -> discovery.told.size() == 2);
+    void idleWatchIsKeptOpen() throws Exception {
+        startPod((q, out) -> sendRow(out, "v"));
+        startSidecar();
+        awaitTrue(() -> discovery.received.size() == 1);
+        closeConnections(discovery);
+        awaitTrue(() -> discovery.received.size() == 2);
         Thread.sleep(9_000);
-        assertEquals(2, discovery.told.size(), discovery.told.toString());
+        assertEquals(2, discovery.received.size(), discovery.received.toString());
     }
 
     // Report abbe30: requests went to servers that had been removed, by a list that discovery did
     // not confirm.
     @Test
-    void aServerThatLeftIsNotUsedOnceItsRemovalCountsAsToldThoughNoListArrived() throws Exception {
+    void removedPodIsNotUsedAfterPropagationDeadlineWithoutListUpdate() throws Exception {
         List<Long> sentToP0 = new CopyOnWriteArrayList<>();
         boolean[] drains = {false};
         PodBehavior recorded =
                 (q, out) -> {
                     sentToP0.add(System.nanoTime());
-                    return drains[0] ? refuse(out, "53300") : give(out, "v");
+                    return drains[0] ? sendError(out, "53300") : sendRow(out, "v");
                 };
-        FakeServer leaving = pod(recorded);
-        pod((q, out) -> give(out, "v"));
-        start();
-        until(() -> discovery.told.size() == 1);
+        FakeServer leaving = startPod(recorded);
+        startPod((q, out) -> sendRow(out, "v"));
+        startSidecar();
+        awaitTrue(() -> discovery.received.size() == 1);
         try (Client client = new Client()) {
             askUntil(client, System.nanoTime() + SECOND);
             assertFalse(sentToP0.isEmpty());
             // It drains, ends, and comes back before discovery lists it again: nothing of it
             // reaches the sidecar.
             crowded = true;
-            cut(discovery);
+            closeConnections(discovery);
             long changedNs = System.nanoTime();
             drains[0] = true;
             askUntil(client, changedNs + SECOND);
@@ -221,7 +225,7 @@
             int[] meanwhile = askUntil(client, changedNs + 5 * SECOND);
             assertTrue(meanwhile[0] > 0.9 * meanwhile[1], meanwhile[0] + " of " + meanwhile[1]);
             drains[0] = false;
-            pods.get(0).reopen();
+            pods.get(0).listenAgain();
             int[] after = askUntil(client, changedNs + 14 * SECOND);
             long lastNs = sentToP0.get(sentToP0.size() - 1) - changedNs;
             assertTrue(
@@ -230,6 +234,6 @@
             // The other server answers all the while, which shows that it has not left.
             assertTrue(after[0] > 0.9 * after[1], after[0] + " of " + after[1]);
         }
-        assertEquals(0, logged().lines().filter(l -> l.contains("fault")).count(), logged());
+        assertEquals(0, logText().lines().filter(l -> l.contains("fault")).count(), logText());
     }
 }
--- a/sidecar/src/test/java/mulleinlever/sidecar/StatePersistenceTest.java
+++ b/sidecar/src/test/java/mulleinlever/sidecar/StatePersistenceTest.java
@@ -30,9 +30,9 @@
     StatePersistenceTest() throws IOException {}
 
     @BeforeEach
-    void remembers() throws IOException {
+    void enableStatePersistence() throws IOException {
         state = folder.resolve("state");
-        with.addAll(List.of("--with", settings("").toString()));
+        extraArguments.addAll(List.of("--with", settings("").toString()));
     }
 
     private Path settings(String more) throws IOException {
@@ -45,12 +45,12 @@
     }
 
     private StateStore.LoadResult newest() throws IOException {
-        return StateStore.newest(new FileSystemDirectory(state), MOST, "n0");
+        return StateStore.readNewest(new FileSystemDirectory(state), MOST, "n0");
     }
 
     private long sequence() {
         try {
-            return StateStore.sequence(newest().file());
+            return StateStore.parseSequence(newest().fileName());
         } catch (IOException | RuntimeException e) {
             return 0;
         }
@@ -66,63 +66,73 @@
     }
 
     @Test
-    void whatWasLearnedIsTakenAtTheNextStart() throws Exception {
+    void learnedStateIsRestoredAfterRestart() throws Exception {
         // The first and the third are in the sidecar's own zone, where its reqs go first.
-        pod((q, out) -> give(out, "v"));
-        pod((q, out) -> give(out, "v"));
-        pod(
+        startPod((q, out) -> sendRow(out, "v"));
+        startPod((q, out) -> sendRow(out, "v"));
+        startPod(
                 (q, out) -> {
                     Thread.sleep(60);
-                    return give(out, "v");
+                    return sendRow(out, "v");
                 });
-        start();
-        assertTrue(logged().contains("state: nothing taken: no whole file in"), logged());
+        startSidecar();
+        assertTrue(logText().contains("state: nothing taken: no whole file in"), logText());
         try (Client c = new Client()) {
             for (int i = 0; i < 30; i++) {
-                assertEquals("TDvC", c.ask(get("1", 800)));
+                assertEquals("TDvC", c.execute(selectSql("1", 800)));
             }
         }
         stop();
         // The last write came with the end: nothing older is what the next start finds.
-        long last = newest().kept().head().unixMs();
+        long last = newest().snapshot().head().unixMs();
         assertTrue(System.currentTimeMillis() - last < 3_000);
-        start();
+        startSidecar();
         String taken =
-                logged().lines().filter(l -> l.contains("state: state-")).findFirst().orElseThrow();
+                logText()
+                        .lines()
+                        .filter(l -> l.contains("state: state-"))
+                        .findFirst()
+                        .orElseThrow();
         assertTrue(
                 taken.matches(".*state-\\d{12}\\.mls, \\d\\.\\d+ s old: .*[23] pods, 1 routes.*"),
                 taken);
         // A pod that listens elsewhere now is not the one that was slow.
         kill();
         pods.set(2, new FakeServer((in, out) -> {}));
-        start();
-        taken = logged().lines().filter(l -> l.contains("state: state-")).findFirst().orElseThrow();
+        startSidecar();
+        taken =
+                logText()
+                        .lines()
+                        .filter(l -> l.contains("state: state-"))
+                        .findFirst()
+                        .orElseThrow();
         assertTrue(taken.contains("1 pods at another address"), taken);
     }
 
     @Test
-    void killedAtAnyMomentUnderLoadItStartsFromTheNewestWholeFile() throws Exception {
-        pod((q, out) -> give(out, "v"));
-        pod((q, out) -> give(out, "v"));
+    void restoresNewestCompleteFileAfterKillUnderLoad() throws Exception {
+        startPod((q, out) -> sendRow(out, "v"));
+        startPod((q, out) -> sendRow(out, "v"));
         SplittableRandom random = new SplittableRandom(6);
         long before = 0;
         for (int i = 0; i < KILLS; i++) {
-            start();
-            assertFalse(logged().contains("passed over"), logged());
+            startSidecar();
+            assertFalse(logText().contains("passed over"), logText());
             assertTrue(
-                    before == 0 || logged().contains("state: " + StateStore.name(before)),
-                    logged());
+                    before == 0 || logText().contains("state: " + StateStore.fileName(before)),
+                    logText());
             AtomicInteger served = new AtomicInteger();
-            thread(
+            startDaemonThread(
                     () -> {
                         try (Client c = new Client()) {
                             while (true) {
-                                served.addAndGet(c.ask(get("1", 800)).equals("TDvC") ? 1 : 0);
+                                served.addAndGet(
+                                        c.execute(selectSql("1", 800)).equals("TDvC") ? 1 : 0);
                             }
                         }
                     });
             long from = sequence();
-            until(() -> sequence() > from && served.get() > 20);
+            awaitTrue(() -> sequence() > from && served.get() > 20);
             Thread.sleep(random.nextInt(150));
             long seen = sequence();
             kill();
@@ -132,15 +142,15 @@
     }
 
     @Test
-    void aSecondInTheSameFolderSaysSoAndServesWithout() throws Exception {
-        pod((q, out) -> give(out, "v"));
-        start();
+    void secondSidecarInSameFolderServesWithoutPersistence() throws Exception {
+        startPod((q, out) -> sendRow(out, "v"));
+        startSidecar();
         Process first = process;
         try {
-            start();
-            assertTrue(logged().contains("state: off: another sidecar holds " + state), logged());
+            startSidecar();
+            assertTrue(logText().contains("state: off: another sidecar holds " + state), logText());
             try (Client c = new Client()) {
-                assertEquals("TDvC", c.ask(get("1", 800)));
+                assertEquals("TDvC", c.execute(selectSql("1", 800)));
             }
             stop();
         } finally {
@@ -149,33 +159,33 @@
     }
 
     @Test
-    void aDiskThatHangsCostsNoReqAndHoldsUpNeitherStartNorEnd() throws Exception {
-        pod((q, out) -> give(out, "v"));
+    void hangingDiskFailsNoReqAndDelaysNeitherStartNorShutdown() throws Exception {
+        startPod((q, out) -> sendRow(out, "v"));
         Files.createDirectories(state);
         // Whoever opens a pipe waits for its other end: for ever here.
-        pipe(StateStore.name(40));
-        start();
-        assertTrue(logged().contains("took longer than 1000 ms"), logged());
+        pipe(StateStore.fileName(40));
+        startSidecar();
+        assertTrue(logText().contains("took longer than 1000 ms"), logText());
         try (Client c = new Client()) {
-            assertEquals("TDvC", c.ask(get("1", 800)));
+            assertEquals("TDvC", c.execute(selectSql("1", 800)));
         }
         stop();
-        Files.delete(state.resolve(StateStore.name(40)));
-        start();
+        Files.delete(state.resolve(StateStore.fileName(40)));
+        startSidecar();
         long at = sequence();
         for (long n = at + 3; n < at + 60; n++) {
-            pipe(StateStore.name(n) + ".tmp");
+            pipe(StateStore.fileName(n) + ".tmp");
         }
-        until(() -> sequence() > at);
+        awaitTrue(() -> sequence() > at);
         try (Client c = new Client()) {
             for (int i = 0; i < 100; i++) {
-                assertEquals("TDvC", c.ask(get("1", 800)));
+                assertEquals("TDvC", c.execute(selectSql("1", 800)));
                 Thread.sleep(5);
             }
         }
         assertTrue(sequence() < at + 60);
         stop();
-        assertTrue(logged().contains("the last write was not done within 300 ms"), logged());
+        assertTrue(logText().contains("the last write was not done within 300 ms"), logText());
     }
 
     private void pipe(String name) throws Exception {
@@ -184,43 +194,44 @@
     }
 
     @Test
-    void aFileThatIsNotWholeIsPassedOverForTheOneBefore() throws Exception {
-        pod((q, out) -> give(out, "v"));
-        start();
-        until(() -> sequence() >= 3);
+    void corruptFileIsSkippedForPreviousOne() throws Exception {
+        startPod((q, out) -> sendRow(out, "v"));
+        startSidecar();
+        awaitTrue(() -> sequence() >= 3);
         stop();
         long last = sequence();
-        Path file = state.resolve(StateStore.name(last));
+        Path file = state.resolve(StateStore.fileName(last));
         byte[] bytes = Files.readAllBytes(file);
         bytes[bytes.length / 2] ^= 4;
         Files.write(file, bytes);
-        start();
+        startSidecar();
         assertTrue(
-                logged().contains("passed over " + StateStore.name(last) + ": at byte "), logged());
-        assertTrue(logged().contains("state: " + StateStore.name(last - 1)), logged());
+                logText().contains("passed over " + StateStore.fileName(last) + ": at byte "),
+                logText());
+        assertTrue(logText().contains("state: " + StateStore.fileName(last - 1)), logText());
     }
 
     @Test
-    void reloadsAndCapturesDoNotDisturbEachOther() throws Exception {
-        pod((q, out) -> give(out, "v"));
-        start();
+    void configReloadsAndSnapshotsDoNotInterfere() throws Exception {
+        startPod((q, out) -> sendRow(out, "v"));
+        startSidecar();
         for (int i = 0; i < 20; i++) {
-            hangUp();
+            sendHangup();
             Thread.sleep(7);
         }
         long at = sequence();
-        until(() -> sequence() > at + 2);
-        assertTrue(logged().contains("reload: discovery at"), logged());
+        awaitTrue(() -> sequence() > at + 2);
+        assertTrue(logText().contains("reload: discovery at"), logText());
         try (Client c = new Client()) {
-            assertEquals("TDvC", c.ask(get("1", 800)));
+            assertEquals("TDvC", c.execute(selectSql("1", 800)));
         }
     }
 
     @Test
-    void faultySettingsEndTheStartWithTheirPlace() throws Exception {
-        pod((q, out) -> give(out, "v"));
+    void invalidSettingsFailStartupWithLineAndColumn() throws Exception {
+        startPod((q, out) -> sendRow(out, "v"));
         settings("evry = '1s'\n");
-        // Not by start(), which waits for an answer.
+        // Not by startSidecar(), which waits for an answer.
         var b =
                 new ProcessBuilder(
                         Path.of(System.getProperty("java.home"), "bin", "java").toString(),
@@ -231,13 +242,13 @@
                         "--with",
                         folder.resolve("state.toml").toString());
         port = 1;
-        b.environment().put("LB_CONFIG", configure(256).toString());
+        b.environment().put("LB_CONFIG", writeConfig(256).toString());
         process =
                 b.redirectErrorStream(true).redirectOutput(folder.resolve("log").toFile()).start();
         assertTrue(process.waitFor(10, TimeUnit.SECONDS));
         assertEquals(2, process.exitValue());
         assertTrue(
-                logged().contains("state.toml:6:1: no such key: state.evry; did you mean every?"),
-                logged());
+                logText().contains("state.toml:6:1: no such key: state.evry; did you mean every?"),
+                logText());
     }
 }
--- a/sidecar/src/test/java/mulleinlever/sidecar/WarmUpTest.java
+++ b/sidecar/src/test/java/mulleinlever/sidecar/WarmUpTest.java
@@ -19,21 +19,21 @@
         String known = "{\"generation\":7,\"reset\":true,\"instances\":[" + pods + "]}";
         // Addresses at which nothing listens: whatever goes out of the process fails.
         String text =
-                SidecarTestBase.config("127.0.0.9:1", "127.0.0.9:2", "127.0.0.9:3", known, 256);
+                SidecarTestBase.configJson("127.0.0.9:1", "127.0.0.9:2", "127.0.0.9:3", known, 256);
         var played = new LinkedBlockingQueue<WarmUp>();
-        WarmUp.play(SidecarConfig.read(text, Map.of()), played::add);
+        WarmUp.run(SidecarConfig.parse(text, Map.of()), played::add);
         return played;
     }
 
     @Test
-    void itsReqsCompleteAndNoneLeavesTheProcess() throws Exception {
+    void allReqsCompleteInProcess() throws Exception {
         var played = play(POD);
-        assertEquals(WarmUp.REQS, played.poll(20, TimeUnit.SECONDS).completed());
+        assertEquals(WarmUp.REQ_COUNT, played.poll(20, TimeUnit.SECONDS).completedReqCount());
         assertNull(played.poll(2, TimeUnit.SECONDS), "called back twice");
     }
 
     @Test
-    void withNoPodItEndsInTime() throws Exception {
-        assertEquals(0, play("").poll(5, TimeUnit.SECONDS).completed());
+    void endsWithinTimeLimitWithoutPods() throws Exception {
+        assertEquals(0, play("").poll(5, TimeUnit.SECONDS).completedReqCount());
     }
 }
--- a/state/src/main/java/mulleinlever/state/SnapshotBuilder.java
+++ b/state/src/main/java/mulleinlever/state/SnapshotBuilder.java
@@ -34,7 +34,7 @@
     }
 
     /** Takes pieces until a time, some at least; true once all are taken. */
-    public boolean slice(LongSupplier clock, long untilNs) {
+    public boolean collectUntil(LongSupplier clock, long untilNs) {
         for (int i = 1; pieces.hasNext(); i++) {
             take(pieces.next());
             if (i % BETWEEN_LOOKS == 0 && clock.getAsLong() >= untilNs) {
@@ -57,7 +57,7 @@
     }
 
     /** What was captured, under a head whose number the keeper gives. */
-    public StateSnapshot kept(StateSnapshot.Header head, RolloutStatus news) {
+    public StateSnapshot toSnapshot(StateSnapshot.Header head, RolloutStatus news) {
         return new StateSnapshot(head, news, pods, learned);
     }
 }
--- a/state/src/main/java/mulleinlever/state/SnapshotFilter.java
+++ b/state/src/main/java/mulleinlever/state/SnapshotFilter.java
@@ -20,21 +20,22 @@
      * Where the sidecar stands at its start.
      *
      * @param pods the list that it starts from, by id
-     * @param addresses where each listens, by id, as address and port
+     * @param podAddresses where each listens, by id, as address and port
      */
     public record RestoreContext(
             String zone,
             Set<String> routes,
             Map<String, PodEntry> pods,
-            Map<String, String> addresses) {}
+            Map<String, String> podAddresses) {}
 
     /** What is taken, and how many were left out for each reason, by the reason. */
-    public record RestoreResult(List<LearnedState> learned, Map<String, Integer> leftOut) {
+    public record RestoreResult(
+            List<LearnedState> restoredValues, Map<String, Integer> rejectedCounts) {
         /** For one line of a log: how many of each sort. */
         @Override
         public String toString() {
             Map<String, Long> sorts =
-                    learned.stream()
+                    restoredValues.stream()
                             .collect(
                                     Collectors.groupingBy(
                                             SnapshotFilter::sort,
@@ -46,11 +47,11 @@
                             : sorts.entrySet().stream()
                                     .map(e -> e.getValue() + " " + e.getKey())
                                     .collect(Collectors.joining(", "));
-            return leftOut.isEmpty()
+            return rejectedCounts.isEmpty()
                     ? taken
                     : taken
                             + "; left out: "
-                            + leftOut.entrySet().stream()
+                            + rejectedCounts.entrySet().stream()
                                     .map(e -> e.getValue() + " " + e.getKey())
                                     .collect(Collectors.joining(", "));
         }
@@ -59,23 +60,23 @@
     private SnapshotFilter() {}
 
     private static String sort(LearnedState one) {
-        return switch (StateDecay.group(one)) {
+        return switch (StateDecay.categoryOf(one)) {
             case PODS -> "pods";
             case LINKS -> "links";
             case ROUTES -> "routes";
-            case BASELINE -> "baselines";
+            case BASELINES -> "baselines";
             default -> "keys";
         };
     }
 
     /** What holds of all that was kept, after that age. */
-    public static RestoreResult of(StateSnapshot kept, long ageNs, RestoreContext here) {
+    public static RestoreResult filter(StateSnapshot kept, long ageNs, RestoreContext here) {
         List<LearnedState> taken = new ArrayList<>();
         Map<String, Integer> leftOut = new TreeMap<>();
         for (StateSnapshot.PodSnapshot p : kept.pods()) {
             sift(p.learned(), misfit(p, kept, here), ageNs, taken, leftOut);
         }
-        for (LearnedState one : kept.learned()) {
+        for (LearnedState one : kept.learnedValues()) {
             sift(one, misfit(one, kept, here), ageNs, taken, leftOut);
         }
         return new RestoreResult(taken, leftOut);
@@ -87,7 +88,7 @@
             long ageNs,
             List<LearnedState> taken,
             Map<String, Integer> leftOut) {
-        LearnedState aged = misfit == null ? StateDecay.aged(one, ageNs) : null;
+        LearnedState aged = misfit == null ? StateDecay.decay(one, ageNs) : null;
         if (aged != null) {
             taken.add(aged);
         } else {
@@ -106,7 +107,7 @@
         if (now.startedNs() != then.startedNs() || now.build() != then.build()) {
             return "started anew";
         }
-        if (!p.address().equals(here.addresses().get(then.id()))) {
+        if (!p.address().equals(here.podAddresses().get(then.id()))) {
             return "at another address";
         }
         return kept.head().zone().equals(here.zone()) ? null : "seen from another zone";
@@ -129,17 +130,17 @@
      * for none). A list that names too little or old addresses costs tries, until discovery tells
      * better.
      */
-    public static boolean listHolds(StateSnapshot kept, long ageNs, long otherVersion) {
+    public static boolean isPodListUsable(StateSnapshot kept, long ageNs, long otherVersion) {
         return kept.head().listVersion() > otherVersion
                 && !kept.pods().isEmpty()
-                && StateDecay.left(StateDecay.Category.LIST, ageNs) > 0;
+                && StateDecay.remainingFraction(StateDecay.Category.POD_LIST, ageNs) > 0;
     }
 
     /**
      * The news that was kept where it allows less than what is told at the start, else null. What
      * allows more is never remembered: a cap that has been lowered meanwhile would be passed.
      */
-    public static RolloutStatus tighter(RolloutStatus kept, RolloutStatus told) {
+    public static RolloutStatus selectIfStricter(RolloutStatus kept, RolloutStatus told) {
         boolean back =
                 kept.phase() == RolloutStatus.Phase.REVERTING
                         || kept.phase() == RolloutStatus.Phase.WITHDRAWN;
--- a/state/src/main/java/mulleinlever/state/StateDecay.java
+++ b/state/src/main/java/mulleinlever/state/StateDecay.java
@@ -4,15 +4,15 @@
 
 /**
  * How what was remembered fades by the time that passed, and when a whole group of it is dropped.
- * It knows no clock: the age is told, in nanoseconds, or {@link #UNKNOWN} where the clock was set
- * back or the file comes from another.
+ * It knows no clock: the age is told, in nanoseconds, or {@link #UNKNOWN_AGE_NS} where the clock
+ * was set back or the file comes from another.
  */
 public final class StateDecay {
     /**
      * No age that can be believed. What changes within minutes is dropped then, the rest counts
      * half.
      */
-    public static final long UNKNOWN = -1;
+    public static final long UNKNOWN_AGE_NS = -1;
 
     private static final long SECOND = 1_000_000_000L;
     private static final long MINUTE = 60 * SECOND;
@@ -34,23 +34,23 @@
         /** What a route's work takes changes with builds and the hour of the day. */
         ROUTES(10 * MINUTE, DAY, true),
         /** The earlier build's share of failures, as long as it is the earlier build. */
-        BASELINE(HOUR, DAY, true),
+        BASELINES(HOUR, DAY, true),
         /** A rule, not an estimate: it does not fade, but long after its build it binds nothing. */
         KEYS(Long.MAX_VALUE, DAY, true),
         /**
          * Discovery tells better at once; where it can't, an old list may name addresses that are
          * others' now.
          */
-        LIST(Long.MAX_VALUE, HOUR, false);
+        POD_LIST(Long.MAX_VALUE, HOUR, false);
 
         final long halfLifeNs;
-        final long mostNs;
-        final boolean agelessToo;
+        final long maxAgeNs;
+        final boolean isUsedAtUnknownAge;
 
         Category(long halfLifeNs, long mostNs, boolean agelessToo) {
             this.halfLifeNs = halfLifeNs;
-            this.mostNs = mostNs;
-            this.agelessToo = agelessToo;
+            this.maxAgeNs = mostNs;
+            this.isUsedAtUnknownAge = agelessToo;
         }
     }
 
@@ -60,20 +60,20 @@
      * The age of what was captured at a Unix time in milliseconds, by a clock that may have been
      * set.
      */
-    public static long age(long capturedUnixMs, long nowNs) {
+    public static long computeAgeNs(long capturedUnixMs, long nowNs) {
         long capturedNs = Math.multiplyExact(capturedUnixMs, 1_000_000L);
-        return capturedNs > nowNs || capturedNs <= 0 ? UNKNOWN : nowNs - capturedNs;
+        return capturedNs > nowNs || capturedNs <= 0 ? UNKNOWN_AGE_NS : nowNs - capturedNs;
     }
 
     /** The part of a figure's weight that is left; 0 where the group is dropped. */
-    public static double left(Category group, long ageNs) {
-        if (ageNs == UNKNOWN) {
-            return group.agelessToo ? 0.5 : 0;
+    public static double remainingFraction(Category group, long ageNs) {
+        if (ageNs == UNKNOWN_AGE_NS) {
+            return group.isUsedAtUnknownAge ? 0.5 : 0;
         }
-        return ageNs > group.mostNs ? 0 : Math.pow(0.5, (double) ageNs / group.halfLifeNs);
+        return ageNs > group.maxAgeNs ? 0 : Math.pow(0.5, (double) ageNs / group.halfLifeNs);
     }
 
-    static Category group(LearnedState one) {
+    static Category categoryOf(LearnedState one) {
         return one instanceof LearnedState.PodStats
                 ? Category.PODS
                 : one instanceof LearnedState.ConnectionStats
@@ -81,13 +81,13 @@
                         : one instanceof LearnedState.RouteStats
                                 ? Category.ROUTES
                                 : one instanceof LearnedState.DetectorBaseline
-                                        ? Category.BASELINE
+                                        ? Category.BASELINES
                                         : Category.KEYS;
     }
 
     /** What is left of one thing learned; null where nothing is. */
-    public static LearnedState aged(LearnedState one, long ageNs) {
-        double left = left(group(one), ageNs);
+    public static LearnedState decay(LearnedState one, long ageNs) {
+        double left = remainingFraction(categoryOf(one), ageNs);
         if (left == 0) {
             return null;
         }
--- a/state/src/main/java/mulleinlever/state/StateFileException.java
+++ b/state/src/main/java/mulleinlever/state/StateFileException.java
@@ -12,15 +12,15 @@
         /** Not there, or the system refuses to read it. */
         UNREADABLE(3),
         /** Something else than a file of state. */
-        FOREIGN(4),
+        NOT_A_STATE_FILE(4),
         /** Of a later format than this program knows. */
-        NEWER(5),
+        UNSUPPORTED_VERSION(5),
         /** It ends too soon. */
-        CUT(6),
+        TRUNCATED(6),
         /** A checksum differs, or what is read makes no sense. */
         CORRUPT(7),
         /** Longer than what is taken. */
-        TOO_LONG(8);
+        TOO_LARGE(8);
 
         public final int exitCode;
 
--- a/state/src/main/java/mulleinlever/state/StateFileFormat.java
+++ b/state/src/main/java/mulleinlever/state/StateFileFormat.java
@@ -31,14 +31,14 @@
  * believed before its head's has proved true.
  */
 final class StateFileFormat {
-    static final int VERSION = 1;
+    static final int FORMAT_VERSION = 1;
     static final byte[] MAGIC = {(byte) 0x89, 'M', 'L', 'S', 'T', '\r', '\n', 0x1a};
     private static final int HEAD = 20;
 
     /** Our schemas take less than a thousand bytes; nothing honest comes near this. */
     private static final int LONGEST_SCHEMA = 1 << 16;
 
-    private static final int END = kind("END ");
+    private static final int END = sectionTag("END ");
 
     /** What one kind of section holds. */
     private enum Section {
@@ -50,7 +50,7 @@
         PODS,
         KEYS;
 
-        private final int kind = StateFileFormat.kind((name() + " ").substring(0, 4));
+        private final int kind = StateFileFormat.sectionTag((name() + " ").substring(0, 4));
         private final Schema schema = schema(name());
 
         private static Schema schema(String of) {
@@ -74,7 +74,7 @@
 
     private StateFileFormat() {}
 
-    static int kind(String name) {
+    static int sectionTag(String name) {
         return ByteBuffer.wrap(name.getBytes(StandardCharsets.US_ASCII)).getInt();
     }
 
@@ -89,26 +89,28 @@
 
     // ---- Writing.
 
-    static byte[] write(StateSnapshot kept) {
+    static byte[] encode(StateSnapshot kept) {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         out.writeBytes(MAGIC);
-        out.writeBytes(ByteBuffer.allocate(4).putInt(VERSION).array());
-        section(out, Section.HEAD, List.of(kept.head()), StateFileFormat::put);
-        section(out, Section.NEWS, List.of(kept.news()), StateFileFormat::put);
-        section(
+        out.writeBytes(ByteBuffer.allocate(4).putInt(FORMAT_VERSION).array());
+        writeSection(out, Section.HEAD, List.of(kept.head()), StateFileFormat::put);
+        writeSection(out, Section.NEWS, List.of(kept.rolloutStatus()), StateFileFormat::put);
+        writeSection(
                 out,
                 Section.LINK,
                 only(kept, LearnedState.ConnectionStats.class),
                 StateFileFormat::put);
-        section(out, Section.ROUT, only(kept, LearnedState.RouteStats.class), StateFileFormat::put);
-        section(
+        writeSection(
+                out, Section.ROUT, only(kept, LearnedState.RouteStats.class), StateFileFormat::put);
+        writeSection(
                 out,
                 Section.BASE,
                 only(kept, LearnedState.DetectorBaseline.class),
                 StateFileFormat::put);
-        section(out, Section.PODS, kept.pods(), StateFileFormat::put);
-        section(out, Section.KEYS, only(kept, LearnedState.KeyBuild.class), StateFileFormat::put);
-        section(
+        writeSection(out, Section.PODS, kept.pods(), StateFileFormat::put);
+        writeSection(
+                out, Section.KEYS, only(kept, LearnedState.KeyBuild.class), StateFileFormat::put);
+        writeSection(
                 out,
                 END,
                 new byte[0],
@@ -118,14 +120,15 @@
     }
 
     private static <T> List<T> only(StateSnapshot kept, Class<T> type) {
-        return kept.learned().stream().filter(type::isInstance).map(type::cast).toList();
+        return kept.learnedValues().stream().filter(type::isInstance).map(type::cast).toList();
     }
 
     private interface Put<T> {
         void into(GenericRecord r, T value);
     }
 
-    private static <T> void section(ByteArrayOutputStream to, Section s, List<T> all, Put<T> put) {
+    private static <T> void writeSection(
+            ByteArrayOutputStream to, Section s, List<T> all, Put<T> put) {
         ByteArrayOutputStream records = new ByteArrayOutputStream();
         BinaryEncoder encoder = EncoderFactory.get().binaryEncoder(records, null);
         GenericDatumWriter<GenericRecord> writer = new GenericDatumWriter<>(s.schema);
@@ -139,7 +142,7 @@
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
-        section(
+        writeSection(
                 to,
                 s.kind,
                 s.schema.toString().getBytes(StandardCharsets.UTF_8),
@@ -147,7 +150,7 @@
                 records.toByteArray());
     }
 
-    static void section(
+    static void writeSection(
             ByteArrayOutputStream to, int kind, byte[] schema, int count, byte[] records) {
         ByteBuffer head =
                 ByteBuffer.allocate(HEAD)
@@ -245,7 +248,7 @@
      * @param file what faults name it
      * @param leftOut hears of each section that a later writer added and we do not know
      */
-    static StateSnapshot read(String file, byte[] bytes, Consumer<String> leftOut)
+    static StateSnapshot decode(String file, byte[] bytes, Consumer<String> leftOut)
             throws StateFileException {
         return new Reader(file, bytes, leftOut).read();
     }
@@ -275,16 +278,16 @@
             in.get(magic);
             for (int i = 0; i < magic.length; i++) {
                 if (magic[i] != MAGIC[i]) {
-                    throw fault(StateFileException.Kind.FOREIGN, i, "not a file of state");
+                    throw fault(StateFileException.Kind.NOT_A_STATE_FILE, i, "not a file of state");
                 }
             }
             need(4, "the version");
             int version = in.getInt();
-            if (version > VERSION) {
+            if (version > FORMAT_VERSION) {
                 throw fault(
-                        StateFileException.Kind.NEWER,
+                        StateFileException.Kind.UNSUPPORTED_VERSION,
                         8,
-                        "format " + version + ", and we know up to " + VERSION);
+                        "format " + version + ", and we know up to " + FORMAT_VERSION);
             }
             if (version < 1) {
                 throw fault(StateFileException.Kind.CORRUPT, 8, "no such format: " + version);
@@ -306,7 +309,8 @@
 
         private void need(long n, String what) throws StateFileException {
             if (in.remaining() < n) {
-                throw fault(StateFileException.Kind.CUT, in.position(), "ends within " + what);
+                throw fault(
+                        StateFileException.Kind.TRUNCATED, in.position(), "ends within " + what);
             }
         }
 
--- a/state/src/main/java/mulleinlever/state/StateSnapshot.java
+++ b/state/src/main/java/mulleinlever/state/StateSnapshot.java
@@ -7,12 +7,15 @@
 /**
  * All that is kept of one sidecar, as it stood at one moment.
  *
- * @param news where the newest build stood; its age is not kept
+ * @param rolloutStatus where the newest build stood; its age is not kept
  * @param pods the list of pods as last had, and what was learned of each
- * @param learned what was learned besides, pods not among it
+ * @param learnedValues what was learned besides, pods not among it
  */
 public record StateSnapshot(
-        Header head, RolloutStatus news, List<PodSnapshot> pods, List<LearnedState> learned) {
+        Header head,
+        RolloutStatus rolloutStatus,
+        List<PodSnapshot> pods,
+        List<LearnedState> learnedValues) {
     /**
      * Whose it is and when it was captured.
      *
@@ -34,7 +37,7 @@
             long sequence,
             long unixMs,
             long listVersion) {
-        Header numbered(long next) {
+        Header withSequence(long next) {
             return new Header(writer, instance, machine, zone, start, next, unixMs, listVersion);
         }
     }
@@ -42,7 +45,7 @@
     /** A pod where it listened, as address and port. */
     public record PodSnapshot(String address, LearnedState.PodStats learned) {}
 
-    StateSnapshot numbered(long sequence) {
-        return new StateSnapshot(head.numbered(sequence), news, pods, learned);
+    StateSnapshot withSequence(long sequence) {
+        return new StateSnapshot(head.withSequence(sequence), rolloutStatus, pods, learnedValues);
     }
 }
--- a/state/src/main/java/mulleinlever/state/StateStore.java
+++ b/state/src/main/java/mulleinlever/state/StateStore.java
@@ -35,10 +35,10 @@
     private static final String UNFINISHED = ".tmp";
 
     /** The file whose lock says that a sidecar uses the folder. */
-    public static final String LOCK = "lock";
+    public static final String LOCK_FILE_NAME = "lock";
 
     /** What a read found: null where nothing was whole, and a line for each file passed over. */
-    public record LoadResult(String file, StateSnapshot kept, List<String> passedOver) {}
+    public record LoadResult(String fileName, StateSnapshot snapshot, List<String> skippedFiles) {}
 
     private final Directory disk;
     private final int keep;
@@ -83,29 +83,32 @@
     }
 
     /** The file's name for a sequence number. */
-    public static String name(long sequence) {
+    public static String fileName(long sequence) {
         return String.format("state-%012d.mls", sequence);
     }
 
     /** The sequence number in a file's name; -1 where it is no such name. */
-    public static long sequence(String name) {
+    public static long parseSequence(String name) {
         Matcher m = NAME.matcher(name);
         return m.matches() ? Long.parseLong(m.group(1)) : -1;
     }
 
     /** Whether a file of that name was being written when its writer ended. */
-    public static boolean unfinished(String name) {
+    public static boolean isTemporaryFile(String name) {
         return name.endsWith(UNFINISHED)
-                && sequence(name.substring(0, name.length() - UNFINISHED.length())) >= 0;
+                && parseSequence(name.substring(0, name.length() - UNFINISHED.length())) >= 0;
     }
 
     /** Takes the lock and reads the newest whole file, on the keeper's thread. */
-    public Future<LoadResult> open() {
+    public Future<LoadResult> openAsync() {
         return thread.submit(this::begin);
     }
 
-    /** What {@link #open} found, if it is done within a time; else null, and the log hears why. */
-    public LoadResult await(Future<LoadResult> opening, long withinNs) throws InterruptedException {
+    /**
+     * What {@link #openAsync} found, if it is done within a time; else null, and the log hears why.
+     */
+    public LoadResult awaitLoad(Future<LoadResult> opening, long withinNs)
+            throws InterruptedException {
         try {
             return opening.get(withinNs, TimeUnit.NANOSECONDS);
         } catch (TimeoutException e) {
@@ -123,7 +126,7 @@
 
     private LoadResult begin() {
         try {
-            return holds() ? newest(disk, mostBytes, instance) : null;
+            return holds() ? readNewest(disk, mostBytes, instance) : null;
         } catch (IOException e) {
             log.accept("nothing taken: " + disk + ": " + e);
             return null;
@@ -139,7 +142,7 @@
             return !off;
         }
         List<String> names = disk.list();
-        lock = disk.lock(LOCK);
+        lock = disk.tryLock(LOCK_FILE_NAME);
         if (lock == null) {
             off = true;
             log.accept("off: another sidecar holds " + disk);
@@ -147,7 +150,7 @@
         }
         sequence = highest(names);
         for (String name : names) {
-            if (unfinished(name)) {
+            if (isTemporaryFile(name)) {
                 disk.delete(name);
             }
         }
@@ -155,19 +158,23 @@
     }
 
     private static long highest(List<String> names) {
-        return names.stream().mapToLong(StateStore::sequence).filter(n -> n >= 0).max().orElse(0);
+        return names.stream()
+                .mapToLong(StateStore::parseSequence)
+                .filter(n -> n >= 0)
+                .max()
+                .orElse(0);
     }
 
     /** The newest whole file of a folder, that of an instance if one is named. */
-    public static LoadResult newest(Directory disk, long mostBytes, String instance)
+    public static LoadResult readNewest(Directory disk, long mostBytes, String instance)
             throws IOException {
         List<String> names = new ArrayList<>(disk.list());
-        names.removeIf(n -> sequence(n) < 0);
+        names.removeIf(n -> parseSequence(n) < 0);
         Collections.reverse(names);
         List<String> passedOver = new ArrayList<>();
         for (String name : names) {
             try {
-                StateSnapshot kept = read(disk, name, mostBytes, passedOver::add);
+                StateSnapshot kept = readFile(disk, name, mostBytes, passedOver::add);
                 if (instance != null && !kept.head().instance().equals(instance)) {
                     passedOver.add(
                             name + ": is of " + kept.head().instance() + ", not of " + instance);
@@ -182,19 +189,19 @@
     }
 
     /** One file, whole. */
-    public static StateSnapshot read(
+    public static StateSnapshot readFile(
             Directory disk, String name, long mostBytes, Consumer<String> leftOut)
             throws StateFileException {
         byte[] bytes;
         try {
             bytes = disk.read(name, mostBytes);
         } catch (Directory.FileTooLargeException e) {
-            throw new StateFileException(StateFileException.Kind.TOO_LONG, e.getMessage());
+            throw new StateFileException(StateFileException.Kind.TOO_LARGE, e.getMessage());
         } catch (IOException e) {
             throw new StateFileException(
                     StateFileException.Kind.UNREADABLE, name + ": can't be read: " + e);
         }
-        return StateFileFormat.read(name, bytes, l -> leftOut.accept(name + ": left out " + l));
+        return StateFileFormat.decode(name, bytes, l -> leftOut.accept(name + ": left out " + l));
     }
 
     /**
@@ -212,14 +219,14 @@
     }
 
     /** Whether nothing is under way: what is captured meanwhile would only be dropped. */
-    public boolean idle() {
+    public boolean isIdle() {
         return thread.getActiveCount() == 0 && thread.getQueue().isEmpty();
     }
 
     /**
      * Waits until all that was handed over is done with; for tests, and for those that have time.
      */
-    void drain() throws InterruptedException, ExecutionException {
+    void awaitPendingWrites() throws InterruptedException, ExecutionException {
         for (boolean queued = false; !queued; ) {
             try {
                 thread.submit(() -> {}).get();
@@ -260,16 +267,16 @@
             if (there > sequence) {
                 // A lock may not reach over machines; to write on would mix two sidecars' pasts.
                 off = true;
-                log.accept("off: another sidecar writes to " + disk + ": " + name(there));
+                log.accept("off: another sidecar writes to " + disk + ": " + fileName(there));
                 return;
             }
-            byte[] bytes = StateFileFormat.write(next.numbered(sequence + 1));
+            byte[] bytes = StateFileFormat.encode(next.withSequence(sequence + 1));
             if (bytes.length > mostBytes) {
                 tell("not written: " + bytes.length + " bytes, more than " + mostBytes);
                 return;
             }
             // Taken even if the write fails: its name may be there all the same.
-            put(name(++sequence), bytes);
+            put(fileName(++sequence), bytes);
             prune(names);
             tell("");
         } catch (IOException | RuntimeException e) {
@@ -286,13 +293,13 @@
             out.force();
         }
         disk.rename(unfinished, name);
-        disk.force();
+        disk.forceDirectory();
     }
 
     /** Those behind the newest go only when one more is sure to be there. */
     private void prune(List<String> before) throws IOException {
         for (String name : before) {
-            if (sequence(name) >= 0 && sequence(name) <= sequence - keep) {
+            if (parseSequence(name) >= 0 && parseSequence(name) <= sequence - keep) {
                 disk.delete(name);
             }
         }
@@ -305,7 +312,7 @@
     private void tell(String now) {
         if (!now.equals(trouble)) {
             trouble = now;
-            log.accept(now.isEmpty() ? "written again, as " + name(sequence) : now);
+            log.accept(now.isEmpty() ? "written again, as " + fileName(sequence) : now);
         }
     }
 }
--- a/state/src/test/java/mulleinlever/state/SampleFileWriter.java
+++ b/state/src/test/java/mulleinlever/state/SampleFileWriter.java
@@ -13,7 +13,8 @@
 
     public static void main(String[] args) throws IOException {
         Files.write(
-                Path.of(args[0], "format-" + StateFileFormat.VERSION + ".mls"),
-                StateFileFormat.write(SampleSnapshots.kept(StateFileFormat.VERSION, 12)));
+                Path.of(args[0], "format-" + StateFileFormat.FORMAT_VERSION + ".mls"),
+                StateFileFormat.encode(
+                        SampleSnapshots.snapshot(StateFileFormat.FORMAT_VERSION, 12)));
     }
 }
--- a/state/src/test/java/mulleinlever/state/SampleSnapshots.java
+++ b/state/src/test/java/mulleinlever/state/SampleSnapshots.java
@@ -11,7 +11,7 @@
 final class SampleSnapshots {
     private SampleSnapshots() {}
 
-    static StateSnapshot kept(long seed, int pods) {
+    static StateSnapshot snapshot(long seed, int pods) {
         SplittableRandom random = new SplittableRandom(seed);
         List<StateSnapshot.PodSnapshot> all = new ArrayList<>();
         for (int i = 0; i < pods; i++) {
@@ -31,13 +31,18 @@
                     new StateSnapshot.PodSnapshot(
                             "10.0.0." + i + ":6543",
                             new LearnedState.PodStats(
-                                    is, figure(random), figure(random), random.nextInt(7))));
+                                    is,
+                                    randomFigure(random),
+                                    randomFigure(random),
+                                    random.nextInt(7))));
         }
         List<LearnedState> learned = new ArrayList<>();
-        learned.add(new LearnedState.ConnectionStats(figure(random), figure(random)));
+        learned.add(new LearnedState.ConnectionStats(randomFigure(random), randomFigure(random)));
         for (String route : List.of("get", "put", "")) {
             if (!route.isEmpty()) {
-                learned.add(new LearnedState.RouteStats(route, 42, figure(random), figure(random)));
+                learned.add(
+                        new LearnedState.RouteStats(
+                                route, 42, randomFigure(random), randomFigure(random)));
             }
             learned.add(
                     new LearnedState.DetectorBaseline(
@@ -74,7 +79,7 @@
                         : l instanceof LearnedState.DetectorBaseline ? 2 : 3;
     }
 
-    static LearnedState.WeightedMean figure(SplittableRandom random) {
+    static LearnedState.WeightedMean randomFigure(SplittableRandom random) {
         return new LearnedState.WeightedMean(
                 random.nextDouble() * 9, random.nextInt(3) == 0 ? 0 : random.nextDouble() * 200);
     }
--- a/state/src/test/java/mulleinlever/state/SnapshotFilterTest.java
+++ b/state/src/test/java/mulleinlever/state/SnapshotFilterTest.java
@@ -48,13 +48,14 @@
     }
 
     @Test
-    void whatIsTakenAgreesWithThePlainModel() {
+    void filterAgreesWithReferenceModel() {
         SplittableRandom random = new SplittableRandom(8);
         int left = 0;
         for (int round = 0; round < 300; round++) {
-            StateSnapshot kept = SampleSnapshots.kept(round, 20);
+            StateSnapshot kept = SampleSnapshots.snapshot(round, 20);
             SnapshotFilter.RestoreContext here = met(kept, random);
-            long age = random.nextInt(6) == 0 ? StateDecay.UNKNOWN : random.nextLong(1000 * S);
+            long age =
+                    random.nextInt(6) == 0 ? StateDecay.UNKNOWN_AGE_NS : random.nextLong(1000 * S);
             List<LearnedState> expected = new ArrayList<>();
             for (StateSnapshot.PodSnapshot p : kept.pods()) {
                 PodEntry then = p.learned().is();
@@ -64,28 +65,31 @@
                                 && now.state() != PodEntry.State.GONE
                                 && now.build() == then.build()
                                 && now.startedNs() == then.startedNs()
-                                && p.address().equals(here.addresses().get(then.id()));
+                                && p.address().equals(here.podAddresses().get(then.id()));
                 expected.add(
-                        same && here.zone().equals("a") ? StateDecay.aged(p.learned(), age) : null);
+                        same && here.zone().equals("a")
+                                ? StateDecay.decay(p.learned(), age)
+                                : null);
             }
-            for (LearnedState l : kept.learned()) {
+            for (LearnedState l : kept.learnedValues()) {
                 boolean ofPut = l.toString().contains("route=put");
                 boolean elsewhere =
                         l instanceof LearnedState.ConnectionStats && !here.zone().equals("a");
-                expected.add(ofPut || elsewhere ? null : StateDecay.aged(l, age));
+                expected.add(ofPut || elsewhere ? null : StateDecay.decay(l, age));
             }
-            SnapshotFilter.RestoreResult taken = SnapshotFilter.of(kept, age, here);
-            assertEquals(expected.stream().filter(Objects::nonNull).toList(), taken.learned());
-            int out = taken.leftOut().values().stream().mapToInt(n -> n).sum();
-            assertEquals(expected.size(), taken.learned().size() + out);
+            SnapshotFilter.RestoreResult taken = SnapshotFilter.filter(kept, age, here);
+            assertEquals(
+                    expected.stream().filter(Objects::nonNull).toList(), taken.restoredValues());
+            int out = taken.rejectedCounts().values().stream().mapToInt(n -> n).sum();
+            assertEquals(expected.size(), taken.restoredValues().size() + out);
             left += out;
         }
         assertTrue(left > 1000);
     }
 
     @Test
-    void theLineSaysWhatWasTakenAndWhatNot() {
-        StateSnapshot kept = SampleSnapshots.kept(1, 3);
+    void logLineListsRestoredAndRejected() {
+        StateSnapshot kept = SampleSnapshots.snapshot(1, 3);
         Map<String, PodEntry> pods = new HashMap<>();
         Map<String, String> addresses = new HashMap<>();
         kept.pods()
@@ -96,7 +100,7 @@
                             addresses.put(p.learned().is().id(), p.address());
                         });
         String line =
-                SnapshotFilter.of(
+                SnapshotFilter.filter(
                                 kept,
                                 0,
                                 new SnapshotFilter.RestoreContext(
@@ -110,25 +114,25 @@
     }
 
     @Test
-    void aListIsTakenOnlyIfNewerThanTheOneToldAndNotOld() {
-        StateSnapshot kept = SampleSnapshots.kept(1, 3);
-        assertTrue(SnapshotFilter.listHolds(kept, 0, 40));
-        assertTrue(SnapshotFilter.listHolds(kept, 3600 * S, -1));
+    void podListIsUsableOnlyIfNewerAndNotTooOld() {
+        StateSnapshot kept = SampleSnapshots.snapshot(1, 3);
+        assertTrue(SnapshotFilter.isPodListUsable(kept, 0, 40));
+        assertTrue(SnapshotFilter.isPodListUsable(kept, 3600 * S, -1));
         assertTrue(
-                !SnapshotFilter.listHolds(kept, 3601 * S, -1)
-                        && !SnapshotFilter.listHolds(kept, 0, 41)
-                        && !SnapshotFilter.listHolds(kept, StateDecay.UNKNOWN, 40)
-                        && !SnapshotFilter.listHolds(SampleSnapshots.kept(1, 0), 0, 40));
+                !SnapshotFilter.isPodListUsable(kept, 3601 * S, -1)
+                        && !SnapshotFilter.isPodListUsable(kept, 0, 41)
+                        && !SnapshotFilter.isPodListUsable(kept, StateDecay.UNKNOWN_AGE_NS, 40)
+                        && !SnapshotFilter.isPodListUsable(SampleSnapshots.snapshot(1, 0), 0, 40));
     }
 
     @Test
-    void newsAreTakenOnlyWhereTheyAllowLess() {
+    void newsIsRestoredOnlyIfStricter() {
         for (Phase then : Phase.values()) {
             for (Phase now : Phase.values()) {
                 for (int build = 41; build <= 43; build++) {
                     RolloutStatus kept = new RolloutStatus(build, 2, then, 0.7, 0);
                     RolloutStatus told = new RolloutStatus(42, 1, now, 0.2, 500);
-                    RolloutStatus taken = SnapshotFilter.tighter(kept, told);
+                    RolloutStatus taken = SnapshotFilter.selectIfStricter(kept, told);
                     boolean back = then == Phase.REVERTING || then == Phase.WITHDRAWN;
                     boolean forth = now == Phase.ON_TRIAL || now == Phase.RELEASED;
                     if (back && (build == 43 || build == 42 && forth)) {
--- a/state/src/test/java/mulleinlever/state/StateFileFormatTest.java
+++ b/state/src/test/java/mulleinlever/state/StateFileFormatTest.java
@@ -24,7 +24,7 @@
 
 class StateFileFormatTest {
     private static StateSnapshot read(byte[] bytes) throws StateFileException {
-        return StateFileFormat.read("x.mls", bytes, l -> {});
+        return StateFileFormat.decode("x.mls", bytes, l -> {});
     }
 
     private static StateFileException.Kind kindOf(byte[] bytes) {
@@ -34,37 +34,38 @@
     }
 
     @Test
-    void whatWasWrittenIsRead() throws StateFileException {
+    void roundTrips() throws StateFileException {
         for (int seed = 0; seed < 200; seed++) {
-            StateSnapshot kept = SampleSnapshots.kept(seed, seed % 20);
-            assertEquals(kept, read(StateFileFormat.write(kept)));
+            StateSnapshot kept = SampleSnapshots.snapshot(seed, seed % 20);
+            assertEquals(kept, read(StateFileFormat.encode(kept)));
         }
     }
 
     /** A file of each format that ever landed, made by the writer of that time. */
     @Test
-    void filesOfEachEarlierFormatAreRead() throws IOException, StateFileException {
-        for (int format = 1; format <= StateFileFormat.VERSION; format++) {
+    void readsFilesOfEveryFormatVersion() throws IOException, StateFileException {
+        for (int format = 1; format <= StateFileFormat.FORMAT_VERSION; format++) {
             try (InputStream in =
                     StateFileFormatTest.class.getResourceAsStream("format-" + format + ".mls")) {
-                assertEquals(SampleSnapshots.kept(format, 12), read(in.readAllBytes()));
+                assertEquals(SampleSnapshots.snapshot(format, 12), read(in.readAllBytes()));
             }
         }
     }
 
     @Test
-    void cutAnywhereItIsRefused() {
-        byte[] whole = StateFileFormat.write(SampleSnapshots.kept(3, 4));
+    void rejectsFileTruncatedAtAnyByte() {
+        byte[] whole = StateFileFormat.encode(SampleSnapshots.snapshot(3, 4));
         for (int n = 0; n < whole.length; n++) {
-            assertEquals(StateFileException.Kind.CUT, kindOf(Arrays.copyOf(whole, n)), "at " + n);
+            assertEquals(
+                    StateFileException.Kind.TRUNCATED, kindOf(Arrays.copyOf(whole, n)), "at " + n);
         }
         assertEquals(
                 StateFileException.Kind.CORRUPT, kindOf(Arrays.copyOf(whole, whole.length + 1)));
     }
 
     @Test
-    void withAnyBitFlippedItIsRefused() {
-        byte[] whole = StateFileFormat.write(SampleSnapshots.kept(3, 2));
+    void rejectsAnyBitFlip() {
+        byte[] whole = StateFileFormat.encode(SampleSnapshots.snapshot(3, 2));
         for (int at = 0; at < whole.length; at++) {
             for (int bit = 0; bit < 8; bit++) {
                 byte[] one = whole.clone();
@@ -72,9 +73,9 @@
                 StateFileException.Kind kind = kindOf(one);
                 assertEquals(
                         at < 8
-                                ? StateFileException.Kind.FOREIGN
-                                : at < 12 && bytes(one, 8) > StateFileFormat.VERSION
-                                        ? StateFileException.Kind.NEWER
+                                ? StateFileException.Kind.NOT_A_STATE_FILE
+                                : at < 12 && bytes(one, 8) > StateFileFormat.FORMAT_VERSION
+                                        ? StateFileException.Kind.UNSUPPORTED_VERSION
                                         : StateFileException.Kind.CORRUPT,
                         kind,
                         "at " + at);
@@ -87,7 +88,7 @@
     }
 
     @Test
-    void noiseIsRefused() {
+    void rejectsRandomBytes() {
         SplittableRandom random = new SplittableRandom(9);
         for (int i = 0; i < 500; i++) {
             byte[] noise = new byte[random.nextInt(400)];
@@ -116,10 +117,11 @@
     }
 
     @Test
-    void aLengthIsNotBelievedBeforeItsBytesAreThere() {
+    void rejectsImpossibleLengths() {
         for (int claimed : new int[] {Integer.MAX_VALUE, Integer.MAX_VALUE - 30, -1}) {
             for (int field = 1; field < 4; field++) {
-                ByteBuffer head = ByteBuffer.allocate(20).putInt(StateFileFormat.kind("PODS"));
+                ByteBuffer head =
+                        ByteBuffer.allocate(20).putInt(StateFileFormat.sectionTag("PODS"));
                 head.putInt(4 * field, claimed);
                 CRC32C crc = new CRC32C();
                 crc.update(head.array(), 0, 16);
@@ -127,7 +129,7 @@
                 StateFileException.Kind kind = kindOf(behindMagic(1, head.array(), new byte[100]));
                 assertEquals(
                         field == 3 && claimed > 0
-                                ? StateFileException.Kind.CUT
+                                ? StateFileException.Kind.TRUNCATED
                                 : StateFileException.Kind.CORRUPT,
                         kind);
             }
@@ -136,9 +138,9 @@
 
     private static byte[] section(String kind, String schema, int count, byte[] records) {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
-        StateFileFormat.section(
+        StateFileFormat.writeSection(
                 out,
-                StateFileFormat.kind(kind),
+                StateFileFormat.sectionTag(kind),
                 schema.getBytes(StandardCharsets.UTF_8),
                 count,
                 records);
@@ -151,9 +153,9 @@
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         out.write(file, 0, end);
         out.writeBytes(more);
-        StateFileFormat.section(
+        StateFileFormat.writeSection(
                 out,
-                StateFileFormat.kind("END "),
+                StateFileFormat.sectionTag("END "),
                 new byte[0],
                 sections,
                 ByteBuffer.allocate(8).putLong(out.size()).array());
@@ -161,7 +163,7 @@
     }
 
     @Test
-    void aTextOfTwoGigabytesWithinASoundSectionIsRefused() {
+    void rejectsOversizedStringInValidSection() {
         // Avro's own length of the first text: 2^31 - 2 as a zigzag number.
         byte[] records = {(byte) 0xfc, (byte) 0xff, (byte) 0xff, (byte) 0xff, 0x0f, 'x', 'y', 'z'};
         String schema =
@@ -170,15 +172,15 @@
                         + "{\"name\":\"build\",\"type\":\"int\"}]}";
         byte[] file =
                 with(
-                        StateFileFormat.write(SampleSnapshots.kept(1, 1)),
+                        StateFileFormat.encode(SampleSnapshots.snapshot(1, 1)),
                         8,
                         section("KEYS", schema, 1, records));
         assertEquals(StateFileException.Kind.CORRUPT, kindOf(file));
     }
 
     @Test
-    void aSectionThatMakesNoSenseIsRefusedThoughItsChecksumHolds() {
-        byte[] sound = StateFileFormat.write(SampleSnapshots.kept(1, 1));
+    void rejectsInvalidSectionWithValidChecksum() {
+        byte[] sound = StateFileFormat.encode(SampleSnapshots.snapshot(1, 1));
         for (String schema :
                 List.of(
                         "",
@@ -195,22 +197,22 @@
     }
 
     @Test
-    void aNewerFormatIsSaidToBeOne() {
+    void reportsUnsupportedVersion() {
         assertEquals(
-                StateFileException.Kind.NEWER,
-                kindOf(behindMagic(StateFileFormat.VERSION + 1, new byte[50])));
+                StateFileException.Kind.UNSUPPORTED_VERSION,
+                kindOf(behindMagic(StateFileFormat.FORMAT_VERSION + 1, new byte[50])));
     }
 
     @Test
-    void whatALaterWriterAddedIsLeftOutAndTold() throws IOException, StateFileException {
-        StateSnapshot kept = SampleSnapshots.kept(1, 3);
+    void skipsAndReportsUnknownSections() throws IOException, StateFileException {
+        StateSnapshot kept = SampleSnapshots.snapshot(1, 3);
         byte[] file =
                 with(
-                        StateFileFormat.write(kept),
+                        StateFileFormat.encode(kept),
                         8,
                         section("MORE", "{}", 1, new byte[] {1, 2, 3}));
         List<String> leftOut = new ArrayList<>();
-        assertEquals(kept, StateFileFormat.read("x", file, leftOut::add));
+        assertEquals(kept, StateFileFormat.decode("x", file, leftOut::add));
         assertEquals(List.of("section MORE of a later writer"), leftOut);
         // A field more in a record that we know, and one less that has a default.
         Schema later =
@@ -233,12 +235,12 @@
         StateSnapshot got =
                 read(
                         with(
-                                StateFileFormat.write(kept),
+                                StateFileFormat.encode(kept),
                                 8,
                                 section("ROUT", later.toString(), 1, records.toByteArray())));
-        assertEquals(kept.learned().size() + 1, got.learned().size());
+        assertEquals(kept.learnedValues().size() + 1, got.learnedValues().size());
         assertTrue(
-                got.learned()
+                got.learnedValues()
                         .toString()
                         .contains(
                                 "RouteStats[route=later, build=42, times=WeightedMean[mean=3.0, weight=2.0], "
