--- a/cli/src/test/java/mulleinlever/cli/StateCommandTest.java
+++ b/cli/src/test/java/mulleinlever/cli/StateCommandTest.java
@@ -11,12 +11,12 @@
 import java.nio.file.Path;
 import java.util.Arrays;
 import java.util.List;
-import mulleinlever.Learned;
-import mulleinlever.News;
+import mulleinlever.LearnedState;
 import mulleinlever.PodEntry;
-import mulleinlever.disk.FolderDisk;
-import mulleinlever.state.Keeper;
-import mulleinlever.state.Kept;
+import mulleinlever.RolloutStatus;
+import mulleinlever.disk.FileSystemDirectory;
+import mulleinlever.state.StateSnapshot;
+import mulleinlever.state.StateStore;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
@@ -32,7 +32,8 @@
     private int run(Object... args) {
         StringWriter o = new StringWriter();
         StringWriter e = new StringWriter();
-        CommandLine line = Commands.line().setOut(new PrintWriter(o)).setErr(new PrintWriter(e));
+        CommandLine line =
+                Commands.createCommandLine().setOut(new PrintWriter(o)).setErr(new PrintWriter(e));
         int code = line.execute(Arrays.stream(args).map(String::valueOf).toArray(String[]::new));
         out = o.toString();
         err = e.toString();
@@ -40,11 +41,11 @@
     }
 
     @BeforeEach
-    void threeFiles() throws Exception {
-        Keeper k = new Keeper(new FolderDisk(folder), 9, 1 << 20, "n3", l -> {});
-        k.open().get();
+    void writeThreeFiles() throws Exception {
+        StateStore k = new StateStore(new FileSystemDirectory(folder), 9, 1 << 20, "n3", l -> {});
+        k.openAsync().get();
         for (int i = 0; i < 3; i++) {
-            while (!k.idle()) {
+            while (!k.isIdle()) {
                 Thread.sleep(1);
             }
             k.offer(kept(System.currentTimeMillis()));
@@ -52,22 +53,25 @@
         k.close(SECOND);
     }
 
-    private static Kept kept(long unixMs) {
-        Learned.Figure f = new Learned.Figure(2.5, 4);
+    private static StateSnapshot kept(long unixMs) {
+        LearnedState.WeightedMean f = new LearnedState.WeightedMean(2.5, 4);
         PodEntry is = new PodEntry("s-1", "a", "m", 0, 42, PodEntry.State.READY, 1, 0);
-        return new Kept(
-                new Kept.Head("1.2.3", "n3", "m1", "a", 9, 0, unixMs, 41),
-                new News(42, 1, News.Phase.ON_TRIAL, 0.25, 0),
-                List.of(new Kept.OfPod("10.0.0.1:6543", new Learned.OfPod(is, f, f, 3))),
+        return new StateSnapshot(
+                new StateSnapshot.Header("1.2.3", "n3", "m1", "a", 9, 0, unixMs, 41),
+                new RolloutStatus(42, 1, RolloutStatus.Phase.ON_TRIAL, 0.25, 0),
                 List.of(
-                        new Learned.OfLinks(f, f),
-                                new Learned.OfRoute("get", 42, new Learned.Figure(5e6, 3), f),
-                        new Learned.OfBaseline(42, "", true, 0.2, 0.05, 50),
-                                new Learned.OfKey(77, 42)));
+                        new StateSnapshot.PodSnapshot(
+                                "10.0.0.1:6543", new LearnedState.PodStats(is, f, f, 3))),
+                List.of(
+                        new LearnedState.ConnectionStats(f, f),
+                                new LearnedState.RouteStats(
+                                        "get", 42, new LearnedState.WeightedMean(5e6, 3), f),
+                        new LearnedState.DetectorBaseline(42, "", true, 0.2, 0.05, 50),
+                                new LearnedState.KeyBuild(77, 42)));
     }
 
     @Test
-    void showTellsAllThatIsKept() throws Exception {
+    void showPrintsAllSavedState() throws Exception {
         assertEquals(0, run("state", "show", folder));
         for (String part :
                 List.of(
@@ -81,7 +85,7 @@
                         "1 keys that can't go back")) {
             assertTrue(out.contains(part), part + " in " + out);
         }
-        assertEquals(0, run("state", "show", "--json", folder.resolve(Keeper.name(2))));
+        assertEquals(0, run("state", "show", "--json", folder.resolve(StateStore.fileName(2))));
         JsonNode all = new ObjectMapper().readTree(out);
         assertEquals(2, all.at("/head/sequence").asInt());
         assertEquals("10.0.0.1:6543", all.at("/pods/0/address").asText());
@@ -94,10 +98,10 @@
     }
 
     @Test
-    void checkTellsEachFaultByItsExitCode() throws Exception {
-        Path sound = folder.resolve(Keeper.name(1));
+    void checkReportsEachFaultByExitCode() throws Exception {
+        Path sound = folder.resolve(StateStore.fileName(1));
         byte[] bytes = Files.readAllBytes(sound);
-        assertEquals(0, run("state", "check", sound, folder.resolve(Keeper.name(3))));
+        assertEquals(0, run("state", "check", sound, folder.resolve(StateStore.fileName(3))));
         assertTrue(out.contains("state-000000000001.mls: sound, number 1 of n3, 1 pods"), out);
         assertEquals(3, run("state", "check", folder.resolve("none")));
         assertEquals(
@@ -126,17 +130,17 @@
     }
 
     @Test
-    void pruneLeavesTheNewestWholeOnes() throws Exception {
-        Files.writeString(folder.resolve(Keeper.name(4)), "not whole");
-        Files.writeString(folder.resolve(Keeper.name(5) + ".tmp"), "unfinished");
+    void pruneKeepsNewestIntactFiles() throws Exception {
+        Files.writeString(folder.resolve(StateStore.fileName(4)), "not whole");
+        Files.writeString(folder.resolve(StateStore.fileName(5) + ".tmp"), "unfinished");
         Files.writeString(folder.resolve("notes.tmp"), "not ours");
         assertEquals(0, run("state", "prune", "--dry-run", folder));
         assertEquals(4, out.lines().filter(l -> l.startsWith("would delete state-")).count());
         assertEquals(0, run("state", "prune", "--keep", 2, folder));
         assertEquals(
-                List.of("lock", "notes.tmp", Keeper.name(2), Keeper.name(3)),
-                new FolderDisk(folder).list());
-        try (var lock = new FolderDisk(folder).lock(Keeper.LOCK)) {
+                List.of("lock", "notes.tmp", StateStore.fileName(2), StateStore.fileName(3)),
+                new FileSystemDirectory(folder).list());
+        try (var lock = new FileSystemDirectory(folder).tryLock(StateStore.LOCK_FILE_NAME)) {
             assertEquals(1, run("state", "prune", folder));
             assertTrue(err.contains("a sidecar that runs holds it") && lock != null, err);
         }
@@ -147,8 +151,8 @@
     }
 
     @Test
-    void showOfAFolderSaysWhatItPassedOver() throws Exception {
-        Files.writeString(folder.resolve(Keeper.name(4)), "not whole");
+    void showOfFolderReportsSkippedFiles() throws Exception {
+        Files.writeString(folder.resolve(StateStore.fileName(4)), "not whole");
         assertEquals(0, run("state", "show", folder));
         assertEquals(folder + "/state-000000000004.mls: at byte 0: not a file of state\n", err);
         assertEquals(3, run("state", "show", Files.createDirectory(folder.resolve("empty"))));
--- a/core/src/main/java/mulleinlever/Keys.java
+++ b/core/src/main/java/mulleinlever/BuildByKey.java
@@ -7,7 +7,7 @@
 import java.util.stream.Stream;
 
 /** The newest build that has answered each key; 0 for keys that none has. */
-final class Keys {
+final class BuildByKey {
     private final Map<Long, Integer> builds = new HashMap<>();
 
     /**
@@ -16,11 +16,11 @@
      */
     private long[] keys = new long[16];
 
-    int of(long key) {
+    int newestBuildOf(long key) {
         return builds.getOrDefault(key, 0);
     }
 
-    void answered(long key, int build) {
+    void recordAnswer(long key, int build) {
         int n = builds.size();
         builds.merge(key, build, Math::max);
         if (builds.size() > n) {
@@ -29,8 +29,8 @@
         }
     }
 
-    Stream<Learned> learned() {
+    Stream<LearnedState> toLearned() {
         return IntStream.range(0, builds.size())
-                .mapToObj(i -> new Learned.OfKey(keys[i], of(keys[i])));
+                .mapToObj(i -> new LearnedState.KeyBuild(keys[i], newestBuildOf(keys[i])));
     }
 }
--- a/core/src/main/java/mulleinlever/Decay.java
+++ b/core/src/main/java/mulleinlever/DecayingSum.java
@@ -1,7 +1,7 @@
 package mulleinlever;
 
 /** A sum that halves every half-life; it is brought up to date when it is read. */
-public final class Decay {
+public final class DecayingSum {
     private static final double LN_2 = Math.log(2);
 
     private final double halfLifeNs;
@@ -9,16 +9,16 @@
     private long atNs;
     private long firstNs = Long.MIN_VALUE;
 
-    public Decay(long halfLifeNs) {
+    public DecayingSum(long halfLifeNs) {
         this.halfLifeNs = halfLifeNs;
     }
 
     public void add(long nowNs, double x) {
         firstNs = firstNs == Long.MIN_VALUE ? nowNs : firstNs;
-        sum = read(nowNs) + x;
+        sum = valueAt(nowNs) + x;
     }
 
-    public double read(long nowNs) {
+    public double valueAt(long nowNs) {
         if (nowNs > atNs) {
             sum *= Math.exp(-LN_2 * (nowNs - atNs) / halfLifeNs);
             atNs = nowNs;
@@ -30,11 +30,15 @@
      * The rate behind the sum; one that began lately has had no time to fill up, which is made
      * good.
      */
-    double perSecond(long nowNs) {
+    double ratePerSecond(long nowNs) {
         if (firstNs == Long.MIN_VALUE) {
             return 0;
         }
         double sinceNs = Math.max(1e9, nowNs - firstNs);
-        return read(nowNs) * LN_2 * 1e9 / halfLifeNs / (1 - Math.exp(-LN_2 * sinceNs / halfLifeNs));
+        return valueAt(nowNs)
+                * LN_2
+                * 1e9
+                / halfLifeNs
+                / (1 - Math.exp(-LN_2 * sinceNs / halfLifeNs));
     }
 }
--- a/core/src/main/java/mulleinlever/Exposure.java
+++ b/core/src/main/java/mulleinlever/ExposureBudget.java
@@ -7,38 +7,38 @@
  * What may still be sent to builds on trial. Each req earns its share and only the free number is
  * saved, so that no window whatever its length exceeds the rule.
  */
-final class Exposure {
-    private final Settings.Rollout rollout;
+final class ExposureBudget {
+    private final Settings.RolloutSettings rollout;
     private final int routes;
     private final Map<Integer, double[]> left = new HashMap<>();
 
-    Exposure(Settings.Rollout rollout, int routes) {
+    ExposureBudget(Settings.RolloutSettings rollout, int routes) {
         this.rollout = rollout;
         this.routes = routes;
     }
 
-    double[] of(int build) {
+    double[] tokensOf(int build) {
         return left.computeIfAbsent(build, b -> new double[routes]);
     }
 
-    void earn(News news, int route) {
+    void accrue(RolloutStatus news, int route) {
         left.forEach(
                 (build, saved) ->
                         saved[lane(route)] =
                                 Math.min(
-                                        rollout.uncounted(),
+                                        rollout.exposureBurst(),
                                         saved[lane(route)] + news.capOf(build, rollout)));
     }
 
-    boolean enough(int build, int route) {
-        return of(build)[lane(route)] >= 1;
+    boolean hasToken(int build, int route) {
+        return tokensOf(build)[lane(route)] >= 1;
     }
 
-    void spend(int build, int route) {
-        of(build)[lane(route)]--;
+    void consume(int build, int route) {
+        tokensOf(build)[lane(route)]--;
     }
 
     private int lane(int route) {
-        return rollout.countedByRoute() ? route : 0;
+        return rollout.isExposurePerRoute() ? route : 0;
     }
 }
--- a/core/src/main/java/mulleinlever/StartTimes.java
+++ b/core/src/main/java/mulleinlever/PodStartEstimator.java
@@ -5,7 +5,7 @@
  * our machine or on the server's, and slow start must neither be left out for that nor last for as
  * long as the step. Times are nanoseconds.
  */
-final class StartTimes {
+final class PodStartEstimator {
     /** A server that is new on the list can't have run for longer without being listed. */
     private static final long UNLISTED_NS = 30_000_000_000L;
 
@@ -15,7 +15,7 @@
     private boolean trusted = true;
 
     /** The wall clock was stepped: what it tells from now on is not to be relied on. */
-    void stepped() {
+    void onWallClockStepped() {
         trusted = false;
     }
 
@@ -25,7 +25,7 @@
      * @param toldNs as the list tells it; 0 for long ago
      * @param listTrueNs when the list was last true without it
      */
-    long startedNs(long toldNs, long listTrueNs, long nowNs) {
+    long estimateStartNs(long toldNs, long listTrueNs, long nowNs) {
         if (toldNs == 0) {
             return 0;
         }
--- a/core/src/main/java/mulleinlever/Settings.java
+++ b/core/src/main/java/mulleinlever/Settings.java
@@ -5,34 +5,34 @@
 /** What a sidecar is told at its start. Times are nanoseconds. */
 public record Settings(
         int rank,
-        int sidecars,
+        int sidecarCount,
         String zone,
         List<String> zones,
-        boolean listMustBeAsked,
-        long stepNs,
-        double overShareEarnings,
-        List<Route> routes,
-        List<Tenant> tenants,
-        Rollout rollout,
-        Rules rules,
-        Limits limits,
-        Prices prices,
-        ReportSource reports,
-        boolean sizesGiven) {
+        boolean requiresListWatch,
+        long clockStepNs,
+        double overShareValue,
+        List<RouteSettings> routes,
+        List<TenantSettings> tenants,
+        RolloutSettings rollout,
+        Contract contract,
+        PolicyLimits policyLimits,
+        CostWeights prices,
+        ReportSource reportSource,
+        boolean hasPodWeights) {
 
-    public enum Repeat {
-        RETRIABLE,
-        DEDUPED,
-        NON_RETRIABLE
+    public enum RetrySafety {
+        IDEMPOTENT,
+        DEDUPLICATED,
+        NOT_RETRYABLE
     }
 
     /** The pods that know a repeat for one. */
-    public enum Scope {
+    public enum DedupScope {
         ALL,
         ZONE,
         CELL;
 
-        boolean holds(PodEntry one, PodEntry other) {
+        boolean isShared(PodEntry one, PodEntry other) {
             return switch (this) {
                 case ALL -> true;
                 case ZONE -> one.zone().equals(other.zone());
@@ -41,7 +41,7 @@
         }
     }
 
-    public enum Control {
+    public enum VoteControl {
         SINGLE,
         MAJORITY,
         CLOCKED
@@ -53,66 +53,66 @@
         OFF
     }
 
-    public record Route(
+    public record RouteSettings(
             String name,
-            long objectiveNs,
-            double objectiveStretch,
+            long latencyObjectiveNs,
+            double latencyObjectiveStretch,
             long timeoutNs,
-            Repeat repeat,
-            Scope scope,
-            long dedupNs,
-            boolean streamed,
-            double lateEarnings,
-            double earnings) {}
+            RetrySafety retrySafety,
+            DedupScope dedupScope,
+            long dedupWindowNs,
+            boolean isStreamed,
+            double lateValue,
+            double value) {}
 
-    public record Tenant(String name, double quotaPerSecond, double share) {}
+    public record TenantSettings(String name, double quotaPerSecond, double share) {}
 
-    public record Rollout(
-            Control control,
-            boolean rolling,
-            int onVotes,
-            int backVotes,
-            int holdVotes,
+    public record RolloutSettings(
+            VoteControl control,
+            boolean isRolling,
+            int approveVoteCount,
+            int rollbackVoteCount,
+            int holdVoteCount,
             long bakeNs,
-            long movesAfterNs,
-            long voteStandsNs,
-            long voteWaitNs,
+            long advanceDelayNs,
+            long voteLifetimeNs,
+            long voteTimeoutNs,
             double votesPerSecond,
-            long newsEveryNs,
-            long tallyEveryNs,
-            double tallySample,
-            double complaintShare,
-            List<Double> shares,
-            List<Double> caps,
-            long windowNs,
-            double uncounted,
-            boolean countedByRoute,
-            int shieldedStages,
-            boolean oneWay,
-            boolean warmKeys,
+            long statusIntervalNs,
+            long tallyIntervalNs,
+            double tallySampleShare,
+            double complaintReportRate,
+            List<Double> stageShares,
+            List<Double> stageExposureCaps,
+            long exposureWindowNs,
+            double exposureBurst,
+            boolean isExposurePerRoute,
+            int shieldedStageCount,
+            boolean keysAreOneWay,
+            boolean hasWarmKeys,
             double staleBuildPrice,
             double damagePrice) {}
 
-    public record Rules(
+    public record Contract(
             long answerSlackNs,
-            long stopSendingWithinNs,
-            double coldShare,
-            long warmAfterNs,
-            double fallMultiple,
-            long fallNs,
-            long askWithinNs) {}
+            long drainGraceNs,
+            double coldCapacityShare,
+            long slowStartNs,
+            double overloadMultiple,
+            long overloadWindowNs,
+            long listRefreshWithinNs) {}
 
-    public record Limits(
+    public record PolicyLimits(
             int maxTries,
-            int maxOpen,
-            boolean cancel,
-            boolean probes,
-            boolean secondCopies,
-            boolean retryAfter,
+            int maxOpenTries,
+            boolean canCancel,
+            boolean canProbe,
+            boolean canHedge,
+            boolean canAdviseRetryAfter,
             long maxRetryAfterNs,
             int streamsPerConnection,
             long connectTimeoutNs,
-            long connectionIdleNs) {}
+            long connectionIdleTimeoutNs) {}
 
-    public record Prices(double crossZone, double waste, double probe, double lateFail) {}
+    public record CostWeights(double crossZone, double waste, double probe, double lateFail) {}
 }
--- a/core/src/main/java/mulleinlever/Ending.java
+++ b/core/src/main/java/mulleinlever/TryOutcome.java
@@ -1,7 +1,7 @@
 package mulleinlever;
 
 /** How an upstream try or a call ended. */
-public enum Ending {
+public enum TryOutcome {
     OK,
     ERROR,
     FULL,
@@ -12,7 +12,7 @@
     MOOT;
 
     /** Whether the ending itself proves that the req never ran at the pod. */
-    public boolean neverRan() {
+    public boolean provesNotRun() {
         return this == FULL || this == CONNECT_FAILED || this == MOOT;
     }
 }
--- a/drill/src/test/java/mulleinlever/drill/DrillTest.java
+++ b/drill/src/test/java/mulleinlever/drill/DrillTest.java
@@ -18,12 +18,12 @@
         var out = new ByteArrayOutputStream();
         var in =
                 new ByteArrayInputStream(input.replace(' ', '\t').getBytes(StandardCharsets.UTF_8));
-        new Drill(in, new PrintStream(out, true, StandardCharsets.UTF_8)).run();
+        new DrillSession(in, new PrintStream(out, true, StandardCharsets.UTF_8)).run();
         return out.toString(StandardCharsets.UTF_8);
     }
 
     @Test
-    void eachBatchGetsItsReply() throws IOException {
+    void repliesToEachBatch() throws IOException {
         assertEquals(
                 "EOR\tframe=7\nEOR\tframe=8\n",
                 drill("TICK timeNs=1 frame=7\nEND\nTICK timeNs=2 frame=8\nEND\n"));
@@ -41,8 +41,8 @@
         "TICK timeNs=1 frame=1|DEFINE_LIST ref=0 members=2|M pod=a state=ready|END, line 4: expected entry 2",
         "TICK timeNs=1 frame=1|DEFINE_LIST ref=0 members=1|M pod=a state=odd, line 3: M needs a known word"
     })
-    void badInputIsNamedByItsLine(String input, String message) {
-        var e = assertThrows(BadInput.class, () -> drill(input.replace('|', '\n')));
+    void invalidInputReportsLineNumber(String input, String message) {
+        var e = assertThrows(DrillInputException.class, () -> drill(input.replace('|', '\n')));
         assertTrue(e.getMessage().startsWith(message), e.getMessage());
     }
 }
--- a/lab/src/main/java/mulleinlever/lab/Restarts.java
+++ b/lab/src/main/java/mulleinlever/lab/RestartBenchmark.java
@@ -15,19 +15,19 @@
 import java.util.concurrent.Future;
 import java.util.stream.Collectors;
 import java.util.stream.IntStream;
-import mulleinlever.Learned;
+import mulleinlever.LearnedState;
 import mulleinlever.PodEntry;
 import mulleinlever.Settings;
-import mulleinlever.disk.FaultyDisk;
-import mulleinlever.lab.emu.EmuPod;
-import mulleinlever.lab.emu.EmuSettings;
-import mulleinlever.lab.emu.EmuSidecar;
-import mulleinlever.lab.emu.World;
-import mulleinlever.state.Ageing;
-import mulleinlever.state.Capture;
-import mulleinlever.state.Keeper;
-import mulleinlever.state.Kept;
-import mulleinlever.state.Taking;
+import mulleinlever.disk.FaultInjectingDirectory;
+import mulleinlever.lab.emu.EmulatedFleet;
+import mulleinlever.lab.emu.EmulatedPod;
+import mulleinlever.lab.emu.EmulatedSidecar;
+import mulleinlever.lab.emu.EmulationSettings;
+import mulleinlever.state.SnapshotBuilder;
+import mulleinlever.state.SnapshotFilter;
+import mulleinlever.state.StateDecay;
+import mulleinlever.state.StateSnapshot;
+import mulleinlever.state.StateStore;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
@@ -42,7 +42,7 @@
         mixinStandardHelpOptions = true,
         description =
                 "What a restarted sidecar loses, cold and with what it kept, in an emulated fleet.")
-final class Restarts implements Callable<Integer> {
+final class RestartBenchmark implements Callable<Integer> {
     private static final long SECOND = 1_000_000_000L;
     private static final long START = 1_790_000_000L * SECOND;
     private static final long RUN_IN = 20 * SECOND;
@@ -75,29 +75,30 @@
     /**
      * What a sidecar starts from.
      *
-     * @param remembers whether it has what it kept
-     * @param olderNs how long before the usual that was captured
-     * @param changed the part of the sick pods that others have taken the place of since
-     * @param meanwhile whether they did so while the sidecar was down, so that nobody knows it yet;
-     *     else all others do
+     * @param hasSavedState whether it has what it kept
+     * @param extraAgeNs how long before the usual that was captured
+     * @param changedShare the part of the sick pods that others have taken the place of since
+     * @param changesWhileDown whether they did so while the sidecar was down, so that nobody knows
+     *     it yet; else all others do
      */
-    private record Start(
+    private record RestartScenario(
             String name,
-            boolean restarts,
-            boolean remembers,
-            boolean corrupt,
-            long olderNs,
-            double changed,
-            boolean meanwhile) {
-        static Start kept(String name, boolean corrupt, long olderS, double changed) {
-            return new Start(name, true, true, corrupt, olderS * SECOND, changed, false);
+            boolean isRestarted,
+            boolean hasSavedState,
+            boolean isCorrupt,
+            long extraAgeNs,
+            double changedShare,
+            boolean changesWhileDown) {
+        static RestartScenario withSavedState(
+                String name, boolean corrupt, long olderS, double changed) {
+            return new RestartScenario(name, true, true, corrupt, olderS * SECOND, changed, false);
         }
     }
 
     /**
      * Of the reqs that came within each window after the start, how many did not complete in time.
      */
-    private static final class Count {
+    private static final class LossCounts {
         private final long[] asked = new long[WINDOWS.length];
         private final long[] lost = new long[WINDOWS.length];
         private double mostToCold;
@@ -111,20 +112,22 @@
         return 1 - Math.exp(-seconds / SICK_FOR_S);
     }
 
-    private static List<Start> starts() {
-        List<Start> all = new ArrayList<>();
-        all.add(new Start("not restarted", false, false, false, 0, 0, false));
-        all.add(new Start("cold", true, false, false, 0, 0, false));
-        all.add(Start.kept("remembered", false, 0, 0));
-        all.add(Start.kept("wrong: other pods are sick", false, 0, 1));
-        all.add(Start.kept("stale by 5 s", false, 5, changedWithin(5)));
-        all.add(Start.kept("stale by 1 min", false, 60, changedWithin(60)));
-        all.add(Start.kept("stale by 1 h", false, 3600, changedWithin(3600)));
-        all.add(Start.kept("stale by 3 days", false, 3 * 86_400, 1));
-        all.add(Start.kept("corrupt", true, 0, 0));
-        all.add(new Start("all sick pods change meanwhile", false, false, false, 0, 1, true));
-        all.add(new Start("  the same, cold", true, false, false, 0, 1, true));
-        all.add(new Start("  the same, remembered", true, true, false, 0, 1, true));
+    private static List<RestartScenario> starts() {
+        List<RestartScenario> all = new ArrayList<>();
+        all.add(new RestartScenario("not restarted", false, false, false, 0, 0, false));
+        all.add(new RestartScenario("cold", true, false, false, 0, 0, false));
+        all.add(RestartScenario.withSavedState("remembered", false, 0, 0));
+        all.add(RestartScenario.withSavedState("wrong: other pods are sick", false, 0, 1));
+        all.add(RestartScenario.withSavedState("stale by 5 s", false, 5, changedWithin(5)));
+        all.add(RestartScenario.withSavedState("stale by 1 min", false, 60, changedWithin(60)));
+        all.add(RestartScenario.withSavedState("stale by 1 h", false, 3600, changedWithin(3600)));
+        all.add(RestartScenario.withSavedState("stale by 3 days", false, 3 * 86_400, 1));
+        all.add(RestartScenario.withSavedState("corrupt", true, 0, 0));
+        all.add(
+                new RestartScenario(
+                        "all sick pods change meanwhile", false, false, false, 0, 1, true));
+        all.add(new RestartScenario("  the same, cold", true, false, false, 0, 1, true));
+        all.add(new RestartScenario("  the same, remembered", true, true, false, 0, 1, true));
         return all;
     }
 
@@ -151,9 +154,9 @@
                         "first 5 s",
                         "first 15 s",
                         "cold pods");
-                List<Start> starts = starts();
-                List<List<Future<Count>>> rows = new ArrayList<>();
-                for (Start s : starts) {
+                List<RestartScenario> starts = starts();
+                List<List<Future<LossCounts>>> rows = new ArrayList<>();
+                for (RestartScenario s : starts) {
                     rows.add(
                             IntStream.range(0, seeds)
                                     .mapToObj(i -> cores.submit(() -> run(firstSeed + i, s, all)))
@@ -169,11 +172,11 @@
         return 0;
     }
 
-    private static String row(String name, List<Future<Count>> runs)
+    private static String row(String name, List<Future<LossCounts>> runs)
             throws InterruptedException, ExecutionException {
         StringBuilder s = new StringBuilder(String.format("%-32s", name));
-        List<Count> counts = new ArrayList<>();
-        for (Future<Count> f : runs) {
+        List<LossCounts> counts = new ArrayList<>();
+        for (Future<LossCounts> f : runs) {
             counts.add(f.get());
         }
         for (int w = 0; w < WINDOWS.length; w++) {
@@ -195,40 +198,48 @@
         return s.toString();
     }
 
-    private Count run(long seed, Start how, boolean all)
+    private LossCounts run(long seed, RestartScenario how, boolean all)
             throws InterruptedException, ExecutionException {
-        Count count = new Count();
+        LossCounts count = new LossCounts();
         long back = START + RUN_IN + DOWN;
-        World.Size size =
-                new World.Size(
+        EmulatedFleet.FleetSpec size =
+                new EmulatedFleet.FleetSpec(
                         pods,
                         2,
                         sidecars,
                         List.of("a", "b"),
                         List.of(
-                                new World.Traffic(
-                                        EmuSettings.route(
-                                                "read", Settings.Repeat.RETRIABLE, 150, 1000, 1),
+                                new EmulatedFleet.RouteTraffic(
+                                        EmulationSettings.createRoute(
+                                                "read",
+                                                Settings.RetrySafety.IDEMPOTENT,
+                                                150,
+                                                1000,
+                                                1),
                                         0.7,
                                         10_000_000,
                                         30_000_000),
-                                new World.Traffic(
-                                        EmuSettings.route(
-                                                "write", Settings.Repeat.DEDUPED, 100, 800, 3),
+                                new EmulatedFleet.RouteTraffic(
+                                        EmulationSettings.createRoute(
+                                                "write",
+                                                Settings.RetrySafety.DEDUPLICATED,
+                                                100,
+                                                800,
+                                                3),
                                         0.3,
                                         5_000_000,
                                         15_000_000)),
                         0);
-        World.Size loaded =
-                new World.Size(
-                        size.pods(),
-                        size.cores(),
-                        size.sidecars(),
+        EmulatedFleet.FleetSpec loaded =
+                new EmulatedFleet.FleetSpec(
+                        size.podCount(),
+                        size.coresPerPod(),
+                        size.sidecarCount(),
                         size.zones(),
                         size.traffic(),
-                        load * 0.8 * size.capacity());
-        World world =
-                new World(
+                        load * 0.8 * size.capacityReqsPerSecond());
+        EmulatedFleet world =
+                new EmulatedFleet(
                         loaded,
                         seed,
                         START,
@@ -237,8 +248,8 @@
                                 return;
                             }
                             boolean lost =
-                                    answer != EmuSidecar.Answer.COMPLETED
-                                            || tookNs > route.objectiveNs();
+                                    answer != EmulatedSidecar.ReqOutcome.COMPLETED
+                                            || tookNs > route.latencyObjectiveNs();
                             for (int w = 0; w < WINDOWS.length; w++) {
                                 if (askedNs < back + WINDOWS[w]) {
                                     count.asked[w]++;
@@ -251,59 +262,67 @@
         sicken(world, sick);
         List<Integer> restarted = IntStream.range(0, all ? sidecars : 1).boxed().toList();
         long captured = START + RUN_IN - random.nextLong(10 * SECOND);
-        Map<Integer, FaultyDisk> disks = new HashMap<>();
-        if (how.remembers) {
+        Map<Integer, FaultInjectingDirectory> disks = new HashMap<>();
+        if (how.hasSavedState) {
             // As it was then: a world of its own, in which other pods were sick.
-            World then =
-                    new World(loaded, seed, START, (sidecar, route, askedNs, tookNs, answer) -> {});
+            EmulatedFleet then =
+                    new EmulatedFleet(
+                            loaded, seed, START, (sidecar, route, askedNs, tookNs, answer) -> {});
             sicken(then, sick);
-            change(then, sick, how.meanwhile ? 0 : how.changed, new SplittableRandom(seed + 1));
-            then.agenda().runUntil(captured);
+            change(
+                    then,
+                    sick,
+                    how.changesWhileDown ? 0 : how.changedShare,
+                    new SplittableRandom(seed + 1));
+            then.scheduler().runUntil(captured);
             for (int i : restarted) {
                 disks.put(i, keep(then, i, how));
             }
         }
-        world.agenda().runUntil(START + RUN_IN);
-        if (how.restarts) {
-            restarted.forEach(world::kill);
+        world.scheduler().runUntil(START + RUN_IN);
+        if (how.isRestarted) {
+            restarted.forEach(world::killSidecar);
         }
-        world.agenda().runUntil(START + RUN_IN + DOWN / 2);
-        change(world, sick, how.meanwhile ? how.changed : 0, random);
-        world.agenda().runUntil(back);
-        List<EmuPod> cold = world.pods().subList(pods - COLD_PODS, pods);
-        cold.forEach(world::restart);
+        world.scheduler().runUntil(START + RUN_IN + DOWN / 2);
+        change(world, sick, how.changesWhileDown ? how.changedShare : 0, random);
+        world.scheduler().runUntil(back);
+        List<EmulatedPod> cold = world.pods().subList(pods - COLD_PODS, pods);
+        cold.forEach(world::restartPod);
         for (int i : restarted) {
-            if (how.restarts) {
-                EmuSidecar s = world.start(i);
-                if (how.remembers) {
+            if (how.isRestarted) {
+                EmulatedSidecar s = world.startSidecar(i);
+                if (how.hasSavedState) {
                     recall(world, i, s, disks.get(i));
                 }
             }
         }
         watchCold(world, cold, count, back);
-        world.agenda().runUntil(back + WINDOWS[WINDOWS.length - 1] + 2 * SECOND);
+        world.scheduler().runUntil(back + WINDOWS[WINDOWS.length - 1] + 2 * SECOND);
         return count;
     }
 
     /**
      * The busiest second of each cold pod, against what it could do then; at 3 it would fall over.
      */
-    private static void watchCold(World world, List<EmuPod> cold, Count count, long from) {
+    private static void watchCold(
+            EmulatedFleet world, List<EmulatedPod> cold, LossCounts count, long from) {
         long step = SECOND / 10;
-        Map<EmuPod, long[]> before = new HashMap<>();
+        Map<EmulatedPod, long[]> before = new HashMap<>();
         cold.forEach(p -> before.put(p, new long[12]));
         for (int k = 0; k < 40; k++) {
             int at = k;
-            world.agenda()
-                    .at(
+            world.scheduler()
+                    .scheduleAt(
                             from + k * step,
                             () ->
                                     cold.forEach(
                                             p -> {
                                                 long[] seen = before.get(p);
-                                                seen[at % 11] = p.arrived();
+                                                seen[at % 11] = p.arrivedTryCount();
                                                 if (at >= 10) {
-                                                    long lately = p.arrived() - seen[(at + 1) % 11];
+                                                    long lately =
+                                                            p.arrivedTryCount()
+                                                                    - seen[(at + 1) % 11];
                                                     double age = (at - 5) / 40.0;
                                                     double can =
                                                             (0.3 + 0.7 * age)
@@ -331,24 +350,25 @@
     }
 
     /** The first half of them is slow, the second hung. */
-    private static void sicken(World world, int[] sick) {
-        List<EmuPod> pods = world.pods();
+    private static void sicken(EmulatedFleet world, int[] sick) {
+        List<EmulatedPod> pods = world.pods();
         for (int i = 0; i < sick.length; i++) {
             sicken(pods.get(sick[i]), i < sick.length / 2);
         }
     }
 
-    private static void sicken(EmuPod pod, boolean slow) {
+    private static void sicken(EmulatedPod pod, boolean slow) {
         if (slow) {
-            pod.speed(0.2);
+            pod.setSpeed(0.2);
         } else {
-            pod.hangs(true);
+            pod.setHung(true);
         }
     }
 
     /** Each sick pod recovers by chance, and another falls sick in its place. */
-    private static void change(World world, int[] sick, double part, SplittableRandom random) {
-        List<EmuPod> pods = world.pods();
+    private static void change(
+            EmulatedFleet world, int[] sick, double part, SplittableRandom random) {
+        List<EmulatedPod> pods = world.pods();
         List<Integer> well =
                 IntStream.range(0, pods.size() - COLD_PODS)
                         .boxed()
@@ -356,41 +376,42 @@
                         .collect(Collectors.toCollection(ArrayList::new));
         for (int i = 0; i < sick.length; i++) {
             if (random.nextDouble() < part) {
-                pods.get(sick[i]).speed(1);
-                pods.get(sick[i]).hangs(false);
+                pods.get(sick[i]).setSpeed(1);
+                pods.get(sick[i]).setHung(false);
                 sicken(pods.get(well.remove(random.nextInt(well.size()))), i < sick.length / 2);
             }
         }
     }
 
-    private static FaultyDisk keep(World world, int i, Start how)
+    private static FaultInjectingDirectory keep(EmulatedFleet world, int i, RestartScenario how)
             throws InterruptedException, ExecutionException {
-        FaultyDisk disk = new FaultyDisk(1);
-        Keeper keeper = new Keeper(disk, 3, 1 << 24, "n" + i, l -> {});
-        keeper.open().get();
-        Capture c =
-                new Capture(
-                        world.sidecar(i).policy().learned(world.agenda().now()), id -> id + ":1");
-        c.slice(world.agenda()::now, Long.MAX_VALUE);
+        FaultInjectingDirectory disk = new FaultInjectingDirectory(1);
+        StateStore keeper = new StateStore(disk, 3, 1 << 24, "n" + i, l -> {});
+        keeper.openAsync().get();
+        SnapshotBuilder c =
+                new SnapshotBuilder(
+                        world.sidecar(i).policy().exportLearned(world.scheduler().nowNs()),
+                        id -> id + ":1");
+        c.collectUntil(world.scheduler()::nowNs, Long.MAX_VALUE);
         keeper.offer(
-                c.kept(
-                        new Kept.Head(
+                c.toSnapshot(
+                        new StateSnapshot.Header(
                                 "lab",
                                 "n" + i,
                                 "",
                                 world.settings(i).zone(),
                                 1,
                                 0,
-                                (world.agenda().now() - how.olderNs) / 1_000_000,
+                                (world.scheduler().nowNs() - how.extraAgeNs) / 1_000_000,
                                 1),
-                        world.news()));
+                        world.rolloutStatus()));
         keeper.close(30 * SECOND);
-        if (how.corrupt) {
-            String name = Keeper.name(1);
+        if (how.isCorrupt) {
+            String name = StateStore.fileName(1);
             try {
                 byte[] bytes = disk.read(name, 1 << 24);
                 bytes[bytes.length / 2] ^= 1;
-                disk.put(name, bytes);
+                disk.addForcedFile(name, bytes);
             } catch (IOException e) {
                 throw new IllegalStateException(e);
             }
@@ -398,11 +419,12 @@
         return disk;
     }
 
-    private static void recall(World world, int i, EmuSidecar s, FaultyDisk disk)
+    private static void recall(
+            EmulatedFleet world, int i, EmulatedSidecar s, FaultInjectingDirectory disk)
             throws InterruptedException, ExecutionException {
-        Keeper keeper = new Keeper(disk, 3, 1 << 24, "n" + i, l -> {});
-        Keeper.Found found = keeper.open().get();
-        if (found.kept() != null) {
+        StateStore keeper = new StateStore(disk, 3, 1 << 24, "n" + i, l -> {});
+        StateStore.LoadResult found = keeper.openAsync().get();
+        if (found.snapshot() != null) {
             Map<String, PodEntry> listed = new HashMap<>();
             Map<String, String> addresses = new HashMap<>();
             world.pods()
@@ -411,21 +433,21 @@
                                 listed.put(p.entry().id(), p.entry());
                                 addresses.put(p.entry().id(), p.entry().id() + ":1");
                             });
-            long now = world.agenda().now();
+            long now = world.scheduler().nowNs();
             Settings set = world.settings(i);
-            Taking.Taken taken =
-                    Taking.of(
-                            found.kept(),
-                            Ageing.age(found.kept().head().unixMs(), now),
-                            new Taking.Here(
+            SnapshotFilter.RestoreResult taken =
+                    SnapshotFilter.filter(
+                            found.snapshot(),
+                            StateDecay.computeAgeNs(found.snapshot().head().unixMs(), now),
+                            new SnapshotFilter.RestoreContext(
                                     set.zone(),
                                     set.routes().stream()
-                                            .map(Settings.Route::name)
+                                            .map(Settings.RouteSettings::name)
                                             .collect(Collectors.toSet()),
                                     listed,
                                     addresses));
-            for (Learned l : taken.learned()) {
-                s.policy().recall(now, l);
+            for (LearnedState l : taken.restoredValues()) {
+                s.policy().restoreLearned(now, l);
             }
         }
         keeper.close(SECOND);
--- a/lab/src/main/java/mulleinlever/lab/emu/World.java
+++ b/lab/src/main/java/mulleinlever/lab/emu/EmulatedFleet.java
@@ -4,68 +4,70 @@
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
-import mulleinlever.News;
 import mulleinlever.PodEntry;
+import mulleinlever.RolloutStatus;
 import mulleinlever.Settings;
 
 /**
  * Pods, sidecars and clients in virtual time, in one process. Every part draws from a stream of its
  * own, so that two worlds with one seed get the same reqs, whatever their sidecars do.
  */
-public final class World {
+public final class EmulatedFleet {
     private static final long SECOND = 1_000_000_000L;
 
     /** What a route's reqs are like, beside its settings. */
-    public record Traffic(Settings.Route route, double share, long leastWorkNs, long mostWorkNs) {
+    public record RouteTraffic(
+            Settings.RouteSettings route, double reqShare, long minWorkNs, long maxWorkNs) {
         double meanWorkNs() {
-            return (leastWorkNs + mostWorkNs) / 2.0;
+            return (minWorkNs + maxWorkNs) / 2.0;
         }
     }
 
     /** What a world consists of. */
-    public record Size(
-            int pods,
-            int cores,
-            int sidecars,
+    public record FleetSpec(
+            int podCount,
+            int coresPerPod,
+            int sidecarCount,
             List<String> zones,
-            List<Traffic> traffic,
+            List<RouteTraffic> traffic,
             double reqsPerSecond) {
         /** Reqs a second that all cores together can do. */
-        public double capacity() {
-            double meanNs = traffic.stream().mapToDouble(t -> t.share() * t.meanWorkNs()).sum();
-            return pods * cores * 1e9 / meanNs;
+        public double capacityReqsPerSecond() {
+            double meanNs = traffic.stream().mapToDouble(t -> t.reqShare() * t.meanWorkNs()).sum();
+            return podCount * coresPerPod * 1e9 / meanNs;
         }
     }
 
     /**
      * Hears of each req's end; without an answer {@code how} is null, at the end of its patience.
      */
-    public interface Watch {
-        void ended(
+    public interface ReqListener {
+        void onReqEnded(
                 int sidecar,
-                Settings.Route route,
+                Settings.RouteSettings route,
                 long askedNs,
                 long tookNs,
-                EmuSidecar.Answer how);
+                EmulatedSidecar.ReqOutcome how);
     }
 
-    private final Size size;
+    private final FleetSpec size;
     private final long seed;
-    private final Agenda agenda;
-    private final Watch watch;
-    private final Map<String, EmuPod> pods = new LinkedHashMap<>();
-    private final EmuSidecar[] sidecars;
+    private final VirtualTimeScheduler agenda;
+    private final ReqListener watch;
+    private final Map<String, EmulatedPod> pods = new LinkedHashMap<>();
+    private final EmulatedSidecar[] sidecars;
     private final int[] starts;
-    private News news = new News(1, 2, News.Phase.RELEASED, 1, 9 * SECOND);
+    private RolloutStatus news =
+            new RolloutStatus(1, 2, RolloutStatus.Phase.RELEASED, 1, 9 * SECOND);
 
-    public World(Size size, long seed, long startNs, Watch watch) {
+    public EmulatedFleet(FleetSpec size, long seed, long startNs, ReqListener watch) {
         this.size = size;
         this.seed = seed;
-        this.agenda = new Agenda(startNs);
+        this.agenda = new VirtualTimeScheduler(startNs);
         this.watch = watch;
-        this.sidecars = new EmuSidecar[size.sidecars()];
-        this.starts = new int[size.sidecars()];
-        for (int i = 0; i < size.pods(); i++) {
+        this.sidecars = new EmulatedSidecar[size.sidecarCount()];
+        this.starts = new int[size.sidecarCount()];
+        for (int i = 0; i < size.podCount(); i++) {
             PodEntry e =
                     new PodEntry(
                             "pod-" + i,
@@ -74,12 +76,12 @@
                             i % 4,
                             1,
                             PodEntry.State.READY,
-                            size.cores(),
+                            size.coresPerPod(),
                             0);
-            pods.put(e.id(), new EmuPod(agenda, e, size.cores(), 1000));
+            pods.put(e.id(), new EmulatedPod(agenda, e, size.coresPerPod(), 1000));
         }
-        for (int i = 0; i < size.sidecars(); i++) {
-            start(i);
+        for (int i = 0; i < size.sidecarCount(); i++) {
+            startSidecar(i);
             clients(i);
         }
     }
@@ -94,56 +96,56 @@
                 seed * 0x9E3779B97F4A7C15L + part.hashCode() * 0x632BE59BD9B4E019L + no);
     }
 
-    public Agenda agenda() {
+    public VirtualTimeScheduler scheduler() {
         return agenda;
     }
 
-    public EmuPod pod(String id) {
+    public EmulatedPod pod(String id) {
         return pods.get(id);
     }
 
-    public List<EmuPod> pods() {
+    public List<EmulatedPod> pods() {
         return List.copyOf(pods.values());
     }
 
-    public EmuSidecar sidecar(int i) {
+    public EmulatedSidecar sidecar(int i) {
         return sidecars[i];
     }
 
-    public News news() {
+    public RolloutStatus rolloutStatus() {
         return news;
     }
 
     public Settings settings(int i) {
-        return EmuSettings.of(
+        return EmulationSettings.createSettings(
                 i,
-                size.sidecars(),
+                size.sidecarCount(),
                 zone(i),
                 size.zones(),
-                size.traffic().stream().map(Traffic::route).toList());
+                size.traffic().stream().map(RouteTraffic::route).toList());
     }
 
-    long oneWayNs(String from, String to) {
+    long oneWayLatencyNs(String from, String to) {
         return from.equals(to) ? 100_000 : 500_000;
     }
 
     /**
      * A sidecar's process begins, with the list and the news as they are; it knows nothing else.
      */
-    public EmuSidecar start(int i) {
-        EmuSidecar s =
-                new EmuSidecar(
+    public EmulatedSidecar startSidecar(int i) {
+        EmulatedSidecar s =
+                new EmulatedSidecar(
                         this, settings(i), random("policy", i + 100_000 * starts[i]++).nextLong());
-        s.list(pods.values().stream().map(EmuPod::entry).toList());
-        s.news(news);
+        s.replacePodList(pods.values().stream().map(EmulatedPod::entry).toList());
+        s.updateRolloutStatus(news);
         sidecars[i] = s;
         return s;
     }
 
     /** A pod starts anew, cold, and all sidecars are told at once. */
-    public void restart(EmuPod pod) {
+    public void restartPod(EmulatedPod pod) {
         PodEntry e = pod.entry();
-        pod.startsAnew(
+        pod.restart(
                 new PodEntry(
                         e.id(),
                         e.zone(),
@@ -152,10 +154,10 @@
                         e.build(),
                         e.state(),
                         e.weight(),
-                        agenda.now()));
-        for (EmuSidecar s : sidecars) {
+                        agenda.nowNs()));
+        for (EmulatedSidecar s : sidecars) {
             if (s != null) {
-                s.changed(pod.entry());
+                s.updatePod(pod.entry());
             }
         }
     }
@@ -163,7 +165,7 @@
     /**
      * A sidecar's process ends without notice; its clients' reqs find nobody until it starts again.
      */
-    public void kill(int i) {
+    public void killSidecar(int i) {
         sidecars[i].kill();
         sidecars[i] = null;
     }
@@ -171,29 +173,28 @@
     /** Reqs that come on their own, whether or not those before were answered. */
     private void clients(int i) {
         SplittableRandom random = random("clients", i);
-        double rate = size.reqsPerSecond() / size.sidecars();
+        double rate = size.reqsPerSecond() / size.sidecarCount();
         next(i, random, rate);
     }
 
     private void next(int i, SplittableRandom random, double rate) {
-        agenda.after(
+        agenda.scheduleAfter(
                 (long) (-Math.log(1 - random.nextDouble()) / rate * SECOND),
                 () -> {
-                    Traffic t = pick(random.nextDouble());
+                    RouteTraffic t = pick(random.nextDouble());
                     long workNs =
-                            t.leastWorkNs()
+                            t.minWorkNs()
                                     + (long)
-                                            (random.nextDouble()
-                                                    * (t.mostWorkNs() - t.leastWorkNs()));
+                                            (random.nextDouble() * (t.maxWorkNs() - t.minWorkNs()));
                     long key = random.nextInt(50_000);
                     ask(i, t, workNs, key);
                     next(i, random, rate);
                 });
     }
 
-    private Traffic pick(double at) {
-        for (Traffic t : size.traffic()) {
-            at -= t.share();
+    private RouteTraffic pick(double at) {
+        for (RouteTraffic t : size.traffic()) {
+            at -= t.reqShare();
             if (at < 0) {
                 return t;
             }
@@ -201,27 +202,27 @@
         return size.traffic().get(size.traffic().size() - 1);
     }
 
-    private void ask(int i, Traffic t, long workNs, long key) {
-        long askedNs = agenda.now();
+    private void ask(int i, RouteTraffic t, long workNs, long key) {
+        long askedNs = agenda.nowNs();
         boolean[] ended = new boolean[1];
         if (sidecars[i] != null) {
-            sidecars[i].take(
+            sidecars[i].submit(
                     t.route(),
                     workNs,
                     key,
                     how -> {
                         if (!ended[0]) {
                             ended[0] = true;
-                            watch.ended(i, t.route(), askedNs, agenda.now() - askedNs, how);
+                            watch.onReqEnded(i, t.route(), askedNs, agenda.nowNs() - askedNs, how);
                         }
                     });
         }
-        agenda.after(
+        agenda.scheduleAfter(
                 t.route().timeoutNs() + SECOND / 10,
                 () -> {
                     if (!ended[0]) {
                         ended[0] = true;
-                        watch.ended(i, t.route(), askedNs, agenda.now() - askedNs, null);
+                        watch.onReqEnded(i, t.route(), askedNs, agenda.nowNs() - askedNs, null);
                     }
                 });
     }
--- a/lab/src/main/java/mulleinlever/lab/emu/EmuPod.java
+++ b/lab/src/main/java/mulleinlever/lab/emu/EmulatedPod.java
@@ -4,32 +4,32 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.Consumer;
-import mulleinlever.Ending;
 import mulleinlever.PodEntry;
+import mulleinlever.TryOutcome;
 
 /**
  * A pod: some cores that serve one line, first come first served. It can be slow, hung, or fail a
  * share of what it is sent; a pod that was started lately does less.
  */
-public final class EmuPod {
+public final class EmulatedPod {
     /** One try at the pod, until it is told how that ended. */
-    public static final class Job {
+    public static final class PodTry {
         private final long workNs;
-        private final Consumer<Ending> done;
+        private final Consumer<TryOutcome> done;
         private boolean cancelled;
         private boolean runs;
 
-        Job(long workNs, Consumer<Ending> done) {
+        PodTry(long workNs, Consumer<TryOutcome> done) {
             this.workNs = workNs;
             this.done = done;
         }
     }
 
-    private final Agenda agenda;
+    private final VirtualTimeScheduler agenda;
     private final int cores;
     private final int mostWaiting;
-    private final ArrayDeque<Job> line = new ArrayDeque<>();
-    private final List<Job> atHang = new ArrayList<>();
+    private final ArrayDeque<PodTry> line = new ArrayDeque<>();
+    private final List<PodTry> atHang = new ArrayList<>();
     private PodEntry entry;
     private double speed = 1;
     private boolean hung;
@@ -37,7 +37,7 @@
     private long arrived;
     private int start;
 
-    EmuPod(Agenda agenda, PodEntry entry, int cores, int mostWaiting) {
+    EmulatedPod(VirtualTimeScheduler agenda, PodEntry entry, int cores, int mostWaiting) {
         this.agenda = agenda;
         this.entry = entry;
         this.cores = cores;
@@ -49,7 +49,7 @@
     }
 
     /** Another start of the pod, from now on: what lay at the one before is lost without a sign. */
-    void startsAnew(PodEntry next) {
+    void restart(PodEntry next) {
         entry = next;
         line.clear();
         atHang.clear();
@@ -59,38 +59,40 @@
 
     /** The part of its usual speed that a pod has which was started lately. */
     private double warmth() {
-        double age = (agenda.now() - entry.startedNs()) / (double) EmuSettings.WARM_AFTER_NS;
+        double age =
+                (agenda.nowNs() - entry.startedNs()) / (double) EmulationSettings.SLOW_START_NS;
         return entry.startedNs() == 0 || age >= 1
                 ? 1
-                : EmuSettings.COLD_SHARE + (1 - EmuSettings.COLD_SHARE) * Math.max(0, age);
+                : EmulationSettings.COLD_CAPACITY_SHARE
+                        + (1 - EmulationSettings.COLD_CAPACITY_SHARE) * Math.max(0, age);
     }
 
     /** 1 is usual; 0.2 takes five times as long. */
-    public void speed(double of) {
+    public void setSpeed(double of) {
         speed = of;
     }
 
     /** Takes what is sent and answers nothing, until it hangs no more. */
-    public void hangs(boolean from) {
+    public void setHung(boolean from) {
         hung = from;
         if (!hung) {
-            List<Job> held = List.copyOf(atHang);
+            List<PodTry> held = List.copyOf(atHang);
             atHang.clear();
-            held.forEach(j -> finish(j, Ending.OK));
+            held.forEach(j -> finish(j, TryOutcome.OK));
             serve();
         }
     }
 
     /** How many tries have come. */
-    public long arrived() {
+    public long arrivedTryCount() {
         return arrived;
     }
 
-    Job arrive(long workNs, Consumer<Ending> done) {
-        Job job = new Job(workNs, done);
+    PodTry submit(long workNs, Consumer<TryOutcome> done) {
+        PodTry job = new PodTry(workNs, done);
         arrived++;
         if (line.size() >= mostWaiting) {
-            done.accept(Ending.FULL);
+            done.accept(TryOutcome.FULL);
             return job;
         }
         line.add(job);
@@ -99,7 +101,7 @@
     }
 
     /** What waits is dropped, what is at work goes on to its end for nothing. */
-    void cancel(Job job) {
+    void cancel(PodTry job) {
         job.cancelled = true;
         if (!job.runs) {
             line.remove(job);
@@ -108,11 +110,11 @@
 
     private void serve() {
         while (!hung && busy < cores && !line.isEmpty()) {
-            Job job = line.poll();
+            PodTry job = line.poll();
             job.runs = true;
             busy++;
             int in = start;
-            agenda.after(
+            agenda.scheduleAfter(
                     (long) (job.workNs / speed / warmth()),
                     () -> {
                         if (in == start) {
@@ -122,17 +124,17 @@
         }
     }
 
-    private void ends(Job job) {
+    private void ends(PodTry job) {
         if (hung) {
             // Its core hangs with it.
             atHang.add(job);
             return;
         }
-        finish(job, Ending.OK);
+        finish(job, TryOutcome.OK);
         serve();
     }
 
-    private void finish(Job job, Ending ending) {
+    private void finish(PodTry job, TryOutcome ending) {
         busy--;
         if (!job.cancelled) {
             job.done.accept(ending);
--- a/lab/src/test/java/mulleinlever/lab/emu/WorldTest.java
+++ b/lab/src/test/java/mulleinlever/lab/emu/EmulatedFleetTest.java
@@ -9,32 +9,36 @@
 import mulleinlever.Settings;
 import org.junit.jupiter.api.Test;
 
-class WorldTest {
+class EmulatedFleetTest {
     private static final long SECOND = 1_000_000_000L;
 
     /** How each req ended, in order, while a pod hangs and a sidecar is killed and starts again. */
     private static List<String> ends(long seed) {
         List<String> ends = new ArrayList<>();
-        var route = EmuSettings.route("read", Settings.Repeat.RETRIABLE, 150, 1000, 1);
-        World w =
-                new World(
-                        new World.Size(
+        var route =
+                EmulationSettings.createRoute(
+                        "read", Settings.RetrySafety.IDEMPOTENT, 150, 1000, 1);
+        EmulatedFleet w =
+                new EmulatedFleet(
+                        new EmulatedFleet.FleetSpec(
                                 6,
                                 2,
                                 3,
                                 List.of("a", "b"),
-                                List.of(new World.Traffic(route, 1, 10_000_000, 30_000_000)),
+                                List.of(
+                                        new EmulatedFleet.RouteTraffic(
+                                                route, 1, 10_000_000, 30_000_000)),
                                 200),
                         seed,
                         1000 * SECOND,
                         (sidecar, r, askedNs, tookNs, how) ->
                                 ends.add(sidecar + " " + askedNs + " " + tookNs + " " + how));
-        w.pods().get(0).hangs(true);
-        w.agenda().runUntil(1002 * SECOND);
-        w.kill(1);
-        w.agenda().runUntil(1003 * SECOND);
-        w.start(1);
-        w.agenda().runUntil(1006 * SECOND);
+        w.pods().get(0).setHung(true);
+        w.scheduler().runUntil(1002 * SECOND);
+        w.killSidecar(1);
+        w.scheduler().runUntil(1003 * SECOND);
+        w.startSidecar(1);
+        w.scheduler().runUntil(1006 * SECOND);
         return ends;
     }
 
--- a/sidecar/src/main/java/mulleinlever/sidecar/Patience.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/AdaptiveConnectTimeout.java
@@ -1,6 +1,6 @@
 package mulleinlever.sidecar;
 
-import mulleinlever.Decay;
+import mulleinlever.DecayingSum;
 
 /**
  * Decides how long a connection to a pod may take to come up before the try that waits for it goes
@@ -9,7 +9,7 @@
  * the slowest of late. Where many fail, pods may be slow rather than gone, and giving up sooner
  * would cost them one handshake more each time: then it waits longer.
  */
-final class Patience {
+final class AdaptiveConnectTimeout {
     private static final double TIMES_SLOWEST = 3;
 
     /** Fewer show too little of what is usual. */
@@ -25,34 +25,34 @@
 
     private final long mostNs;
     private long ups;
-    private final Decay slowestNs = new Decay(HALF_LIFE_NS);
-    private final Decay cameUp = new Decay(HALF_LIFE_NS);
-    private final Decay tooLate = new Decay(HALF_LIFE_NS);
+    private final DecayingSum slowestNs = new DecayingSum(HALF_LIFE_NS);
+    private final DecayingSum cameUp = new DecayingSum(HALF_LIFE_NS);
+    private final DecayingSum tooLate = new DecayingSum(HALF_LIFE_NS);
 
     /** Up to what the settings allow, in nanoseconds. */
-    Patience(long mostNs) {
+    AdaptiveConnectTimeout(long mostNs) {
         this.mostNs = mostNs;
     }
 
-    void up(long nowNs, long tookNs) {
+    void recordSuccess(long nowNs, long tookNs) {
         ups++;
         cameUp.add(nowNs, 1);
-        slowestNs.add(nowNs, Math.max(0, tookNs - slowestNs.read(nowNs)));
+        slowestNs.add(nowNs, Math.max(0, tookNs - slowestNs.valueAt(nowNs)));
     }
 
     /** It did not come up in its time; one that was refused tells nothing of how slow pods are. */
-    void tooLate(long nowNs) {
+    void recordTimeout(long nowNs) {
         tooLate.add(nowNs, 1);
     }
 
     /** In nanoseconds, for a connection opened now. */
-    long limitNs(long nowNs) {
-        double up = cameUp.read(nowNs);
+    long timeoutNs(long nowNs) {
+        double up = cameUp.valueAt(nowNs);
         if (ups < ENOUGH || up == 0) {
             return mostNs;
         }
-        double times = TIMES_SLOWEST * (up + tooLate.read(nowNs)) / up;
+        double times = TIMES_SLOWEST * (up + tooLate.valueAt(nowNs)) / up;
         return (long)
-                Math.min(mostNs, Math.max(LEAST_PART * mostNs, times * slowestNs.read(nowNs)));
+                Math.min(mostNs, Math.max(LEAST_PART * mostNs, times * slowestNs.valueAt(nowNs)));
     }
 }
--- a/sidecar/src/main/java/mulleinlever/sidecar/Chunked.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/ChunkedHttpConnection.java
@@ -1,43 +1,43 @@
 package mulleinlever.sidecar;
 
 import io.netty.buffer.ByteBuf;
-import mulleinlever.settings.Fault;
+import mulleinlever.settings.InvalidInputException;
 
 /** The lines of one HTTP/1.1 answer that is sent in chunks. */
-abstract class Chunked extends Lines {
-    private enum Part {
+abstract class ChunkedHttpConnection extends LineConnection {
+    private enum ParseState {
         STATUS,
         HEADERS,
-        SIZE,
-        DATA,
-        DATA_END,
-        TRAILER
+        CHUNK_SIZE,
+        CHUNK_DATA,
+        CHUNK_END,
+        TRAILERS
     }
 
     private static final int MOST_HEAD = 8192;
 
     private final StringBuilder head = new StringBuilder();
-    private Part part = Part.STATUS;
+    private ParseState part = ParseState.STATUS;
     private boolean chunked;
     private int left;
 
-    Chunked(Net net, int longest, Log log, String about) {
+    ChunkedHttpConnection(NettyTransport net, int longest, RateLimitedLog log, String about) {
         super(net, longest, log, about);
     }
 
     /** The last chunk has come. */
-    abstract void complete();
+    abstract void onResponseComplete();
 
     @Override
-    final void bytes(ByteBuf in) {
+    final void decode(ByteBuf in) {
         while (in.isReadable()) {
-            if (part == Part.DATA) {
+            if (part == ParseState.CHUNK_DATA) {
                 int n = Math.min(left, in.readableBytes());
                 for (int i = 0; i < n; i++) {
-                    letter(in.readByte());
+                    appendByte(in.readByte());
                 }
                 left -= n;
-                part = left == 0 ? Part.DATA_END : part;
+                part = left == 0 ? ParseState.CHUNK_END : part;
             } else {
                 headLetter((char) in.readUnsignedByte());
             }
@@ -47,7 +47,7 @@
     private void headLetter(char c) {
         if (c != '\n') {
             if (head.length() == MOST_HEAD) {
-                throw new Fault("a head longer than " + MOST_HEAD);
+                throw new InvalidInputException("a head longer than " + MOST_HEAD);
             }
             head.append(c);
             return;
@@ -57,25 +57,25 @@
         switch (part) {
             case STATUS -> {
                 if (!text.matches("HTTP/1\\.[01] 200( .*)?")) {
-                    throw new UnexpectedStatus(text);
+                    throw new UnexpectedStatusException(text);
                 }
-                part = Part.HEADERS;
+                part = ParseState.HEADERS;
             }
             case HEADERS -> {
                 chunked |= text.matches("(?i)transfer-encoding:\\s*chunked");
                 if (text.isEmpty() && !chunked) {
-                    throw new Fault("discovery answers in one piece");
+                    throw new InvalidInputException("discovery answers in one piece");
                 }
-                part = text.isEmpty() ? Part.SIZE : part;
+                part = text.isEmpty() ? ParseState.CHUNK_SIZE : part;
             }
-            case SIZE -> {
+            case CHUNK_SIZE -> {
                 left = size(text);
-                part = left == 0 ? Part.TRAILER : Part.DATA;
+                part = left == 0 ? ParseState.TRAILERS : ParseState.CHUNK_DATA;
             }
-            case DATA_END -> part = Part.SIZE;
+            case CHUNK_END -> part = ParseState.CHUNK_SIZE;
             default -> {
                 if (text.isEmpty()) {
-                    complete();
+                    onResponseComplete();
                 }
             }
         }
@@ -88,8 +88,8 @@
                 return n;
             }
         } catch (NumberFormatException e) {
-            throw new Fault("a chunk of size " + text);
+            throw new InvalidInputException("a chunk of size " + text);
         }
-        throw new Fault("a chunk of size " + text);
+        throw new InvalidInputException("a chunk of size " + text);
     }
 }
--- a/sidecar/src/main/java/mulleinlever/sidecar/TakeIn.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/ClientConnection.java
@@ -8,13 +8,13 @@
 import io.netty.channel.ChannelInboundHandlerAdapter;
 import java.io.IOException;
 import java.util.ArrayDeque;
-import mulleinlever.settings.Fault;
+import mulleinlever.settings.InvalidInputException;
 
 /**
  * First stage: one client's connection, from its bytes to its commands, and the answers in their
  * order.
  */
-final class TakeIn extends ChannelInboundHandlerAdapter {
+final class ClientConnection extends ChannelInboundHandlerAdapter {
     private static final int MOST_IN_LINE = 32;
 
     /** Against peers that go silent before or within a message, or take no answer. */
@@ -23,15 +23,15 @@
     private static final int SSL = 80_877_103;
     private static final int GSS = 80_877_104;
 
-    private final Admit admit;
-    private final Clients clients;
-    private final Flow flow;
-    private final Book book;
+    private final QueryHandler admit;
+    private final ClientConnections clients;
+    private final ReqMemoryLimiter flow;
+    private final ReqRegistry book;
     private final Clock clock;
-    private final Log log;
-    private final ArrayDeque<Held> line = new ArrayDeque<>();
+    private final RateLimitedLog log;
+    private final ArrayDeque<PendingCommand> line = new ArrayDeque<>();
     private Channel channel;
-    private Frames frames;
+    private PostgresMessageDecoder frames;
     private boolean started;
     private boolean closing;
     private long movedNs;
@@ -43,7 +43,13 @@
 
     private int untaken;
 
-    TakeIn(Admit admit, Clients clients, Flow flow, Book book, Clock clock, Log log) {
+    ClientConnection(
+            QueryHandler admit,
+            ClientConnections clients,
+            ReqMemoryLimiter flow,
+            ReqRegistry book,
+            Clock clock,
+            RateLimitedLog log) {
         this.admit = admit;
         this.clients = clients;
         this.flow = flow;
@@ -55,60 +61,60 @@
     @Override
     public void channelActive(ChannelHandlerContext ctx) {
         channel = ctx.channel();
-        frames = new Frames(ctx.alloc());
-        movedNs = clock.now();
-        clients.opened(this, movedNs);
+        frames = new PostgresMessageDecoder(ctx.alloc());
+        movedNs = clock.nowNs();
+        clients.connectionOpened(this, movedNs);
     }
 
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object msg) {
-        movedNs = clock.now();
+        movedNs = clock.nowNs();
         if (closing) {
             ((ByteBuf) msg).release();
             return;
         }
-        frames.add((ByteBuf) msg);
+        frames.addBytes((ByteBuf) msg);
         decode();
     }
 
     private void decode() {
         try {
-            while (!closing && mayRead() && frames.next(started)) {
+            while (!closing && mayRead() && frames.nextMessage(started)) {
                 if (started) {
-                    command();
+                    handleMessage();
                 } else {
                     startup();
                 }
             }
-        } catch (Fault e) {
+        } catch (InvalidInputException e) {
             malformed(e.getMessage());
         }
-        count(frames.taken());
+        count(frames.retainedCapacityBytes());
         channel.config().setAutoRead(!closing && mayRead());
     }
 
     private void count(int taken) {
         int more = taken - halfRead;
         halfRead = taken;
-        clients.owed(more);
+        clients.addBufferedBytes(more);
     }
 
-    boolean owes() {
+    boolean hasBufferedBytes() {
         return halfRead + untaken > 0;
     }
 
-    long movedNs() {
+    long lastProgressNs() {
         return movedNs;
     }
 
-    void drop() {
+    void closeNow() {
         closing = true;
         channel.close();
     }
 
     private boolean mayRead() {
-        if (flow.full()) {
-            flow.await(this);
+        if (flow.isExceeded()) {
+            flow.addWaiter(this);
             return false;
         }
         return line.size() < MOST_IN_LINE && channel.isWritable();
@@ -118,7 +124,7 @@
      * Not at once: the module may be in the middle of a call, and what is read next becomes
      * another.
      */
-    void resumeSoon() {
+    void scheduleDecode() {
         channel.eventLoop()
                 .execute(
                         () -> {
@@ -129,83 +135,83 @@
     }
 
     private void startup() {
-        int code = frames.length >= 4 ? frames.bytes().getInt(frames.at) : 0;
+        int code = frames.bodyLength >= 4 ? frames.buffer().getInt(frames.bodyIndex) : 0;
         if (code == SSL || code == GSS) {
-            channel.writeAndFlush(Replies.noCrypto());
+            channel.writeAndFlush(PostgresMessages.encryptionRefused());
         } else if (code >>> 16 == 3) {
             started = true;
-            channel.writeAndFlush(Replies.welcome());
+            channel.writeAndFlush(PostgresMessages.startupResponse());
         } else {
-            throw new Fault("no such startup");
+            throw new InvalidInputException("no such startup");
         }
     }
 
-    private void command() {
-        switch (frames.type) {
+    private void handleMessage() {
+        switch (frames.messageType) {
             case 'Q' -> {
-                if (frames.length < 1
-                        || frames.bytes().getByte(frames.at + frames.length - 1) != 0) {
-                    throw new Fault("a query without its end");
+                if (frames.bodyLength < 1
+                        || frames.buffer().getByte(frames.bodyIndex + frames.bodyLength - 1) != 0) {
+                    throw new InvalidInputException("a query without its end");
                 }
-                admit.query(this, frames.keep());
+                admit.handleQuery(this, frames.retainBody());
             }
             case 'X' -> {
                 closing = true;
                 closeIfIdle();
             }
-            default -> throw new Fault("no such command");
+            default -> throw new InvalidInputException("no such command");
         }
     }
 
     /** What came before gets its answers, then the connection ends. */
     private void malformed(String why) {
         closing = true;
-        command(Replies.error(Replies.MALFORMED, why, 0, false));
+        respond(PostgresMessages.errorResponse(PostgresMessages.PROTOCOL_VIOLATION, why, 0, false));
     }
 
     /** A command that is no req takes its place in the line with its answer. */
-    void command(ByteBuf answer) {
-        Held held = new Held(this, null);
-        held.answer = answer;
+    void respond(ByteBuf answer) {
+        PendingCommand held = new PendingCommand(this, null);
+        held.response = answer;
         line.add(held);
-        answerReady();
+        flushResponses();
     }
 
-    void inLine(Held held) {
+    void enqueue(PendingCommand held) {
         line.add(held);
-        flow.add(held.bytes());
+        flow.reserve(held.memoryBytes());
     }
 
-    void settled(Held held) {
-        flow.remove(held.bytes());
+    void releaseMemory(PendingCommand held) {
+        flow.release(held.memoryBytes());
     }
 
     /** Answers go out in the order of the commands. */
-    void answerReady() {
+    void flushResponses() {
         boolean any = false;
-        while (!line.isEmpty() && line.peek().answer != null) {
-            ByteBuf answer = line.poll().answer;
+        while (!line.isEmpty() && line.peek().response != null) {
+            ByteBuf answer = line.poll().response;
             int n = answer.readableBytes();
             untaken += n;
             channel.write(answer).addListener(f -> taken(n));
-            clients.owed(n);
+            clients.addBufferedBytes(n);
             any = true;
         }
         if (!any) {
             return;
         }
-        movedNs = clock.now();
+        movedNs = clock.nowNs();
         channel.flush();
-        if (line.isEmpty() && (closing || clients.finishing() && !frames.partial())) {
+        if (line.isEmpty() && (closing || clients.isShuttingDown() && !frames.hasUnreadBytes())) {
             close();
         } else if (!channel.config().isAutoRead()) {
-            resumeSoon();
+            scheduleDecode();
         }
     }
 
     private void taken(int n) {
         untaken -= n;
-        clients.owed(-n);
+        clients.addBufferedBytes(-n);
     }
 
     private void close() {
@@ -214,43 +220,43 @@
     }
 
     void closeIfIdle() {
-        if (line.isEmpty() && (closing || !frames.partial())) {
+        if (line.isEmpty() && (closing || !frames.hasUnreadBytes())) {
             close();
         }
     }
 
     /** For how long it has asked for nothing; -1 where it waits for an answer. */
     long idleNs(long now) {
-        return !closing && line.isEmpty() && !frames.partial() ? now - movedNs : -1;
+        return !closing && line.isEmpty() && !frames.hasUnreadBytes() ? now - movedNs : -1;
     }
 
-    void closeIfStuck(long now) {
-        boolean stuck = !started || frames.partial() || !channel.isWritable();
+    void closeIfStalled(long now) {
+        boolean stuck = !started || frames.hasUnreadBytes() || !channel.isWritable();
         if (stuck && now - movedNs > STUCK_NS) {
-            drop();
+            closeNow();
         }
     }
 
     @Override
     public void channelWritabilityChanged(ChannelHandlerContext ctx) {
         if (channel.isWritable()) {
-            resumeSoon();
+            scheduleDecode();
         }
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
         closing = true;
-        clients.closed(this);
-        flow.forget(this);
+        clients.connectionClosed(this);
+        flow.removeWaiter(this);
         count(0);
-        frames.close();
-        for (Held held : line) {
-            if (held.answer != null) {
-                held.answer.release();
+        frames.release();
+        for (PendingCommand held : line) {
+            if (held.response != null) {
+                held.response.release();
             }
             if (held.statement != null) {
-                book.clientGone(held);
+                book.onClientDisconnected(held);
             }
         }
         line.clear();
@@ -259,7 +265,7 @@
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
         if (!(cause instanceof IOException)) {
-            log.fault("client", cause);
+            log.internalError("client", cause);
         }
         ctx.close();
     }
--- a/sidecar/src/main/java/mulleinlever/sidecar/Clients.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/ClientConnections.java
@@ -7,25 +7,25 @@
 import java.util.Set;
 
 /** The clients' connections: how many there may be, and which have been silent for too long. */
-final class Clients {
+final class ClientConnections {
     private static final long MOST_OWED = 8L << 20;
 
     private final int most;
-    private final Life life;
-    private final Set<TakeIn> all = new LinkedHashSet<>();
+    private final Lifecycle life;
+    private final Set<ClientConnection> all = new LinkedHashSet<>();
     private Channel listener;
     private long owed;
 
-    Clients(int most, Life life) {
+    ClientConnections(int most, Lifecycle life) {
         this.most = most;
         this.life = life;
     }
 
-    void listensAt(Channel channel) {
+    void setListener(Channel channel) {
         this.listener = channel;
     }
 
-    int count() {
+    int connectionCount() {
         return all.size();
     }
 
@@ -33,18 +33,19 @@
      * At the most, the one idle for longest goes. If none is idle no more are accepted: they wait
      * in the machine's queue rather than use up descriptors.
      */
-    void opened(TakeIn client, long now) {
+    void connectionOpened(ClientConnection client, long now) {
         all.add(client);
         if (all.size() >= most) {
             all.stream()
                     .filter(c -> c != client && c.idleNs(now) >= 0)
                     .max(Comparator.comparingLong(c -> c.idleNs(now)))
                     .ifPresentOrElse(
-                            TakeIn::closeIfIdle, () -> listener.config().setAutoRead(false));
+                            ClientConnection::closeIfIdle,
+                            () -> listener.config().setAutoRead(false));
         }
     }
 
-    void closed(TakeIn client) {
+    void connectionClosed(ClientConnection client) {
         all.remove(client);
         if (all.size() < most && !listener.config().isAutoRead()) {
             listener.config().setAutoRead(true);
@@ -55,26 +56,26 @@
      * Peers that send half a message or take no answers hold memory for as long as they like. Past
      * the most, the one that has not moved for longest goes; all others are served as ever.
      */
-    void owed(int more) {
+    void addBufferedBytes(int more) {
         owed += more;
         if (more > 0 && owed > MOST_OWED) {
             all.stream()
-                    .filter(TakeIn::owes)
-                    .min(Comparator.comparingLong(TakeIn::movedNs))
-                    .ifPresent(TakeIn::drop);
+                    .filter(ClientConnection::hasBufferedBytes)
+                    .min(Comparator.comparingLong(ClientConnection::lastProgressNs))
+                    .ifPresent(ClientConnection::closeNow);
         }
     }
 
-    void sweep(long now) {
-        new ArrayList<>(all).forEach(c -> c.closeIfStuck(now));
+    void closeStalled(long now) {
+        new ArrayList<>(all).forEach(c -> c.closeIfStalled(now));
     }
 
-    void finish() {
+    void shutDown() {
         listener.close();
-        new ArrayList<>(all).forEach(TakeIn::closeIfIdle);
+        new ArrayList<>(all).forEach(ClientConnection::closeIfIdle);
     }
 
-    boolean finishing() {
-        return life.is(Life.Phase.FINISHING);
+    boolean isShuttingDown() {
+        return life.isIn(Lifecycle.Phase.FINISHING);
     }
 }
--- a/sidecar/src/main/java/mulleinlever/sidecar/Reload.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/ConfigReloader.java
@@ -4,22 +4,23 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import mulleinlever.settings.Fault;
+import mulleinlever.settings.InvalidInputException;
 
 /**
  * At each SIGHUP the configuration is read anew: discovery and the platform may have moved. Left to
  * itself the signal ends the process, and with it all that is in hand.
  */
-final class Reload {
+final class ConfigReloader {
     private final Map<String, String> env;
-    private final Net net;
-    private final Log log;
-    private Config at;
+    private final NettyTransport net;
+    private final RateLimitedLog log;
+    private SidecarConfig at;
 
     /** Null while the sidecar starts. */
-    private Stages stages;
+    private SidecarComponents stages;
 
-    Reload(Map<String, String> env, Config at, Net net, Log log) {
+    ConfigReloader(
+            Map<String, String> env, SidecarConfig at, NettyTransport net, RateLimitedLog log) {
         this.env = env;
         this.at = at;
         this.net = net;
@@ -27,17 +28,17 @@
     }
 
     /** What was told until now counts for these. */
-    void actsOn(Stages started) {
+    void applyTo(SidecarComponents started) {
         stages = started;
-        stages.discovery.moved(at.discovery());
-        stages.platform.moved(at.platform());
+        stages.discovery.updateAddress(at.discoveryAddress());
+        stages.releasePlatform.updateAddress(at.releaseApiAddress());
     }
 
     /**
      * Looked up by name: the JDK has no other way to a signal, and the compiler warns of any use of
      * this.
      */
-    void listen() {
+    void installSignalHandler() {
         try {
             Class<?> signal = Class.forName("sun.misc.Signal");
             Class<?> handler = Class.forName("sun.misc.SignalHandler");
@@ -52,7 +53,7 @@
             signal.getMethod("handle", signal, handler)
                     .invoke(null, signal.getConstructor(String.class).newInstance("HUP"), ours);
         } catch (ReflectiveOperationException | IllegalArgumentException e) {
-            log.say("reload", "SIGHUP can't be heard here: " + e);
+            log.info("reload", "SIGHUP can't be heard here: " + e);
         }
     }
 
@@ -62,37 +63,41 @@
      * before stands.
      */
     private synchronized void heard() {
-        Config next;
+        SidecarConfig next;
         try {
-            next = Config.load(env);
+            next = SidecarConfig.load(env);
         } catch (RuntimeException e) {
-            log.say(
+            log.info(
                     "reload",
-                    "nothing is changed: " + (e instanceof Fault ? e.getMessage() : e.toString()));
+                    "nothing is changed: "
+                            + (e instanceof InvalidInputException ? e.getMessage() : e.toString()));
             return;
         }
-        net.soon(() -> take(next));
+        net.execute(() -> take(next));
     }
 
-    private void take(Config next) {
+    private void take(SidecarConfig next) {
         List<String> left = new ArrayList<>();
-        for (String key : Config.KEPT.keySet()) {
-            if (!Config.KEPT.get(key).apply(next).equals(Config.KEPT.get(key).apply(at))) {
+        for (String key : SidecarConfig.RESTART_REQUIRED.keySet()) {
+            if (!SidecarConfig.RESTART_REQUIRED
+                    .get(key)
+                    .apply(next)
+                    .equals(SidecarConfig.RESTART_REQUIRED.get(key).apply(at))) {
                 left.add(key);
             }
         }
-        log.say(
+        log.info(
                 "reload",
                 "discovery at "
-                        + next.discovery()
+                        + next.discoveryAddress()
                         + ", platform at "
-                        + next.platform()
+                        + next.releaseApiAddress()
                         + (left.isEmpty()
                                 ? ""
                                 : "; a restart is needed for " + String.join(", ", left)));
         at = next;
         if (stages != null) {
-            actsOn(stages);
+            applyTo(stages);
         }
     }
 }
--- a/sidecar/src/main/java/mulleinlever/sidecar/Life.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/Lifecycle.java
@@ -3,7 +3,7 @@
 import java.util.Locale;
 
 /** The phases of the process, from start to exit. */
-final class Life {
+final class Lifecycle {
     enum Phase {
         /** Reads its configuration and rehearses; nothing listens yet. */
         STARTING,
@@ -15,24 +15,24 @@
         ENDED
     }
 
-    private final Log log;
+    private final RateLimitedLog log;
     private volatile Phase phase = Phase.STARTING;
 
-    Life(Log log) {
+    Lifecycle(RateLimitedLog log) {
         this.log = log;
     }
 
-    boolean is(Phase other) {
+    boolean isIn(Phase other) {
         return phase == other;
     }
 
     /** Phases only go forward; whether this one is new. */
-    boolean enter(Phase next) {
+    boolean advanceTo(Phase next) {
         if (next.ordinal() <= phase.ordinal()) {
             return false;
         }
         phase = next;
-        log.say("life", next.name().toLowerCase(Locale.ROOT));
+        log.info("life", next.name().toLowerCase(Locale.ROOT));
         return true;
     }
 }
--- a/sidecar/src/main/java/mulleinlever/sidecar/Lines.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/LineConnection.java
@@ -13,10 +13,10 @@
 import java.util.Arrays;
 import java.util.Locale;
 import java.util.concurrent.Future;
-import mulleinlever.settings.Fault;
+import mulleinlever.settings.InvalidInputException;
 
 /** A connection of ours that begins with what we say; then lines of text arrive, split anywhere. */
-abstract class Lines extends ChannelInboundHandlerAdapter {
+abstract class LineConnection extends ChannelInboundHandlerAdapter {
     /** Why a connection ended. */
     enum EndReason {
         REFUSED,
@@ -30,10 +30,10 @@
     }
 
     /** An HTTP answer whose status is not the one that was asked for. */
-    static final class UnexpectedStatus extends RuntimeException {
+    static final class UnexpectedStatusException extends RuntimeException {
         private static final long serialVersionUID = 1L;
 
-        UnexpectedStatus(String statusLine) {
+        UnexpectedStatusException(String statusLine) {
             super(statusLine);
         }
     }
@@ -52,9 +52,9 @@
     private String connectError = "";
     private EndReason brokenBy = EndReason.CLOSED_BY_PEER;
 
-    private final Net net;
+    private final NettyTransport net;
     private final int longest;
-    private final Log log;
+    private final RateLimitedLog log;
     private final String about;
     private byte[] line = new byte[256];
     private int length;
@@ -62,27 +62,27 @@
     private Future<?> limit;
     private boolean over;
 
-    Lines(Net net, int longest, Log log, String about) {
+    LineConnection(NettyTransport net, int longest, RateLimitedLog log, String about) {
         this.net = net;
         this.longest = longest;
         this.log = log;
         this.about = about;
     }
 
-    abstract String says();
+    abstract String initialRequest();
 
     /** Not called any more once the connection has ended or was dropped. */
-    abstract void line(String text);
+    abstract void onLine(String text);
 
     /** Bytes came, be it the middle of a line. */
-    void progress() {}
+    void onBytesReceived() {}
 
-    /** Called once, when the connection has ended for whatever reason but {@link #drop}. */
-    abstract void end(EndReason reason);
+    /** Called once, when the connection has ended for whatever reason but {@link #cancel}. */
+    abstract void onEnd(EndReason reason);
 
-    final void open(InetSocketAddress to, long withinNs, long limitNs) {
+    final void connect(InetSocketAddress to, long withinNs, long limitNs) {
         openedNs = System.nanoTime();
-        limit(limitNs);
+        resetTimeout(limitNs);
         channel =
                 net.connect(
                         to,
@@ -93,20 +93,20 @@
                             boolean refused =
                                     cause instanceof ConnectException
                                             && !(cause instanceof ConnectTimeoutException);
-                            ended(refused ? EndReason.REFUSED : EndReason.CONNECT_FAILED);
+                            terminate(refused ? EndReason.REFUSED : EndReason.CONNECT_FAILED);
                         });
     }
 
     /** It ends after this long, in place of any limit before. */
-    final void limit(long ns) {
+    final void resetTimeout(long ns) {
         if (limit != null) {
             limit.cancel(false);
         }
-        limit = net.after(ns, () -> ended(EndReason.SILENT));
+        limit = net.schedule(ns, () -> terminate(EndReason.SILENT));
     }
 
     /** Without a word about it: whoever drops it needs none. */
-    final void drop() {
+    final void cancel() {
         over = true;
         if (limit != null) {
             limit.cancel(false);
@@ -116,20 +116,20 @@
         }
     }
 
-    final void ended(EndReason reason) {
+    final void terminate(EndReason reason) {
         if (!over) {
-            drop();
-            end(reason);
+            cancel();
+            onEnd(reason);
         }
     }
 
     /** Whether any byte has come. */
-    final boolean begun() {
+    final boolean hasReceivedBytes() {
         return firstByteNs != 0;
     }
 
     /** What happened on this connection and when, in milliseconds since it began to open. */
-    final String history() {
+    final String describeProgress() {
         return String.format(
                         Locale.ROOT,
                         "after %d ms (connected %s, first byte %s, last byte %s; %d bytes, %d lines)",
@@ -147,24 +147,24 @@
     }
 
     /** What arrives is text already, unless a transfer coding lies around it. */
-    void bytes(ByteBuf in) {
+    void decode(ByteBuf in) {
         while (in.isReadable()) {
-            letter(in.readByte());
+            appendByte(in.readByte());
         }
     }
 
-    final void letter(byte b) {
+    final void appendByte(byte b) {
         if (b == '\n') {
             int end = length > 0 && line[length - 1] == '\r' ? length - 1 : length;
             length = 0;
             if (!over) {
                 linesRead++;
-                line(new String(line, 0, end, StandardCharsets.UTF_8));
+                onLine(new String(line, 0, end, StandardCharsets.UTF_8));
             }
             return;
         }
         if (length == longest) {
-            throw new Fault("a line longer than " + longest);
+            throw new InvalidInputException("a line longer than " + longest);
         }
         if (length == line.length) {
             line = Arrays.copyOf(line, 2 * length);
@@ -176,7 +176,7 @@
     public final void channelActive(ChannelHandlerContext ctx) {
         channel = ctx.channel();
         connectedNs = System.nanoTime();
-        ctx.writeAndFlush(Unpooled.copiedBuffer(says(), StandardCharsets.US_ASCII));
+        ctx.writeAndFlush(Unpooled.copiedBuffer(initialRequest(), StandardCharsets.US_ASCII));
     }
 
     @Override
@@ -187,9 +187,9 @@
         bytesRead += in.readableBytes();
         try {
             if (!over) {
-                progress();
+                onBytesReceived();
             }
-            bytes(in);
+            decode(in);
         } finally {
             in.release();
         }
@@ -197,7 +197,7 @@
 
     @Override
     public final void channelInactive(ChannelHandlerContext ctx) {
-        ended(brokenBy);
+        terminate(brokenBy);
     }
 
     /** What can't be read costs the connection, and what it was for is asked anew. */
@@ -205,11 +205,11 @@
     public final void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
         if (cause instanceof IOException) {
             brokenBy = EndReason.RESET;
-        } else if (cause instanceof UnexpectedStatus) {
+        } else if (cause instanceof UnexpectedStatusException) {
             brokenBy = EndReason.STATUS;
         } else {
             brokenBy = EndReason.UNREADABLE;
-            log.fault(about, cause);
+            log.internalError(about, cause);
         }
         ctx.close();
     }
--- a/sidecar/src/main/java/mulleinlever/sidecar/Held.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/PendingCommand.java
@@ -5,43 +5,43 @@
 import java.util.List;
 
 /** A req taken and not yet done with, or another command that waits for its turn to be answered. */
-final class Held {
+final class PendingCommand {
     /**
      * What a req takes besides its text: the buffer it was read into, its tries, what the module
      * keeps.
      */
     private static final int OVERHEAD = 2048;
 
-    final TakeIn client;
+    final ClientConnection client;
 
     /** Null for a command that is no req. */
     final Statement statement;
 
-    final List<Upstream> tries = new ArrayList<>(2);
+    final List<UpstreamTry> tries = new ArrayList<>(2);
 
     /**
      * When it was taken, how long an answer earns its full worth, and how long its client waits.
      */
-    long takenNs;
+    long receivedNs;
 
-    long objectiveNs;
-    long waitsNs;
+    long latencyObjectiveNs;
+    long clientTimeoutNs;
 
     /** The answer, once there is one, waiting for those ahead of it on its connection. */
-    ByteBuf answer;
+    ByteBuf response;
 
-    boolean answered;
+    boolean outcomeDecided;
 
-    Held(TakeIn client, Statement statement) {
+    PendingCommand(ClientConnection client, Statement statement) {
         this.client = client;
         this.statement = statement;
     }
 
-    boolean triesOut() {
-        return tries.stream().anyMatch(t -> !t.ended());
+    boolean hasTriesInFlight() {
+        return tries.stream().anyMatch(t -> !t.hasEnded());
     }
 
-    int bytes() {
+    int memoryBytes() {
         return statement.text.readableBytes() + OVERHEAD;
     }
 }
--- a/sidecar/src/main/java/mulleinlever/sidecar/Again.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/ReconnectBackoff.java
@@ -9,7 +9,7 @@
  * than the bound begins at the first again, since a peer that accepts and breaks off at once is
  * down too.
  */
-final class Again {
+final class ReconnectBackoff {
     private final long firstNs;
     private final long mostNs;
     private final SplittableRandom random;
@@ -17,7 +17,7 @@
     private long openedNs;
 
     /** Times in nanoseconds; the longest wait is the first one where it would be less. */
-    Again(long firstNs, long mostNs, long seed) {
+    ReconnectBackoff(long firstNs, long mostNs, long seed) {
         this.firstNs = firstNs;
         this.mostNs = Math.max(firstNs, mostNs);
         this.random = new SplittableRandom(seed);
@@ -28,7 +28,7 @@
      * from all, on average: no more than a minute, whatever was set. While it is still bunched, a
      * large one makes more in single seconds.
      */
-    static long mostFor(int sidecars, double callsPerSecond) {
+    static long maxDelayNs(int sidecars, double callsPerSecond) {
         return (long)
                 (1e9
                         * Math.min(
@@ -36,12 +36,12 @@
                                 2.0 * sidecars / (callsPerSecond > 0.1 ? callsPerSecond : 0.1)));
     }
 
-    void opened(long nowNs) {
+    void recordOpened(long nowNs) {
         openedNs = nowNs;
     }
 
     /** How long to wait, in nanoseconds, after it has ended now. */
-    long endedNs(long nowNs) {
+    long nextDelayNs(long nowNs) {
         boolean stood = nowNs - openedNs > mostNs + firstNs;
         waitNs = waitNs == 0 || stood ? firstNs : Math.min(mostNs, 2 * waitNs);
         return waitNs / 2 + random.nextLong(waitNs / 2 + 1);
--- a/sidecar/src/main/java/mulleinlever/sidecar/Platform.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/ReleasePlatformClient.java
@@ -3,15 +3,15 @@
 import java.net.InetSocketAddress;
 import java.util.Comparator;
 import java.util.List;
-import mulleinlever.News;
 import mulleinlever.Policy;
+import mulleinlever.RolloutStatus;
+import mulleinlever.RolloutVote;
 import mulleinlever.Settings;
-import mulleinlever.Verdict;
-import mulleinlever.settings.Fields;
-import mulleinlever.settings.JsonFields;
+import mulleinlever.settings.FieldReader;
+import mulleinlever.settings.JsonFieldReader;
 
 /** The platform that stages builds: its news on one connection, each vote on one of its own. */
-final class Platform {
+final class ReleasePlatformClient {
     private static final int LONGEST = 8192;
     private static final long CONNECT_NS = 1_000_000_000L;
 
@@ -26,54 +26,56 @@
     private static final long MS = 1_000_000L;
 
     /** On trial, then released, or on the way back from either. */
-    private static final List<News.Phase> PHASES =
+    private static final List<RolloutStatus.Phase> PHASES =
             List.of(
-                    News.Phase.ON_TRIAL,
-                    News.Phase.RELEASED,
-                    News.Phase.REVERTING,
-                    News.Phase.WITHDRAWN);
+                    RolloutStatus.Phase.ON_TRIAL,
+                    RolloutStatus.Phase.RELEASED,
+                    RolloutStatus.Phase.REVERTING,
+                    RolloutStatus.Phase.WITHDRAWN);
 
-    private static final Comparator<News> FORWARD =
-            Comparator.comparingInt(News::build)
+    private static final Comparator<RolloutStatus> FORWARD =
+            Comparator.comparingInt(RolloutStatus::build)
                     .thenComparingInt(n -> PHASES.indexOf(n.phase()))
-                    .thenComparingInt(News::stage);
+                    .thenComparingInt(RolloutStatus::stage);
 
-    private final Net net;
+    private final NettyTransport net;
     private final Clock clock;
-    private final Log log;
+    private final RateLimitedLog log;
     private InetSocketAddress address;
     private final long voteWaitNs;
     private Policy policy;
-    private News last;
+    private RolloutStatus last;
     private long lastNs;
-    private Listener listener;
-    private final Again again;
+    private NotificationConnection listener;
+    private final ReconnectBackoff again;
 
-    Platform(Net net, Clock clock, Log log, Config config) {
+    ReleasePlatformClient(
+            NettyTransport net, Clock clock, RateLimitedLog log, SidecarConfig config) {
         this.net = net;
         this.clock = clock;
         this.log = log;
-        this.address = config.platform();
+        this.address = config.releaseApiAddress();
         Settings set = config.settings();
-        this.voteWaitNs = set.rollout().voteWaitNs();
+        this.voteWaitNs = set.rollout().voteTimeoutNs();
         this.again =
-                new Again(
+                new ReconnectBackoff(
                         RETRY_NS,
-                        Again.mostFor(set.sidecars(), set.rollout().votesPerSecond()),
+                        ReconnectBackoff.maxDelayNs(
+                                set.sidecarCount(), set.rollout().votesPerSecond()),
                         config.seed());
     }
 
-    void reportsTo(Policy decides) {
+    void setPolicy(Policy decides) {
         this.policy = decides;
     }
 
-    static News.Phase phase(String word, Fields at) {
+    static RolloutStatus.Phase parsePhase(String word, FieldReader at) {
         return switch (word) {
-            case "testing" -> News.Phase.ON_TRIAL;
-            case "recalling" -> News.Phase.REVERTING;
-            case "live" -> News.Phase.RELEASED;
-            case "recalled" -> News.Phase.WITHDRAWN;
-            default -> throw at.bad("phase", "testing, recalling, live or recalled");
+            case "testing" -> RolloutStatus.Phase.ON_TRIAL;
+            case "recalling" -> RolloutStatus.Phase.REVERTING;
+            case "live" -> RolloutStatus.Phase.RELEASED;
+            case "recalled" -> RolloutStatus.Phase.WITHDRAWN;
+            default -> throw at.fieldError("phase", "testing, recalling, live or recalled");
         };
     }
 
@@ -83,24 +85,25 @@
      * what lies behind the news just heard is left out; not for long, lest one odd line make us
      * deaf.
      */
-    private void tell(News n) {
-        long now = clock.now();
+    private void tell(RolloutStatus n) {
+        long now = clock.nowNs();
         if (last == null || now - lastNs > ORDER_NS || FORWARD.compare(n, last) >= 0) {
             last = n;
             lastNs = now;
-            policy.news(now, n);
+            policy.onRolloutStatus(now, n);
         }
     }
 
     /** Where the newest build stood when last told, be it at the start. */
-    News last(News atFirst) {
+    RolloutStatus latestStatusOr(RolloutStatus atFirst) {
         return last == null ? atFirst : last;
     }
 
     /** The news behind a line's first words. */
-    private static News news(String[] words, int from) {
-        News.Phase phase = phase(words[from + 2], new JsonFields("platform: ", null));
-        return new News(
+    private static RolloutStatus news(String[] words, int from) {
+        RolloutStatus.Phase phase =
+                parsePhase(words[from + 2], new JsonFieldReader("platform: ", null));
+        return new RolloutStatus(
                 Integer.parseInt(words[from]),
                 Integer.parseInt(words[from + 1]),
                 phase,
@@ -112,22 +115,22 @@
         return (long) (Math.max(0, Double.parseDouble(ms)) * MS);
     }
 
-    void listen() {
-        listener = new Listener();
-        again.opened(clock.now());
-        listener.open(address, CONNECT_NS, SILENT_NS);
+    void subscribe() {
+        listener = new NotificationConnection();
+        again.recordOpened(clock.nowNs());
+        listener.connect(address, CONNECT_NS, SILENT_NS);
     }
 
     /** Votes under way at the old address are still answered there, or end and may have counted. */
-    void moved(InetSocketAddress to) {
+    void updateAddress(InetSocketAddress to) {
         if (!to.equals(address)) {
             address = to;
-            listener.drop();
-            listen();
+            listener.cancel();
+            subscribe();
         }
     }
 
-    void vote(int build, int stage, Verdict verdict) {
+    void sendVote(int build, int stage, RolloutVote verdict) {
         String word =
                 switch (verdict) {
                     case NONE -> "clear";
@@ -135,68 +138,68 @@
                     case HOLD -> "wait";
                     case BACK -> "reject";
                 };
-        log.say("platform", "vote: build " + build + " stage " + stage + " " + word);
-        new Vote("BALLOT " + build + " " + stage + " " + word)
-                .open(address, Math.min(CONNECT_NS, voteWaitNs), voteWaitNs);
+        log.info("platform", "vote: build " + build + " stage " + stage + " " + word);
+        new VoteConnection("BALLOT " + build + " " + stage + " " + word)
+                .connect(address, Math.min(CONNECT_NS, voteWaitNs), voteWaitNs);
     }
 
-    private final class Vote extends Lines {
+    private final class VoteConnection extends LineConnection {
         private final String ballot;
 
-        Vote(String ballot) {
+        VoteConnection(String ballot) {
             super(net, LONGEST, log, "platform");
             this.ballot = ballot;
         }
 
         @Override
-        String says() {
+        String initialRequest() {
             return ballot + "\r\n";
         }
 
         @Override
-        void line(String text) {
+        void onLine(String text) {
             if (text.startsWith("*")) {
                 return;
             }
             String[] words = text.split(" ");
             boolean counts = words[0].equals("OK") && words.length >= 6;
-            News n = counts ? news(words, 1) : null;
-            drop();
-            policy.voteAnswered(clock.now(), counts);
+            RolloutStatus n = counts ? news(words, 1) : null;
+            cancel();
+            policy.onVoteAnswered(clock.nowNs(), counts);
             if (counts) {
                 tell(n);
             } else {
-                log.say("platform", "vote not taken: " + text);
+                log.info("platform", "vote not taken: " + text);
             }
         }
 
         /** With no answer it may count all the same, which the module allows for. */
         @Override
-        void end(EndReason reason) {
-            log.say("platform", "no answer to the vote: " + reason + " " + history());
-            policy.voteAnswered(clock.now(), false);
+        void onEnd(EndReason reason) {
+            log.info("platform", "no answer to the vote: " + reason + " " + describeProgress());
+            policy.onVoteAnswered(clock.nowNs(), false);
         }
     }
 
-    private final class Listener extends Lines {
-        Listener() {
+    private final class NotificationConnection extends LineConnection {
+        NotificationConnection() {
             super(net, LONGEST, log, "platform");
         }
 
         @Override
-        String says() {
+        String initialRequest() {
             return "NOTIFY\r\n";
         }
 
         @Override
-        void line(String text) {
-            limit(SILENT_NS);
+        void onLine(String text) {
+            resetTimeout(SILENT_NS);
             String[] w = text.split(" ");
-            long now = clock.now();
+            long now = clock.nowNs();
             switch (w.length > 1 && w[0].equals("*") ? w[1] : "") {
                 case "progress" -> tell(news(w, 2));
                 case "metrics" ->
-                        policy.tally(
+                        policy.onPlatformTally(
                                 now,
                                 w[3],
                                 Integer.parseInt(w[2]),
@@ -204,21 +207,21 @@
                                 Double.parseDouble(w[5]),
                                 age(w[6]),
                                 age(w[7]));
-                case "complaint" -> policy.flagged(now, w[2], w[3]);
+                case "complaint" -> policy.onComplaint(now, w[2], w[3]);
                 default -> {}
             }
         }
 
         @Override
-        void end(EndReason reason) {
-            log.say("platform", "the news have ended: " + reason + " " + history());
-            net.after(
-                    again.endedNs(clock.now()),
+        void onEnd(EndReason reason) {
+            log.info("platform", "the news have ended: " + reason + " " + describeProgress());
+            net.schedule(
+                    again.nextDelayNs(clock.nowNs()),
                     () -> {
                         // Unless the platform has moved meanwhile: news heard twice would count
                         // twice.
                         if (listener == this) {
-                            listen();
+                            subscribe();
                         }
                     });
         }
--- a/sidecar/src/main/java/mulleinlever/sidecar/Flow.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/ReqMemoryLimiter.java
@@ -7,33 +7,33 @@
  * Bounds what reqs in hand take: past the most no client is read from until there is room again, so
  * that large values in a burst don't use up the memory.
  */
-final class Flow {
+final class ReqMemoryLimiter {
     private static final long MOST = 12L << 20;
 
-    private final Set<TakeIn> waiting = new LinkedHashSet<>();
+    private final Set<ClientConnection> waiting = new LinkedHashSet<>();
     private long bytes;
 
-    boolean full() {
+    boolean isExceeded() {
         return bytes > MOST;
     }
 
-    void add(int more) {
+    void reserve(int more) {
         bytes += more;
     }
 
-    void remove(int less) {
+    void release(int less) {
         bytes -= less;
-        if (!full() && !waiting.isEmpty()) {
-            waiting.forEach(TakeIn::resumeSoon);
+        if (!isExceeded() && !waiting.isEmpty()) {
+            waiting.forEach(ClientConnection::scheduleDecode);
             waiting.clear();
         }
     }
 
-    void await(TakeIn client) {
+    void addWaiter(ClientConnection client) {
         waiting.add(client);
     }
 
-    void forget(TakeIn client) {
+    void removeWaiter(ClientConnection client) {
         waiting.remove(client);
     }
 }
--- a/sidecar/src/main/java/mulleinlever/sidecar/Counts.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/SidecarMetrics.java
@@ -1,19 +1,19 @@
 package mulleinlever.sidecar;
 
 import java.util.Locale;
-import mulleinlever.Ending;
 import mulleinlever.Policy;
+import mulleinlever.TryOutcome;
 
 /**
  * What happened since the last line of the log on it: one line a second while reqs come, which
  * {@code fleetlog} adds up over a fleet. Counting costs an increment; the line is put together once
  * a second, not by req.
  */
-final class Counts {
+final class SidecarMetrics {
     /**
      * In the order of the line. A req never sent on is counted as that beside how it was answered.
      */
-    enum What {
+    enum Event {
         IN,
         COMPLETED,
         LATE,
@@ -33,47 +33,47 @@
     private static final int STORIES = 3;
 
     private final Clock clock;
-    private final Log log;
-    private final int[] of = new int[What.values().length];
-    private final int[] ends = new int[Ending.values().length];
+    private final RateLimitedLog log;
+    private final int[] of = new int[Event.values().length];
+    private final int[] ends = new int[TryOutcome.values().length];
     private int stories;
 
-    Counts(Clock clock, Log log) {
+    SidecarMetrics(Clock clock, RateLimitedLog log) {
         this.clock = clock;
         this.log = log;
     }
 
-    void add(What what) {
+    void increment(Event what) {
         of[what.ordinal()]++;
     }
 
-    void ended(Ending how) {
+    void recordTryOutcome(TryOutcome how) {
         ends[how.ordinal()]++;
     }
 
     /**
      * How a req was answered: completed and in time or late, shed, errored, or left by its client.
      */
-    void answered(Held held, What how) {
-        add(how);
-        long tookNs = clock.now() - held.takenNs;
-        if (how == What.COMPLETED && tookNs > held.objectiveNs) {
-            add(What.LATE);
+    void recordOutcome(PendingCommand held, Event how) {
+        increment(how);
+        long tookNs = clock.nowNs() - held.receivedNs;
+        if (how == Event.COMPLETED && tookNs > held.latencyObjectiveNs) {
+            increment(Event.LATE);
         }
-        boolean sent = held.tries.stream().anyMatch(t -> t.written);
+        boolean sent = held.tries.stream().anyMatch(t -> t.fullyWritten);
         if (!sent) {
-            add(What.UNSENT);
+            increment(Event.UNSENT);
         }
-        boolean overdue = tookNs > held.waitsNs;
+        boolean overdue = tookNs > held.clientTimeoutNs;
         if (overdue) {
-            add(What.OVERDUE);
+            increment(Event.OVERDUE);
         }
-        if ((overdue || how != What.COMPLETED && how != What.GONE) && ++stories <= STORIES) {
-            log.say("req", story(held, how, tookNs));
+        if ((overdue || how != Event.COMPLETED && how != Event.GONE) && ++stories <= STORIES) {
+            log.info("req", story(held, how, tookNs));
         }
     }
 
-    private static String story(Held held, What how, long tookNs) {
+    private static String story(PendingCommand held, Event how, long tookNs) {
         StringBuilder b =
                 new StringBuilder(held.statement.id)
                         .append(' ')
@@ -81,34 +81,34 @@
                         .append(" after ")
                         .append(tookNs / 1_000_000)
                         .append(" of ")
-                        .append(held.waitsNs / 1_000_000)
+                        .append(held.clientTimeoutNs / 1_000_000)
                         .append(" ms");
-        for (Upstream t : held.tries) {
+        for (UpstreamTry t : held.tries) {
             b.append("; ")
-                    .append(t.pod)
+                    .append(t.podId)
                     .append(" at ")
-                    .append((t.calledNs - held.takenNs) / 1_000_000)
+                    .append((t.startedNs - held.receivedNs) / 1_000_000)
                     .append(' ')
-                    .append(t.ended() ? word(t.how) : "out")
-                    .append(t.written ? "" : " unwritten");
+                    .append(t.hasEnded() ? word(t.outcome) : "out")
+                    .append(t.fullyWritten ? "" : " unwritten");
         }
         return b.toString();
     }
 
     /** Says what there is to say, and begins anew. */
-    void tell(Policy.Sight sight, int clients, int links, long listAgeNs) {
+    void logAndReset(Policy.Stats sight, int clients, int links, long listAgeNs) {
         StringBuilder b = new StringBuilder();
-        for (What w : What.values()) {
+        for (Event w : Event.values()) {
             put(b, word(w), of[w.ordinal()]);
             of[w.ordinal()] = 0;
         }
-        for (Ending e : Ending.values()) {
+        for (TryOutcome e : TryOutcome.values()) {
             put(b, "try_" + word(e), ends[e.ordinal()]);
             ends[e.ordinal()] = 0;
         }
         stories = 0;
         if (b.length() > 0) {
-            log.say(
+            log.info(
                     "count",
                     b.append(
                                     String.format(
@@ -117,16 +117,16 @@
                                                     + "further=%d ease=%.2f ready=%d usable=%d fit=%d cold=%d dark=%d list_age=%.1f",
                                             clients,
                                             links,
-                                            sight.room(),
-                                            sight.open(),
-                                            sight.firstTries(),
-                                            sight.furtherTries(),
-                                            sight.ease(),
-                                            sight.ready(),
-                                            sight.usable(),
-                                            sight.fit(),
-                                            sight.cold(),
-                                            sight.dark(),
+                                            sight.tryLimit(),
+                                            sight.openTryCount(),
+                                            sight.queuedFirstTryCount(),
+                                            sight.queuedRetryCount(),
+                                            sight.meanLatencyRatio(),
+                                            sight.readyPodCount(),
+                                            sight.leasedPodCount(),
+                                            sight.healthyPodCount(),
+                                            sight.coldPodCount(),
+                                            sight.unreachablePodCount(),
                                             listAgeNs / 1e9))
                             .toString());
         }
--- a/sidecar/src/main/java/mulleinlever/sidecar/Serve.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/SidecarServer.java
@@ -8,11 +8,11 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 import mulleinlever.Settings;
-import mulleinlever.settings.Fault;
-import mulleinlever.settings.Ours;
+import mulleinlever.settings.FeatureSettings;
+import mulleinlever.settings.InvalidInputException;
 
 /** The real sidecar: puts its parts together, starts and ends. */
-public final class Serve {
+public final class SidecarServer {
     private static final long MS = 1_000_000L;
     private static final long SECOND = 1_000 * MS;
 
@@ -31,30 +31,35 @@
     private static final long WATCH_NS = 50 * MS;
     private static final long LATE_NS = 50 * MS;
 
-    private final Config config;
+    private final SidecarConfig config;
 
     /** Null where nothing is remembered. */
-    private final Memory memory;
+    private final StatePersistence memory;
 
     private final Clock clock;
-    private final Log log;
-    private final Life life;
-    private final Net net;
-    private final Reload reload;
+    private final RateLimitedLog log;
+    private final Lifecycle life;
+    private final NettyTransport net;
+    private final ConfigReloader reload;
     private final CountDownLatch done = new CountDownLatch(1);
     private final long startedNs;
-    private Stages stages;
+    private SidecarComponents stages;
     private long lastNs;
 
-    private Serve(Map<String, String> env, Config config, Memory memory, Clock clock, Log log) {
+    private SidecarServer(
+            Map<String, String> env,
+            SidecarConfig config,
+            StatePersistence memory,
+            Clock clock,
+            RateLimitedLog log) {
         this.config = config;
         this.memory = memory;
         this.clock = clock;
-        this.startedNs = clock.now();
+        this.startedNs = clock.nowNs();
         this.log = log;
-        this.life = new Life(log);
-        this.net = new Net(log);
-        this.reload = new Reload(env, config, net, log);
+        this.life = new Lifecycle(log);
+        this.net = new NettyTransport(log);
+        this.reload = new ConfigReloader(env, config, net, log);
     }
 
     /**
@@ -64,39 +69,41 @@
      */
     public static int run(Map<String, String> env, List<Path> with) throws InterruptedException {
         Clock clock = new Clock();
-        Log log = new Log(System.err, clock);
-        NettyLog.passTo(log);
-        Config config;
-        Ours ours;
+        RateLimitedLog log = new RateLimitedLog(System.err, clock);
+        NettyLogHandler.install(log);
+        SidecarConfig config;
+        FeatureSettings ours;
         try {
-            config = Config.load(env);
-            ours = with.isEmpty() ? Ours.NONE : Ours.read(with);
+            config = SidecarConfig.load(env);
+            ours = with.isEmpty() ? FeatureSettings.NONE : FeatureSettings.read(with);
         } catch (RuntimeException e) {
-            log.say("config", e instanceof Fault ? e.getMessage() : e.toString());
+            log.info("config", e instanceof InvalidInputException ? e.getMessage() : e.toString());
             return 2;
         }
         // Not even named where it is off: what it needs is not on the bare daemon's class path.
-        Memory memory =
-                ours.remember() == null ? null : new Memory(ours.remember(), config, clock, log);
-        Serve serve = new Serve(env, config, memory, clock, log);
+        StatePersistence memory =
+                ours.stateSettings() == null
+                        ? null
+                        : new StatePersistence(ours.stateSettings(), config, clock, log);
+        SidecarServer serve = new SidecarServer(env, config, memory, clock, log);
         Runtime.getRuntime().addShutdownHook(new Thread(serve::stop, "stop"));
         AtomicInteger code = new AtomicInteger();
-        serve.reload.listen();
+        serve.reload.installSignalHandler();
         if (memory == null) {
             // Discovery may have a long line, so it is asked while the rehearsal goes on.
-            serve.net.soon(serve::prepare);
+            serve.net.execute(serve::prepare);
         }
-        Rehearsal.play(
+        WarmUp.run(
                 config,
                 played -> {
-                    log.say("life", played.toString());
+                    log.info("life", played.toString());
                     serve.remember();
-                    serve.net.soon(
+                    serve.net.execute(
                             () -> {
                                 try {
                                     serve.start(code);
                                 } catch (RuntimeException e) {
-                                    log.say("life", "can't start: " + e);
+                                    log.info("life", "can't start: " + e);
                                     code.set(2);
                                     serve.end();
                                 }
@@ -111,7 +118,7 @@
     private void remember() {
         try {
             if (memory != null) {
-                memory.await();
+                memory.awaitLoaded();
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
@@ -120,33 +127,35 @@
 
     private void forgo() throws InterruptedException {
         if (memory != null) {
-            memory.close();
+            memory.awaitFinalWrite();
         }
     }
 
     private void start(AtomicInteger code) {
-        if (life.is(Life.Phase.ENDED)) {
+        if (life.isIn(Lifecycle.Phase.ENDED)) {
             return;
         }
         if (stages == null) {
             prepare();
         }
         if (memory != null) {
-            memory.begin(net, stages);
+            memory.restoreAndScheduleSnapshots(net, stages);
         }
-        stages.platform.listen();
-        reload.actsOn(stages);
-        net.every(SECOND, stages::sweep);
-        lastNs = clock.now();
-        net.every(WATCH_NS, this::watchLoop);
+        stages.releasePlatform.subscribe();
+        reload.applyTo(stages);
+        net.scheduleAtFixedRate(SECOND, stages::runMaintenance);
+        lastNs = clock.nowNs();
+        net.scheduleAtFixedRate(WATCH_NS, this::watchLoop);
         listenOnceListed(code);
     }
 
     /** Puts the stages together and asks discovery for the list. */
     private void prepare() {
-        stages = new Stages(memory == null ? config : memory.startsFrom(), net, clock, log, life);
-        if (!config.settings().listMustBeAsked()) {
-            stages.discovery.watch();
+        stages =
+                new SidecarComponents(
+                        memory == null ? config : memory.initialConfig(), net, clock, log, life);
+        if (!config.settings().requiresListWatch()) {
+            stages.discovery.openWatch();
         }
     }
 
@@ -155,28 +164,31 @@
      * long.
      */
     private void listenOnceListed(AtomicInteger code) {
-        if (life.is(Life.Phase.ENDED)) {
+        if (life.isIn(Lifecycle.Phase.ENDED)) {
             return;
         }
-        if (stages.discovery.settled() || clock.now() >= startedNs + LIST_WITHIN_NS) {
+        if (stages.discovery.isListConfirmedOrUnreachable()
+                || clock.nowNs() >= startedNs + LIST_WITHIN_NS) {
             listen(LISTEN_TRIES, code);
         } else {
-            net.after(LIST_LOOK_NS, () -> listenOnceListed(code));
+            net.schedule(LIST_LOOK_NS, () -> listenOnceListed(code));
         }
     }
 
     /** A predecessor may hold the address for a moment after it was told to go. */
     private void listen(int tries, AtomicInteger code) {
-        ChannelFuture listening = net.listen(config.listen(), stages::client);
+        ChannelFuture listening = net.bind(config.listenAddress(), stages::newClientHandler);
         listening.addListener(
                 f -> {
                     if (f.isSuccess()) {
-                        stages.clients.listensAt(listening.channel());
-                        life.enter(Life.Phase.SERVING);
+                        stages.clientConnections.setListener(listening.channel());
+                        life.advanceTo(Lifecycle.Phase.SERVING);
                     } else if (tries > 1) {
-                        net.after(LISTEN_AGAIN_NS, () -> listen(tries - 1, code));
+                        net.schedule(LISTEN_AGAIN_NS, () -> listen(tries - 1, code));
                     } else {
-                        log.say("life", "can't listen at " + config.listen() + ": " + f.cause());
+                        log.info(
+                                "life",
+                                "can't listen at " + config.listenAddress() + ": " + f.cause());
                         code.set(2);
                         end();
                     }
@@ -185,27 +197,31 @@
 
     /** All time limits are as late as the loop is. */
     private void watchLoop() {
-        long now = clock.now();
+        long now = clock.nowNs();
         long late = now - lastNs - WATCH_NS;
         if (late > LATE_NS) {
-            log.say(
+            log.info(
                     "loop",
-                    "late by " + late / MS + " ms, " + stages.book.count() + " reqs in hand");
+                    "late by "
+                            + late / MS
+                            + " ms, "
+                            + stages.reqRegistry.inFlightCount()
+                            + " reqs in hand");
         }
         lastNs = now;
     }
 
     /** Runs when the process is told to stop, which it does when this returns. */
     private void stop() {
-        if (life.is(Life.Phase.ENDED)) {
+        if (life.isIn(Lifecycle.Phase.ENDED)) {
             return;
         }
-        net.soon(
+        net.execute(
                 () -> {
-                    if (life.is(Life.Phase.STARTING)) {
+                    if (life.isIn(Lifecycle.Phase.STARTING)) {
                         end();
-                    } else if (life.enter(Life.Phase.LEAVING)) {
-                        net.after(LEAVING_NS, this::finish);
+                    } else if (life.advanceTo(Lifecycle.Phase.LEAVING)) {
+                        net.schedule(LEAVING_NS, this::finish);
                     }
                 });
         try {
@@ -217,27 +233,27 @@
     }
 
     private void finish() {
-        life.enter(Life.Phase.FINISHING);
-        stages.clients.finish();
+        life.advanceTo(Lifecycle.Phase.FINISHING);
+        stages.clientConnections.shutDown();
         long longest =
                 config.settings().routes().stream()
-                        .mapToLong(Settings.Route::timeoutNs)
+                        .mapToLong(Settings.RouteSettings::timeoutNs)
                         .max()
                         .orElse(0);
-        net.after(longest + SLACK_NS, this::end);
-        net.every(
+        net.schedule(longest + SLACK_NS, this::end);
+        net.scheduleAtFixedRate(
                 10 * MS,
                 () -> {
-                    if (stages.clients.count() == 0) {
+                    if (stages.clientConnections.connectionCount() == 0) {
                         end();
                     }
                 });
     }
 
     private void end() {
-        if (life.enter(Life.Phase.ENDED)) {
+        if (life.advanceTo(Lifecycle.Phase.ENDED)) {
             if (memory != null) {
-                memory.last();
+                memory.writeFinalSnapshot();
             }
             net.close();
             done.countDown();
--- a/sidecar/src/main/java/mulleinlever/sidecar/Memory.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/StatePersistence.java
@@ -12,23 +12,23 @@
 import java.util.concurrent.Future;
 import java.util.stream.Collectors;
 import java.util.zip.CRC32C;
-import mulleinlever.Learned;
-import mulleinlever.News;
+import mulleinlever.LearnedState;
 import mulleinlever.PodEntry;
+import mulleinlever.RolloutStatus;
 import mulleinlever.Settings;
-import mulleinlever.disk.FolderDisk;
-import mulleinlever.settings.Ours;
+import mulleinlever.disk.FileSystemDirectory;
+import mulleinlever.settings.FeatureSettings;
 import mulleinlever.settings.Version;
-import mulleinlever.state.Ageing;
-import mulleinlever.state.Capture;
-import mulleinlever.state.Keeper;
-import mulleinlever.state.Kept;
-import mulleinlever.state.Taking;
+import mulleinlever.state.SnapshotBuilder;
+import mulleinlever.state.SnapshotFilter;
+import mulleinlever.state.StateDecay;
+import mulleinlever.state.StateSnapshot;
+import mulleinlever.state.StateStore;
 
 /**
  * What is kept over a restart: read before the first client comes, and captured from time to time.
  */
-final class Memory {
+final class StatePersistence {
     private static final Path MACHINE = Path.of("/etc/machine-id");
 
     /** Between two slices of a capture the loop turns to its connections. */
@@ -36,54 +36,62 @@
 
     private static final int MOST_LINES = 3;
 
-    private final Ours.Remember set;
-    private final Config config;
+    private final FeatureSettings.StateSettings set;
+    private final SidecarConfig config;
     private final Clock clock;
-    private final Log log;
-    private final Keeper keeper;
+    private final RateLimitedLog log;
+    private final StateStore keeper;
     private final SplittableRandom random;
     private final long start;
-    private final Future<Keeper.Found> opening;
-    private Keeper.Found found;
+    private final Future<StateStore.LoadResult> opening;
+    private StateStore.LoadResult found;
     private long ageNs;
-    private Net net;
-    private Stages stages;
+    private NettyTransport net;
+    private SidecarComponents stages;
 
     /** Begins to read, on a thread of its own. */
-    Memory(Ours.Remember set, Config config, Clock clock, Log log) {
+    StatePersistence(
+            FeatureSettings.StateSettings set,
+            SidecarConfig config,
+            Clock clock,
+            RateLimitedLog log) {
         this.set = set;
         this.config = config;
         this.clock = clock;
         this.log = log;
-        FolderDisk disk = new FolderDisk(set.folder());
+        FileSystemDirectory disk = new FileSystemDirectory(set.folder());
         try {
-            disk.make();
+            disk.createDirectories();
         } catch (IOException e) {
             // The keeper says so at each step that needs it.
         }
         keeper =
-                new Keeper(
-                        disk, set.keep(), set.mostBytes(), config.name(), l -> log.say("state", l));
+                new StateStore(
+                        disk,
+                        set.retainedFileCount(),
+                        set.maxFileBytes(),
+                        config.name(),
+                        l -> log.info("state", l));
         // The seed alone may stand in a file and be the same at each start.
-        random = new SplittableRandom(config.seed() ^ clock.now());
+        random = new SplittableRandom(config.seed() ^ clock.nowNs());
         start = random.nextLong();
-        opening = keeper.open();
+        opening = keeper.openAsync();
     }
 
     /** Not on the loop: waits for what is read, for a time that is bounded. */
-    void await() throws InterruptedException {
-        found = keeper.await(opening, set.readWithinNs());
+    void awaitLoaded() throws InterruptedException {
+        found = keeper.awaitLoad(opening, set.readTimeoutNs());
         if (found == null) {
             return;
         }
-        found.passedOver().stream()
+        found.skippedFiles().stream()
                 .limit(MOST_LINES)
-                .forEach(l -> log.say("state", "passed over " + l));
-        if (found.kept() == null) {
-            log.say("state", "nothing taken: no whole file in " + set.folder());
+                .forEach(l -> log.info("state", "passed over " + l));
+        if (found.snapshot() == null) {
+            log.info("state", "nothing taken: no whole file in " + set.folder());
             found = null;
         } else {
-            ageNs = Ageing.age(found.kept().head().unixMs(), clock.now());
+            ageNs = StateDecay.computeAgeNs(found.snapshot().head().unixMs(), clock.nowNs());
         }
     }
 
@@ -91,28 +99,32 @@
      * The configuration to start from: the list that was kept where it is newer, news that allow
      * less.
      */
-    Config startsFrom() {
+    SidecarConfig initialConfig() {
         if (found == null) {
             return config;
         }
-        Kept kept = found.kept();
-        News tighter = Taking.tighter(kept.news(), config.news());
+        StateSnapshot kept = found.snapshot();
+        RolloutStatus tighter =
+                SnapshotFilter.selectIfStricter(
+                        kept.rolloutStatus(), config.initialRolloutStatus());
         if (tighter != null) {
-            log.say(
+            log.info(
                     "state",
                     "build " + tighter.build() + " stays " + tighter.phase() + ", as it was kept");
         }
-        boolean list = Taking.listHolds(kept, ageNs, config.known().version());
+        boolean list =
+                SnapshotFilter.isPodListUsable(kept, ageNs, config.initialPodList().version());
         if (list) {
-            log.say(
+            log.info(
                     "state",
                     "starting from list " + kept.head().listVersion() + ", as it was kept");
         }
-        return config.from(
-                list ? list(kept) : config.known(), tighter == null ? config.news() : tighter);
+        return config.withInitialState(
+                list ? list(kept) : config.initialPodList(),
+                tighter == null ? config.initialRolloutStatus() : tighter);
     }
 
-    private static PodList list(Kept kept) {
+    private static PodList list(StateSnapshot kept) {
         Map<String, String> addresses = new LinkedHashMap<>();
         kept.pods().forEach(p -> addresses.put(p.learned().is().id(), p.address()));
         List<PodEntry> entries = kept.pods().stream().map(p -> p.learned().is()).toList();
@@ -123,16 +135,17 @@
      * On the loop, before the first client: gives the policy what still holds, then captures from
      * time to time.
      */
-    void begin(Net on, Stages of) {
+    void restoreAndScheduleSnapshots(NettyTransport on, SidecarComponents of) {
         net = on;
         stages = of;
         if (found != null) {
-            Taking.Taken taken = Taking.of(found.kept(), ageNs, here());
-            taken.learned().forEach(l -> stages.policy.recall(clock.now(), l));
-            boolean moved = !found.kept().head().machine().equals(machine());
-            log.say(
+            SnapshotFilter.RestoreResult taken =
+                    SnapshotFilter.filter(found.snapshot(), ageNs, here());
+            taken.restoredValues().forEach(l -> stages.policy.restoreLearned(clock.nowNs(), l));
+            boolean moved = !found.snapshot().head().machine().equals(machine());
+            log.info(
                     "state",
-                    found.file()
+                    found.fileName()
                             + (moved ? ", written on another machine, " : ", ")
                             + age()
                             + ": "
@@ -143,25 +156,27 @@
     }
 
     private String age() {
-        return ageNs == Ageing.UNKNOWN ? "of unknown age" : ageNs / 1_000_000 / 1e3 + " s old";
+        return ageNs == StateDecay.UNKNOWN_AGE_NS
+                ? "of unknown age"
+                : ageNs / 1_000_000 / 1e3 + " s old";
     }
 
-    private Taking.Here here() {
+    private SnapshotFilter.RestoreContext here() {
         Map<String, PodEntry> pods = new HashMap<>();
         Map<String, String> addresses = new HashMap<>();
         stages.policy
-                .learned(clock.now())
+                .exportLearned(clock.nowNs())
                 .forEachRemaining(
                         l -> {
-                            if (l instanceof Learned.OfPod p) {
+                            if (l instanceof LearnedState.PodStats p) {
                                 pods.put(p.is().id(), p.is());
-                                addresses.put(p.is().id(), stages.addressOf(p.is().id()));
+                                addresses.put(p.is().id(), stages.podAddress(p.is().id()));
                             }
                         });
-        return new Taking.Here(
+        return new SnapshotFilter.RestoreContext(
                 config.settings().zone(),
                 config.settings().routes().stream()
-                        .map(Settings.Route::name)
+                        .map(Settings.RouteSettings::name)
                         .collect(Collectors.toSet()),
                 pods,
                 addresses);
@@ -169,11 +184,11 @@
 
     /** With jitter, so that sidecars that started together do not write together. */
     private void later() {
-        double part = 1 + set.jitter() * (2 * random.nextDouble() - 1);
-        net.after(
-                (long) (set.everyNs() * part),
+        double part = 1 + set.jitterRatio() * (2 * random.nextDouble() - 1);
+        net.schedule(
+                (long) (set.captureIntervalNs() * part),
                 () -> {
-                    if (keeper.idle()) {
+                    if (keeper.isIdle()) {
                         slice(capture());
                     } else {
                         later();
@@ -181,45 +196,45 @@
                 });
     }
 
-    private Capture capture() {
-        return new Capture(stages.policy.learned(clock.now()), stages::addressOf);
+    private SnapshotBuilder capture() {
+        return new SnapshotBuilder(stages.policy.exportLearned(clock.nowNs()), stages::podAddress);
     }
 
-    private void slice(Capture c) {
-        if (c.slice(clock::now, clock.now() + set.sliceNs())) {
+    private void slice(SnapshotBuilder c) {
+        if (c.collectUntil(clock::nowNs, clock.nowNs() + set.maxCaptureSliceNs())) {
             keeper.offer(kept(c));
             later();
         } else {
-            net.after(PAUSE_NS, () -> slice(c));
+            net.schedule(PAUSE_NS, () -> slice(c));
         }
     }
 
-    private Kept kept(Capture c) {
-        return c.kept(
-                new Kept.Head(
+    private StateSnapshot kept(SnapshotBuilder c) {
+        return c.toSnapshot(
+                new StateSnapshot.Header(
                         Version.TEXT,
                         config.name(),
                         machine(),
                         config.settings().zone(),
                         start,
                         0,
-                        clock.now() / 1_000_000,
-                        stages.discovery.version()),
-                stages.platform.last(config.news()));
+                        clock.nowNs() / 1_000_000,
+                        stages.discovery.listVersion()),
+                stages.releasePlatform.latestStatusOr(config.initialRolloutStatus()));
     }
 
     /** When nothing is in hand any more; all at once, since nobody waits. */
-    void last() {
+    void writeFinalSnapshot() {
         if (stages != null) {
-            Capture c = capture();
-            c.slice(clock::now, Long.MAX_VALUE);
+            SnapshotBuilder c = capture();
+            c.collectUntil(clock::nowNs, Long.MAX_VALUE);
             keeper.offer(kept(c));
         }
     }
 
     /** Not on the loop: waits for the last write, for a time that is bounded. */
-    void close() throws InterruptedException {
-        keeper.close(set.lastWithinNs());
+    void awaitFinalWrite() throws InterruptedException {
+        keeper.close(set.finalWriteTimeoutNs());
     }
 
     /** Tells a machine from another without telling its name. */
--- a/sidecar/src/main/java/mulleinlever/sidecar/Rehearsal.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/WarmUp.java
@@ -22,66 +22,69 @@
  * compiled: at a part of a core the reqs of the first seconds, and the compiling that they set off,
  * would come late by seconds.
  */
-final class Rehearsal {
+final class WarmUp {
     /**
      * Enough for what each req passes to be loaded and mostly compiled; no longer, since others
      * wait for us.
      */
-    static final int REQS = 400;
+    static final int REQ_COUNT = 400;
 
     private static final long LONGEST_NS = 1_500_000_000L;
     private static final int CLIENTS = 8;
     private static final byte[] ROW = row();
 
-    private final Config config;
-    private final Consumer<Rehearsal> then;
+    private final SidecarConfig config;
+    private final Consumer<WarmUp> then;
     private final Clock clock = new Clock();
-    private final Log quiet = new Log(new PrintStream(OutputStream.nullOutputStream()), clock);
-    private final Net net = new InnerNet(quiet);
-    private final long startNs = clock.now();
+    private final RateLimitedLog quiet =
+            new RateLimitedLog(new PrintStream(OutputStream.nullOutputStream()), clock);
+    private final NettyTransport net = new InProcessTransport(quiet);
+    private final long startNs = clock.nowNs();
     private int asked;
     private int ended;
     private int completed;
     private boolean over;
 
-    private Rehearsal(Config config, Consumer<Rehearsal> then) {
+    private WarmUp(SidecarConfig config, Consumer<WarmUp> then) {
         this.config = config;
         this.then = then;
     }
 
     /** Calls back once, on a thread of its own. */
-    static void play(Config config, Consumer<Rehearsal> then) {
-        Rehearsal r = new Rehearsal(config, then);
-        r.net.after(LONGEST_NS, r::end);
-        r.net.soon(r::begin);
+    static void run(SidecarConfig config, Consumer<WarmUp> then) {
+        WarmUp r = new WarmUp(config, then);
+        r.net.schedule(LONGEST_NS, r::end);
+        r.net.execute(r::begin);
     }
 
-    int completed() {
+    int completedReqCount() {
         return completed;
     }
 
     @Override
     public String toString() {
-        return completed + " reqs rehearsed in " + (clock.now() - startNs) / 1_000_000 + " ms";
+        return completed + " reqs rehearsed in " + (clock.nowNs() - startNs) / 1_000_000 + " ms";
     }
 
     private void begin() {
-        Stages stages = new Stages(config, net, clock, quiet, new Life(quiet));
-        stages.policy.listConfirmed(clock.now());
-        Set<String> addresses = new TreeSet<>(config.known().addresses().values());
+        SidecarComponents stages =
+                new SidecarComponents(config, net, clock, quiet, new Lifecycle(quiet));
+        stages.policy.onPodListConfirmed(clock.nowNs());
+        Set<String> addresses = new TreeSet<>(config.initialPodList().addressesByPodId().values());
         for (String a : addresses) {
-            InetSocketAddress at = Address.of(a);
+            InetSocketAddress at = SocketAddresses.parse(a);
             if (at != null) {
-                net.listen(at, Pod::new);
+                net.bind(at, StubPod::new);
             }
         }
-        stages.clients.listensAt(net.listen(config.listen(), stages::client).channel());
+        stages.clientConnections.setListener(
+                net.bind(config.listenAddress(), stages::newClientHandler).channel());
         for (int i = 0; i < CLIENTS; i++) {
             net.connect(
-                    config.listen(),
+                    config.listenAddress(),
                     LONGEST_NS,
-                    new Client(),
-                    cause -> quiet.say("life", cause.toString()));
+                    new WarmUpClient(),
+                    cause -> quiet.info("life", cause.toString()));
         }
     }
 
@@ -94,27 +97,27 @@
     }
 
     /** Asks again as soon as it has its answer. */
-    private final class Client extends ChannelInboundHandlerAdapter {
-        private Frames frames;
+    private final class WarmUpClient extends ChannelInboundHandlerAdapter {
+        private PostgresMessageDecoder frames;
         private boolean waits;
 
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
-            frames = new Frames(ctx.alloc());
-            ctx.writeAndFlush(Replies.opening());
+            frames = new PostgresMessageDecoder(ctx.alloc());
+            ctx.writeAndFlush(PostgresMessages.startupMessage());
         }
 
         @Override
         public void channelRead(ChannelHandlerContext ctx, Object msg) {
-            frames.add((ByteBuf) msg);
-            while (frames.next(true)) {
-                if (frames.type == 'D') {
+            frames.addBytes((ByteBuf) msg);
+            while (frames.nextMessage(true)) {
+                if (frames.messageType == 'D') {
                     completed++;
-                } else if (frames.type == 'Z') {
+                } else if (frames.messageType == 'Z') {
                     ended += waits ? 1 : 0;
-                    if (ended == REQS) {
+                    if (ended == REQ_COUNT) {
                         end();
-                    } else if (asked < REQS) {
+                    } else if (asked < REQ_COUNT) {
                         ask(ctx);
                     }
                 }
@@ -123,9 +126,9 @@
 
         private void ask(ChannelHandlerContext ctx) {
             waits = true;
-            List<Settings.Route> routes = config.settings().routes();
-            Settings.Route route = routes.get(asked++ % routes.size());
-            boolean read = route.repeat() == Settings.Repeat.RETRIABLE;
+            List<Settings.RouteSettings> routes = config.settings().routes();
+            Settings.RouteSettings route = routes.get(asked++ % routes.size());
+            boolean read = route.retrySafety() == Settings.RetrySafety.IDEMPOTENT;
             String text =
                     String.format(
                                     read
@@ -159,19 +162,19 @@
     }
 
     /** Answers at once. */
-    private static final class Pod extends ChannelInboundHandlerAdapter {
-        private Frames frames;
+    private static final class StubPod extends ChannelInboundHandlerAdapter {
+        private PostgresMessageDecoder frames;
         private boolean started;
 
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
-            frames = new Frames(ctx.alloc());
+            frames = new PostgresMessageDecoder(ctx.alloc());
         }
 
         @Override
         public void channelRead(ChannelHandlerContext ctx, Object msg) {
-            frames.add((ByteBuf) msg);
-            while (frames.next(started)) {
+            frames.addBytes((ByteBuf) msg);
+            while (frames.nextMessage(started)) {
                 boolean asked = started;
                 started = true;
                 later(
@@ -179,7 +182,7 @@
                         () ->
                                 asked
                                         ? ctx.alloc().buffer(ROW.length).writeBytes(ROW)
-                                        : Replies.welcome());
+                                        : PostgresMessages.startupResponse());
             }
         }
     }
--- a/sidecar/src/test/java/mulleinlever/sidecar/AgainTest.java
+++ b/sidecar/src/test/java/mulleinlever/sidecar/ReconnectBackoffTest.java
@@ -7,7 +7,7 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-class AgainTest {
+class ReconnectBackoffTest {
     private static final long MS = 1_000_000L;
     private static final long S = 1_000 * MS;
 
@@ -18,20 +18,22 @@
      * stays down.
      */
     private static int mostCallsASecond(int sidecars, double callsPerSecond, long failsAfterNs) {
-        Again[] all = new Again[sidecars];
+        ReconnectBackoff[] all = new ReconnectBackoff[sidecars];
         var agenda = new PriorityQueue<Call>((a, b) -> Long.compare(a.atNs, b.atNs));
         for (int i = 0; i < sidecars; i++) {
-            all[i] = new Again(300 * MS, Again.mostFor(sidecars, callsPerSecond), i);
+            all[i] =
+                    new ReconnectBackoff(
+                            300 * MS, ReconnectBackoff.maxDelayNs(sidecars, callsPerSecond), i);
             agenda.add(new Call(0, i));
         }
-        int grown = (int) (2 * Again.mostFor(sidecars, callsPerSecond) / S) + 3;
+        int grown = (int) (2 * ReconnectBackoff.maxDelayNs(sidecars, callsPerSecond) / S) + 3;
         int[] inSecond = new int[grown + 40];
         while (agenda.peek().atNs < (grown + 40) * S) {
             Call c = agenda.poll();
             inSecond[(int) (c.atNs / S)]++;
-            all[c.by].opened(c.atNs);
+            all[c.by].recordOpened(c.atNs);
             long ended = c.atNs + failsAfterNs;
-            agenda.add(new Call(ended + all[c.by].endedNs(ended), c.by));
+            agenda.add(new Call(ended + all[c.by].nextDelayNs(ended), c.by));
         }
         int most = 0;
         for (int s = grown + 20; s < grown + 40; s++) {
@@ -41,7 +43,7 @@
     }
 
     @Test
-    void aFleetWhosePlatformIsDownCallsItOutOfStep() {
+    void jitterSpreadsReconnectsOfFleet() {
         assertTrue(
                 mostCallsASecond(14, 16, MS) <= 16,
                 mostCallsASecond(14, 16, MS) + " refused at once");
@@ -61,22 +63,22 @@
     }
 
     @Test
-    void agreesWithAPlainModelOfTheBounds() {
+    void delayStaysWithinReferenceBounds() {
         for (int seed = 0; seed < 200; seed++) {
             var random = new SplittableRandom(seed);
             long first = 1 + random.nextLong(500 * MS);
             long most = random.nextLong(5 * S);
-            Again a = new Again(first, most, seed);
+            ReconnectBackoff a = new ReconnectBackoff(first, most, seed);
             long bound = Math.max(first, most);
             long now = 0;
             int inRow = 0;
             for (int i = 0; i < 50; i++) {
-                a.opened(now);
+                a.recordOpened(now);
                 long stands =
                         random.nextBoolean() ? random.nextLong(100 * MS) : random.nextLong(12 * S);
                 inRow = stands > bound + first ? 0 : inRow;
                 now += stands;
-                long wait = a.endedNs(now);
+                long wait = a.nextDelayNs(now);
                 double full = Math.min(bound, first * Math.pow(2, inRow++));
                 assertTrue(
                         wait >= (long) full / 2 && wait <= full,
@@ -87,9 +89,9 @@
     }
 
     @Test
-    void oddFiguresStayBounded() {
-        assertEquals(60 * S, Again.mostFor(1000, -5));
-        assertEquals(60 * S, Again.mostFor(1000, Double.NaN));
-        assertEquals(0, Again.mostFor(3, Double.POSITIVE_INFINITY));
+    void maxDelayIsBoundedForInvalidInput() {
+        assertEquals(60 * S, ReconnectBackoff.maxDelayNs(1000, -5));
+        assertEquals(60 * S, ReconnectBackoff.maxDelayNs(1000, Double.NaN));
+        assertEquals(0, ReconnectBackoff.maxDelayNs(3, Double.POSITIVE_INFINITY));
     }
 }
--- a/sidecar/src/test/java/mulleinlever/sidecar/Soak.java
+++ b/sidecar/src/test/java/mulleinlever/sidecar/SoakRun.java
@@ -20,7 +20,7 @@
  * when and to whom is drawn from the seed. Whatever breaks a rule is collected; times are
  * milliseconds of the monotonic clock.
  */
-final class Soak extends StandIns {
+final class SoakRun extends SidecarTestBase {
     private static final Pattern ID = Pattern.compile("'([^']*)'.*id=([0-9a-f]+),c=(\\w+)");
     private static final int SERVERS = 6;
     private static final int CLIENTS = 4;
@@ -37,32 +37,32 @@
 
     private static final long FOREVER = Long.MAX_VALUE / 2;
 
-    private enum Mode {
-        RIGHT,
-        CROWDED,
+    private enum DiscoveryMode {
+        HEALTHY,
+        OVERLOADED,
         SILENT,
         SLOW
     }
 
     /** One server: what the list says of it, since when, and how it behaves. */
-    private final class Server {
-        final int number;
-        volatile String state = "ready";
-        volatile long leftMs = FOREVER;
+    private final class FaultyPod {
+        final int index;
+        volatile String lifecycle = "ready";
+        volatile long notReadySinceMs = FOREVER;
 
         /** When discovery wrote to the sidecar that it leaves. */
-        volatile long writtenMs = FOREVER;
+        volatile long removalSentMs = FOREVER;
 
-        volatile int resets;
-        volatile int errors;
-        volatile long delayMs;
+        volatile int resetsLeft;
+        volatile int errorsLeft;
+        volatile long responseDelayMs;
 
-        Server(int number) throws IOException {
-            this.number = number;
-            pod(this::answer);
+        FaultyPod(int number) throws IOException {
+            this.index = number;
+            startPod(this::handleQuery);
         }
 
-        boolean answer(String query, DataOutputStream out) throws Exception {
+        boolean handleQuery(String query, DataOutputStream out) throws Exception {
             long now = now();
             Matcher m = ID.matcher(query);
             if (!m.find()) {
@@ -71,40 +71,40 @@
             }
             long toldMs =
                     Math.min(
-                            Math.min(writtenMs, leftMs + TOLD_MS),
-                            movedMs > leftMs ? movedMs + TOLD_MOVED_MS : FOREVER);
-            if (!state.equals("ready") && now > toldMs + GRACE_MS + RIG_MS) {
+                            Math.min(removalSentMs, notReadySinceMs + TOLD_MS),
+                            movedMs > notReadySinceMs ? movedMs + TOLD_MOVED_MS : FOREVER);
+            if (!lifecycle.equals("ready") && now > toldMs + GRACE_MS + RIG_MS) {
                 broken(
                         "drain: p"
-                                + number
+                                + index
                                 + " got "
                                 + m.group(2)
                                 + " "
                                 + (now - toldMs)
                                 + " ms after told");
             }
-            if (state.equals("draining")) {
-                return refuse(out, "53300");
+            if (lifecycle.equals("draining")) {
+                return sendError(out, "53300");
             }
             ran(m.group(2), m.group(3), now);
-            if (delayMs > 0) {
-                Thread.sleep(delayMs);
+            if (responseDelayMs > 0) {
+                Thread.sleep(responseDelayMs);
             }
-            if (resets > 0) {
-                resets--;
+            if (resetsLeft > 0) {
+                resetsLeft--;
                 return false;
             }
-            if (errors > 0) {
-                errors--;
-                return refuse(out, "XX000");
+            if (errorsLeft > 0) {
+                errorsLeft--;
+                return sendError(out, "XX000");
             }
-            return give(out, m.group(1));
+            return sendRow(out, m.group(1));
         }
 
         private void ran(String id, String route, long now) {
-            long[] first = ran.computeIfAbsent(id, i -> new long[] {now, number});
+            long[] first = ran.computeIfAbsent(id, i -> new long[] {now, index});
             if (route.equals("put")
-                    && (first[1] % 2 != number % 2 || now > first[0] + WINDOW_MS + RIG_MS)) {
+                    && (first[1] % 2 != index % 2 || now > first[0] + WINDOW_MS + RIG_MS)) {
                 broken(
                         "duplicate: put "
                                 + id
@@ -113,14 +113,14 @@
                                 + ", "
                                 + (now - first[0])
                                 + " ms later at p"
-                                + number);
+                                + index);
             }
         }
     }
 
     private final long seed;
     private final SplittableRandom random;
-    private final List<Server> servers = new ArrayList<>();
+    private final List<FaultyPod> servers = new ArrayList<>();
     private final Map<String, long[]> ran = new ConcurrentHashMap<>();
     private final Queue<String> broken = new ConcurrentLinkedQueue<>();
     private final Queue<String> story = new ConcurrentLinkedQueue<>();
@@ -128,20 +128,20 @@
     private final AtomicInteger asked = new AtomicInteger();
     private final AtomicInteger ids = new AtomicInteger();
     private final long startMs = System.nanoTime() / 1_000_000;
-    private volatile Mode mode = Mode.RIGHT;
+    private volatile DiscoveryMode mode = DiscoveryMode.HEALTHY;
     private volatile int version = 7;
     private volatile long outageEndsMs;
     private volatile long movedMs = -FOREVER;
     private volatile long killedMs = -FOREVER;
     private volatile boolean over;
 
-    Soak(long seed) throws IOException {
+    SoakRun(long seed) throws IOException {
         this.seed = seed;
         this.random = new SplittableRandom(seed);
         this.folder = Files.createTempDirectory("soak");
-        this.discovery = new Listener(this::serveList);
+        this.discovery = new FakeServer(this::serveList);
         for (int i = 0; i < SERVERS; i++) {
-            servers.add(new Server(i));
+            servers.add(new FaultyPod(i));
         }
     }
 
@@ -158,9 +158,9 @@
     }
 
     private void serveList(DataInputStream in, DataOutputStream out) throws Exception {
-        line(in);
-        while (!line(in).isEmpty()) {}
-        if (mode == Mode.CROWDED) {
+        readLine(in);
+        while (!readLine(in).isEmpty()) {}
+        if (mode == DiscoveryMode.OVERLOADED) {
             Thread.sleep(1_000);
             out.writeBytes("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
             return;
@@ -168,7 +168,7 @@
         out.writeBytes("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
         int told = -1;
         while (true) {
-            while (mode == Mode.SILENT) {
+            while (mode == DiscoveryMode.SILENT) {
                 Thread.sleep(20);
             }
             int at = version;
@@ -177,15 +177,15 @@
             } else {
                 String[] entries =
                         servers.stream()
-                                .filter(s -> !s.state.equals("gone"))
-                                .map(s -> entry(s.number, 1, s.state))
+                                .filter(s -> !s.lifecycle.equals("gone"))
+                                .map(s -> podJson(s.index, 1, s.lifecycle))
                                 .toArray(String[]::new);
-                List<Server> leaving =
-                        servers.stream().filter(s -> !s.state.equals("ready")).toList();
-                chunk(out, list(at, true, entries) + "\n");
+                List<FaultyPod> leaving =
+                        servers.stream().filter(s -> !s.lifecycle.equals("ready")).toList();
+                chunk(out, podListJson(at, true, entries) + "\n");
                 leaving.stream()
-                        .filter(s -> !s.state.equals("ready"))
-                        .forEach(s -> s.writtenMs = Math.min(s.writtenMs, now()));
+                        .filter(s -> !s.lifecycle.equals("ready"))
+                        .forEach(s -> s.removalSentMs = Math.min(s.removalSentMs, now()));
                 told = at;
             }
             for (int i = 0; i < 20 && version == told; i++) {
@@ -195,52 +195,52 @@
     }
 
     private void chunk(DataOutputStream out, String text) throws Exception {
-        int step = mode == Mode.SLOW ? 150 : text.length();
+        int step = mode == DiscoveryMode.SLOW ? 150 : text.length();
         for (int i = 0; i < text.length(); i += step) {
             String part = text.substring(i, Math.min(text.length(), i + step));
             out.writeBytes(Integer.toHexString(part.length()) + "\r\n" + part + "\r\n");
-            Thread.sleep(mode == Mode.SLOW ? 200 : 0);
+            Thread.sleep(mode == DiscoveryMode.SLOW ? 200 : 0);
         }
     }
 
     /** The list changes, and with it what the server does. */
-    private void change(Server s, String state) {
-        if (s.leftMs == FOREVER && !state.equals("ready")) {
-            s.leftMs = now();
+    private void change(FaultyPod s, String state) {
+        if (s.notReadySinceMs == FOREVER && !state.equals("ready")) {
+            s.notReadySinceMs = now();
         }
-        s.state = state;
+        s.lifecycle = state;
         if (state.equals("ready")) {
-            s.leftMs = FOREVER;
-            s.writtenMs = FOREVER;
+            s.notReadySinceMs = FOREVER;
+            s.removalSentMs = FOREVER;
         }
         version++;
-        tell("p" + s.number + " " + state);
+        tell("p" + s.index + " " + state);
     }
 
     /** It drains, ends, listens again before it is listed, and is listed. */
-    private void replace(Server s, long drainsMs, long gone, long unlisted) {
-        thread(
+    private void replace(FaultyPod s, long drainsMs, long gone, long unlisted) {
+        startDaemonThread(
                 () -> {
                     change(s, "draining");
                     Thread.sleep(drainsMs);
                     change(s, "gone");
-                    pods.get(s.number).close();
+                    pods.get(s.index).close();
                     Thread.sleep(gone);
-                    pods.get(s.number).reopen();
-                    tell("p" + s.number + " listens");
+                    pods.get(s.index).listenAgain();
+                    tell("p" + s.index + " listens");
                     Thread.sleep(unlisted);
                     change(s, "ready");
                 });
     }
 
     private void event() throws Exception {
-        Server s = servers.get(random.nextInt(SERVERS));
+        FaultyPod s = servers.get(random.nextInt(SERVERS));
         int what = random.nextInt(12);
         tell("event " + what);
         switch (what) {
             case 0, 1, 2 -> {
-                long ready = servers.stream().filter(o -> o.state.equals("ready")).count();
-                if (s.state.equals("ready") && ready > SERVERS / 2) {
+                long ready = servers.stream().filter(o -> o.lifecycle.equals("ready")).count();
+                if (s.lifecycle.equals("ready") && ready > SERVERS / 2) {
                     replace(
                             s,
                             500 + random.nextInt(1_500),
@@ -249,36 +249,36 @@
                 }
             }
             case 3 -> {
-                s.delayMs = 0;
-                mode = now() > outageEndsMs ? Mode.SLOW : mode;
+                s.responseDelayMs = 0;
+                mode = now() > outageEndsMs ? DiscoveryMode.SLOW : mode;
             }
-            case 4, 5 -> mode = now() > outageEndsMs ? Mode.RIGHT : mode;
-            case 6 -> cut(discovery);
-            case 7 -> cut(platform);
+            case 4, 5 -> mode = now() > outageEndsMs ? DiscoveryMode.HEALTHY : mode;
+            case 6 -> closeConnections(discovery);
+            case 7 -> closeConnections(platform);
             case 8 -> hold();
             case 9 -> {
-                Listener old = discovery;
-                discovery = new Listener(this::serveList);
-                configure(256);
+                FakeServer old = discovery;
+                discovery = new FakeServer(this::serveList);
+                writeConfig(256);
                 movedMs = now();
-                hangUp();
-                thread(
+                sendHangup();
+                startDaemonThread(
                         () -> {
                             Thread.sleep(1_500);
                             old.close();
                         });
             }
             case 10 -> {
-                s.resets += random.nextInt(4);
-                s.errors += random.nextInt(4);
-                s.delayMs = random.nextInt(3) == 0 ? 50 + random.nextInt(400) : 0;
-                cut(pods.get(s.number));
+                s.resetsLeft += random.nextInt(4);
+                s.errorsLeft += random.nextInt(4);
+                s.responseDelayMs = random.nextInt(3) == 0 ? 50 + random.nextInt(400) : 0;
+                closeConnections(pods.get(s.index));
             }
             default -> {
                 if (killedMs < 0 && random.nextBoolean()) {
                     killedMs = FOREVER;
                     process.destroyForcibly().waitFor();
-                    start();
+                    startSidecar();
                     killedMs = now();
                 }
             }
@@ -290,10 +290,10 @@
      * count as told.
      */
     private void beginOutage() throws IOException {
-        mode = random.nextBoolean() ? Mode.CROWDED : Mode.SILENT;
+        mode = random.nextBoolean() ? DiscoveryMode.OVERLOADED : DiscoveryMode.SILENT;
         outageEndsMs = now() + 8_000 + random.nextInt(4_000);
         tell("discovery is " + mode + " until " + outageEndsMs);
-        cut(discovery);
+        closeConnections(discovery);
     }
 
     private void hold() throws Exception {
@@ -326,7 +326,7 @@
         String answer;
         try {
             answer =
-                    c.ask(
+                    c.execute(
                             put
                                     ? "INSERT INTO entries (ref) VALUES ('"
                                             + ref
@@ -364,12 +364,12 @@
     }
 
     /** Plays the run, and returns what was broken. */
-    List<String> play() throws Exception {
+    List<String> run() throws Exception {
         try {
-            start();
+            startSidecar();
             for (int i = 0; i < CLIENTS; i++) {
                 SplittableRandom chance = random.split();
-                thread(() -> client(chance));
+                startDaemonThread(() -> client(chance));
             }
             long outageMs = 1_000 + random.nextInt(4_000);
             while (now() < FAULTS_MS) {
@@ -380,12 +380,12 @@
                 event();
             }
             tell("calm");
-            mode = Mode.RIGHT;
+            mode = DiscoveryMode.HEALTHY;
             servers.forEach(
                     s -> {
-                        s.resets = 0;
-                        s.errors = 0;
-                        s.delayMs = 0;
+                        s.resetsLeft = 0;
+                        s.errorsLeft = 0;
+                        s.responseDelayMs = 0;
                     });
             Thread.sleep(CALM_MS);
             served.set(0);
@@ -406,10 +406,10 @@
             if (!process.waitFor(4, java.util.concurrent.TimeUnit.SECONDS)) {
                 broken("still there 4 s after SIGTERM");
             }
-            logged().lines().filter(l -> l.contains("fault")).limit(3).forEach(this::broken);
+            logText().lines().filter(l -> l.contains("fault")).limit(3).forEach(this::broken);
         } finally {
             over = true;
-            end();
+            stopAll();
         }
         return List.copyOf(broken);
     }
@@ -418,10 +418,11 @@
      * What happened and what the program logged of it but for its counts, for whoever looks into a
      * broken run.
      */
-    String story() {
+    String eventLog() {
         return String.join("\n", story)
                 + "\n"
-                + logged().lines()
+                + logText()
+                        .lines()
                         .filter(l -> l.matches(".* (discovery|reload|life|clients): .*"))
                         .reduce("", (a, b) -> a + "\n" + b);
     }
--- a/state/src/main/java/mulleinlever/state/StateFault.java
+++ b/state/src/main/java/mulleinlever/state/StateFileException.java
@@ -4,7 +4,7 @@
  * A file that is not taken, and why; the message names the file and, where there is one, the place
  * in it.
  */
-public final class StateFault extends Exception {
+public final class StateFileException extends Exception {
     private static final long serialVersionUID = 1L;
 
     /** The kinds, each with the exit code by which scripts can tell it. */
@@ -12,15 +12,15 @@
         /** Not there, or the system refuses to read it. */
         UNREADABLE(3),
         /** Something else than a file of state. */
-        FOREIGN(4),
+        NOT_A_STATE_FILE(4),
         /** Of a later format than this program knows. */
-        NEWER(5),
+        UNSUPPORTED_VERSION(5),
         /** It ends too soon. */
-        CUT(6),
+        TRUNCATED(6),
         /** A checksum differs, or what is read makes no sense. */
         CORRUPT(7),
         /** Longer than what is taken. */
-        TOO_LONG(8);
+        TOO_LARGE(8);
 
         public final int exitCode;
 
@@ -31,7 +31,7 @@
 
     public final transient Kind kind;
 
-    StateFault(Kind kind, String message) {
+    StateFileException(Kind kind, String message) {
         super(message);
         this.kind = kind;
     }
--- a/state/src/main/java/mulleinlever/state/Kept.java
+++ b/state/src/main/java/mulleinlever/state/StateSnapshot.java
@@ -1,17 +1,21 @@
 package mulleinlever.state;
 
 import java.util.List;
-import mulleinlever.Learned;
-import mulleinlever.News;
+import mulleinlever.LearnedState;
+import mulleinlever.RolloutStatus;
 
 /**
  * All that is kept of one sidecar, as it stood at one moment.
  *
- * @param news where the newest build stood; its age is not kept
+ * @param rolloutStatus where the newest build stood; its age is not kept
  * @param pods the list of pods as last had, and what was learned of each
- * @param learned what was learned besides, pods not among it
+ * @param learnedValues what was learned besides, pods not among it
  */
-public record Kept(Head head, News news, List<OfPod> pods, List<Learned> learned) {
+public record StateSnapshot(
+        Header head,
+        RolloutStatus rolloutStatus,
+        List<PodSnapshot> pods,
+        List<LearnedState> learnedValues) {
     /**
      * Whose it is and when it was captured.
      *
@@ -24,7 +28,7 @@
      * @param unixMs the machine's wall clock
      * @param listVersion discovery's, of the list; -1 without a list
      */
-    public record Head(
+    public record Header(
             String writer,
             String instance,
             String machine,
@@ -33,15 +37,15 @@
             long sequence,
             long unixMs,
             long listVersion) {
-        Head numbered(long next) {
-            return new Head(writer, instance, machine, zone, start, next, unixMs, listVersion);
+        Header withSequence(long next) {
+            return new Header(writer, instance, machine, zone, start, next, unixMs, listVersion);
         }
     }
 
     /** A pod where it listened, as address and port. */
-    public record OfPod(String address, Learned.OfPod learned) {}
+    public record PodSnapshot(String address, LearnedState.PodStats learned) {}
 
-    Kept numbered(long sequence) {
-        return new Kept(head.numbered(sequence), news, pods, learned);
+    StateSnapshot withSequence(long sequence) {
+        return new StateSnapshot(head.withSequence(sequence), rolloutStatus, pods, learnedValues);
     }
 }
