--- a/sidecar/src/main/java/mulleinlever/sidecar/ClientConnection.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/ClientConnection.java
@@ -15,45 +15,45 @@
  * order.
  */
 final class ClientConnection extends ChannelInboundHandlerAdapter {
-    private static final int MOST_IN_LINE = 32;
+    private static final int MAX_PIPELINED_COMMANDS = 32;
 
     /** Against peers that go silent before or within a message, or take no answer. */
-    private static final long STUCK_NS = 10_000_000_000L;
+    private static final long STALL_TIMEOUT_NS = 10_000_000_000L;
 
-    private static final int SSL = 80_877_103;
-    private static final int GSS = 80_877_104;
+    private static final int SSL_REQUEST_CODE = 80_877_103;
+    private static final int GSSENC_REQUEST_CODE = 80_877_104;
 
-    private final QueryHandler admit;
-    private final ClientConnections clients;
-    private final ReqMemoryLimiter flow;
-    private final ReqRegistry book;
+    private final QueryHandler queryHandler;
+    private final ClientConnections clientConnections;
+    private final ReqMemoryLimiter reqMemoryLimiter;
+    private final ReqRegistry reqRegistry;
     private final Clock clock;
     private final RateLimitedLog log;
-    private final ArrayDeque<PendingCommand> line = new ArrayDeque<>();
+    private final ArrayDeque<PendingCommand> pendingCommands = new ArrayDeque<>();
     private Channel channel;
-    private PostgresMessageDecoder frames;
-    private boolean started;
+    private PostgresMessageDecoder decoder;
+    private boolean startupComplete;
     private boolean closing;
-    private long movedNs;
+    private long lastProgressNs;
 
     /**
      * What waits for the client itself: the message it has half sent, the answers it has not taken.
      */
-    private int halfRead;
+    private int partialMessageBytes;
 
-    private int untaken;
+    private int unsentResponseBytes;
 
     ClientConnection(
-            QueryHandler admit,
-            ClientConnections clients,
-            ReqMemoryLimiter flow,
-            ReqRegistry book,
+            QueryHandler queryHandler,
+            ClientConnections clientConnections,
+            ReqMemoryLimiter reqMemoryLimiter,
+            ReqRegistry reqRegistry,
             Clock clock,
             RateLimitedLog log) {
-        this.admit = admit;
-        this.clients = clients;
-        this.flow = flow;
-        this.book = book;
+        this.queryHandler = queryHandler;
+        this.clientConnections = clientConnections;
+        this.reqMemoryLimiter = reqMemoryLimiter;
+        this.reqRegistry = reqRegistry;
         this.clock = clock;
         this.log = log;
     }
@@ -61,50 +61,50 @@
     @Override
     public void channelActive(ChannelHandlerContext ctx) {
         channel = ctx.channel();
-        frames = new PostgresMessageDecoder(ctx.alloc());
-        movedNs = clock.nowNs();
-        clients.connectionOpened(this, movedNs);
+        decoder = new PostgresMessageDecoder(ctx.alloc());
+        lastProgressNs = clock.nowNs();
+        clientConnections.connectionOpened(this, lastProgressNs);
     }
 
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object msg) {
-        movedNs = clock.nowNs();
+        lastProgressNs = clock.nowNs();
         if (closing) {
             ((ByteBuf) msg).release();
             return;
         }
-        frames.addBytes((ByteBuf) msg);
+        decoder.addBytes((ByteBuf) msg);
         decode();
     }
 
     private void decode() {
         try {
-            while (!closing && mayRead() && frames.nextMessage(started)) {
-                if (started) {
+            while (!closing && canRead() && decoder.nextMessage(startupComplete)) {
+                if (startupComplete) {
                     handleMessage();
                 } else {
-                    startup();
+                    handleStartupMessage();
                 }
             }
         } catch (InvalidInputException e) {
-            malformed(e.getMessage());
+            rejectMalformedInput(e.getMessage());
         }
-        count(frames.retainedCapacityBytes());
-        channel.config().setAutoRead(!closing && mayRead());
+        updatePartialMessageBytes(decoder.retainedCapacityBytes());
+        channel.config().setAutoRead(!closing && canRead());
     }
 
-    private void count(int taken) {
-        int more = taken - halfRead;
-        halfRead = taken;
-        clients.addBufferedBytes(more);
+    private void updatePartialMessageBytes(int currentBytes) {
+        int addedBytes = currentBytes - partialMessageBytes;
+        partialMessageBytes = currentBytes;
+        clientConnections.addBufferedBytes(addedBytes);
     }
 
     boolean hasBufferedBytes() {
-        return halfRead + untaken > 0;
+        return partialMessageBytes + unsentResponseBytes > 0;
     }
 
     long lastProgressNs() {
-        return movedNs;
+        return lastProgressNs;
     }
 
     void closeNow() {
@@ -112,12 +112,12 @@
         channel.close();
     }
 
-    private boolean mayRead() {
-        if (flow.isExceeded()) {
-            flow.addWaiter(this);
+    private boolean canRead() {
+        if (reqMemoryLimiter.isExceeded()) {
+            reqMemoryLimiter.addWaiter(this);
             return false;
         }
-        return line.size() < MOST_IN_LINE && channel.isWritable();
+        return pendingCommands.size() < MAX_PIPELINED_COMMANDS && channel.isWritable();
     }
 
     /**
@@ -134,12 +134,12 @@
                         });
     }
 
-    private void startup() {
-        int code = frames.bodyLength >= 4 ? frames.buffer().getInt(frames.bodyIndex) : 0;
-        if (code == SSL || code == GSS) {
+    private void handleStartupMessage() {
+        int code = decoder.bodyLength >= 4 ? decoder.buffer().getInt(decoder.bodyIndex) : 0;
+        if (code == SSL_REQUEST_CODE || code == GSSENC_REQUEST_CODE) {
             channel.writeAndFlush(PostgresMessages.encryptionRefused());
         } else if (code >>> 16 == 3) {
-            started = true;
+            startupComplete = true;
             channel.writeAndFlush(PostgresMessages.startupResponse());
         } else {
             throw new InvalidInputException("no such startup");
@@ -147,13 +147,14 @@
     }
 
     private void handleMessage() {
-        switch (frames.messageType) {
+        switch (decoder.messageType) {
             case 'Q' -> {
-                if (frames.bodyLength < 1
-                        || frames.buffer().getByte(frames.bodyIndex + frames.bodyLength - 1) != 0) {
+                if (decoder.bodyLength < 1
+                        || decoder.buffer().getByte(decoder.bodyIndex + decoder.bodyLength - 1)
+                                != 0) {
                     throw new InvalidInputException("a query without its end");
                 }
-                admit.handleQuery(this, frames.retainBody());
+                queryHandler.handleQuery(this, decoder.retainBody());
             }
             case 'X' -> {
                 closing = true;
@@ -164,75 +165,81 @@
     }
 
     /** What came before gets its answers, then the connection ends. */
-    private void malformed(String why) {
+    private void rejectMalformedInput(String reason) {
         closing = true;
-        respond(PostgresMessages.errorResponse(PostgresMessages.PROTOCOL_VIOLATION, why, 0, false));
+        respond(
+                PostgresMessages.errorResponse(
+                        PostgresMessages.PROTOCOL_VIOLATION, reason, 0, false));
     }
 
     /** A command that is no req takes its place in the line with its answer. */
-    void respond(ByteBuf answer) {
-        PendingCommand held = new PendingCommand(this, null);
-        held.response = answer;
-        line.add(held);
+    void respond(ByteBuf response) {
+        PendingCommand command = new PendingCommand(this, null);
+        command.response = response;
+        pendingCommands.add(command);
         flushResponses();
     }
 
-    void enqueue(PendingCommand held) {
-        line.add(held);
-        flow.reserve(held.memoryBytes());
+    void enqueue(PendingCommand command) {
+        pendingCommands.add(command);
+        reqMemoryLimiter.reserve(command.memoryBytes());
     }
 
-    void releaseMemory(PendingCommand held) {
-        flow.release(held.memoryBytes());
+    void releaseMemory(PendingCommand command) {
+        reqMemoryLimiter.release(command.memoryBytes());
     }
 
     /** Answers go out in the order of the commands. */
     void flushResponses() {
-        boolean any = false;
-        while (!line.isEmpty() && line.peek().response != null) {
-            ByteBuf answer = line.poll().response;
-            int n = answer.readableBytes();
-            untaken += n;
-            channel.write(answer).addListener(f -> taken(n));
-            clients.addBufferedBytes(n);
-            any = true;
+        boolean responseWritten = false;
+        while (!pendingCommands.isEmpty() && pendingCommands.peek().response != null) {
+            ByteBuf response = pendingCommands.poll().response;
+            int responseBytes = response.readableBytes();
+            unsentResponseBytes += responseBytes;
+            channel.write(response).addListener(future -> responseSent(responseBytes));
+            clientConnections.addBufferedBytes(responseBytes);
+            responseWritten = true;
         }
-        if (!any) {
+        if (!responseWritten) {
             return;
         }
-        movedNs = clock.nowNs();
+        lastProgressNs = clock.nowNs();
         channel.flush();
-        if (line.isEmpty() && (closing || clients.isShuttingDown() && !frames.hasUnreadBytes())) {
-            close();
+        if (pendingCommands.isEmpty()
+                && (closing || clientConnections.isShuttingDown() && !decoder.hasUnreadBytes())) {
+            flushAndClose();
         } else if (!channel.config().isAutoRead()) {
             scheduleDecode();
         }
     }
 
-    private void taken(int n) {
-        untaken -= n;
-        clients.addBufferedBytes(-n);
+    private void responseSent(int responseBytes) {
+        unsentResponseBytes -= responseBytes;
+        clientConnections.addBufferedBytes(-responseBytes);
     }
 
-    private void close() {
+    private void flushAndClose() {
         closing = true;
         channel.writeAndFlush(Unpooled.EMPTY_BUFFER).addListener(ChannelFutureListener.CLOSE);
     }
 
     void closeIfIdle() {
-        if (line.isEmpty() && (closing || !frames.hasUnreadBytes())) {
-            close();
+        if (pendingCommands.isEmpty() && (closing || !decoder.hasUnreadBytes())) {
+            flushAndClose();
         }
     }
 
     /** For how long it has asked for nothing; -1 where it waits for an answer. */
-    long idleNs(long now) {
-        return !closing && line.isEmpty() && !frames.hasUnreadBytes() ? now - movedNs : -1;
+    long idleNs(long nowNs) {
+        return !closing && pendingCommands.isEmpty() && !decoder.hasUnreadBytes()
+                ? nowNs - lastProgressNs
+                : -1;
     }
 
-    void closeIfStalled(long now) {
-        boolean stuck = !started || frames.hasUnreadBytes() || !channel.isWritable();
-        if (stuck && now - movedNs > STUCK_NS) {
+    void closeIfStalled(long nowNs) {
+        boolean awaitingPeer =
+                !startupComplete || decoder.hasUnreadBytes() || !channel.isWritable();
+        if (awaitingPeer && nowNs - lastProgressNs > STALL_TIMEOUT_NS) {
             closeNow();
         }
     }
@@ -247,19 +254,19 @@
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
         closing = true;
-        clients.connectionClosed(this);
-        flow.removeWaiter(this);
-        count(0);
-        frames.release();
-        for (PendingCommand held : line) {
-            if (held.response != null) {
-                held.response.release();
+        clientConnections.connectionClosed(this);
+        reqMemoryLimiter.removeWaiter(this);
+        updatePartialMessageBytes(0);
+        decoder.release();
+        for (PendingCommand command : pendingCommands) {
+            if (command.response != null) {
+                command.response.release();
             }
-            if (held.statement != null) {
-                book.onClientDisconnected(held);
+            if (command.statement != null) {
+                reqRegistry.onClientDisconnected(command);
             }
         }
-        line.clear();
+        pendingCommands.clear();
     }
 
     @Override
--- a/sidecar/src/main/java/mulleinlever/sidecar/PendingCommand.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/PendingCommand.java
@@ -10,7 +10,7 @@
      * What a req takes besides its text: the buffer it was read into, its tries, what the module
      * keeps.
      */
-    private static final int OVERHEAD = 2048;
+    private static final int REQ_OVERHEAD_BYTES = 2048;
 
     final ClientConnection client;
 
@@ -42,6 +42,6 @@
     }
 
     int memoryBytes() {
-        return statement.text.readableBytes() + OVERHEAD;
+        return statement.text.readableBytes() + REQ_OVERHEAD_BYTES;
     }
 }
--- a/sidecar/src/main/java/mulleinlever/sidecar/PostgresMessageDecoder.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/PostgresMessageDecoder.java
@@ -12,11 +12,11 @@
     /** A value of 64 KiB written as hex takes twice that; no honest message is longer than this. */
     static final int MAX_MESSAGE_BYTES = 192 * 1024;
 
-    private static final int LENGTH = 4;
+    private static final int LENGTH_FIELD_BYTES = 4;
 
-    private final ByteBufAllocator alloc;
-    private ByteBuf bytes;
-    private int begun;
+    private final ByteBufAllocator allocator;
+    private ByteBuf buffer;
+    private int currentMessageBytes;
 
     /** The message at hand: its type, where its body begins and how long that is. */
     char messageType;
@@ -24,49 +24,51 @@
     int bodyIndex;
     int bodyLength;
 
-    PostgresMessageDecoder(ByteBufAllocator alloc) {
-        this.alloc = alloc;
+    PostgresMessageDecoder(ByteBufAllocator allocator) {
+        this.allocator = allocator;
     }
 
     /** Takes over the buffer. */
-    void addBytes(ByteBuf more) {
-        if (bytes == null || !bytes.isReadable()) {
+    void addBytes(ByteBuf received) {
+        if (buffer == null || !buffer.isReadable()) {
             release();
-            bytes = more;
-        } else if (bytes.refCnt() == 1 && bytes.writableBytes() >= more.readableBytes()) {
-            bytes.writeBytes(more);
-            more.release();
+            buffer = received;
+        } else if (buffer.refCnt() == 1 && buffer.writableBytes() >= received.readableBytes()) {
+            buffer.writeBytes(received);
+            received.release();
         } else {
             // As long as the message that has begun: else a long one would be copied at each read.
-            int need = Math.max(bytes.readableBytes() + more.readableBytes(), begun);
-            ByteBuf wider = alloc.buffer(need);
-            wider.writeBytes(bytes).writeBytes(more);
-            more.release();
+            int capacityBytes =
+                    Math.max(
+                            buffer.readableBytes() + received.readableBytes(), currentMessageBytes);
+            ByteBuf larger = allocator.buffer(capacityBytes);
+            larger.writeBytes(buffer).writeBytes(received);
+            received.release();
             release();
-            bytes = wider;
+            buffer = larger;
         }
     }
 
     /** Goes to the next whole message, if there is one; a startup message has no type. */
-    boolean nextMessage(boolean typed) {
-        int head = typed ? 1 : 0;
-        if (bytes == null || bytes.readableBytes() < head + LENGTH) {
+    boolean nextMessage(boolean hasType) {
+        int typeBytes = hasType ? 1 : 0;
+        if (buffer == null || buffer.readableBytes() < typeBytes + LENGTH_FIELD_BYTES) {
             return false;
         }
-        int from = bytes.readerIndex();
-        int n = bytes.getInt(from + head);
-        if (n < LENGTH || n > MAX_MESSAGE_BYTES) {
-            throw new InvalidInputException("a message of " + n + " bytes");
+        int start = buffer.readerIndex();
+        int lengthBytes = buffer.getInt(start + typeBytes);
+        if (lengthBytes < LENGTH_FIELD_BYTES || lengthBytes > MAX_MESSAGE_BYTES) {
+            throw new InvalidInputException("a message of " + lengthBytes + " bytes");
         }
-        begun = head + n;
-        if (bytes.readableBytes() < begun) {
+        currentMessageBytes = typeBytes + lengthBytes;
+        if (buffer.readableBytes() < currentMessageBytes) {
             return false;
         }
-        messageType = typed ? (char) bytes.getUnsignedByte(from) : 0;
-        bodyIndex = from + head + LENGTH;
-        bodyLength = n - LENGTH;
-        bytes.skipBytes(begun);
-        begun = 0;
+        messageType = hasType ? (char) buffer.getUnsignedByte(start) : 0;
+        bodyIndex = start + typeBytes + LENGTH_FIELD_BYTES;
+        bodyLength = lengthBytes - LENGTH_FIELD_BYTES;
+        buffer.skipBytes(currentMessageBytes);
+        currentMessageBytes = 0;
         return true;
     }
 
@@ -76,32 +78,33 @@
 
     /** What the message half read takes, which is more than has come of it. */
     int retainedCapacityBytes() {
-        return hasUnreadBytes() ? bytes.capacity() : 0;
+        return hasUnreadBytes() ? buffer.capacity() : 0;
     }
 
     /** Bytes read that belong to no whole message yet, or to one not yet asked for. */
     int unreadBytes() {
-        return bytes == null ? 0 : bytes.readableBytes();
+        return buffer == null ? 0 : buffer.readableBytes();
     }
 
     ByteBuf buffer() {
-        return bytes;
+        return buffer;
     }
 
     /** The body at hand, kept until released. */
     ByteBuf retainBody() {
-        return bytes.retainedSlice(bodyIndex, bodyLength);
+        return buffer.retainedSlice(bodyIndex, bodyLength);
     }
 
     /** The message at hand with its head, kept until released. */
     ByteBuf retainMessage() {
-        return bytes.retainedSlice(bodyIndex - LENGTH - 1, bodyLength + LENGTH + 1);
+        return buffer.retainedSlice(
+                bodyIndex - LENGTH_FIELD_BYTES - 1, bodyLength + LENGTH_FIELD_BYTES + 1);
     }
 
     void release() {
-        if (bytes != null) {
-            bytes.release();
-            bytes = null;
+        if (buffer != null) {
+            buffer.release();
+            buffer = null;
         }
     }
 }
--- a/sidecar/src/main/java/mulleinlever/sidecar/PostgresMessages.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/PostgresMessages.java
@@ -11,25 +11,27 @@
     static final String PROTOCOL_VIOLATION = "08P01";
     static final String SYNTAX_ERROR = "42601";
 
-    private static final ByteBuf WELCOME = welcoming();
-    private static final ByteBuf READY = fixed(new byte[] {'Z', 0, 0, 0, 5, 'I'});
-    private static final ByteBuf EMPTY = fixed(new byte[] {'I', 0, 0, 0, 4, 'Z', 0, 0, 0, 5, 'I'});
-    private static final ByteBuf NO_CRYPTO = fixed(new byte[] {'N'});
-    private static final ByteBuf HELLO = startup();
+    private static final ByteBuf STARTUP_RESPONSE = buildStartupResponse();
+    private static final ByteBuf READY_FOR_QUERY =
+            constantMessage(new byte[] {'Z', 0, 0, 0, 5, 'I'});
+    private static final ByteBuf EMPTY_QUERY_RESPONSE =
+            constantMessage(new byte[] {'I', 0, 0, 0, 4, 'Z', 0, 0, 0, 5, 'I'});
+    private static final ByteBuf ENCRYPTION_REFUSED = constantMessage(new byte[] {'N'});
+    private static final ByteBuf STARTUP_MESSAGE = buildStartupMessage();
 
     private PostgresMessages() {}
 
-    private static ByteBuf fixed(byte[] bytes) {
-        ByteBuf all = Unpooled.directBuffer(bytes.length).writeBytes(bytes);
-        return Unpooled.unreleasableBuffer(all).asReadOnly();
+    private static ByteBuf constantMessage(byte[] bytes) {
+        ByteBuf buffer = Unpooled.directBuffer(bytes.length).writeBytes(bytes);
+        return Unpooled.unreleasableBuffer(buffer).asReadOnly();
     }
 
     /**
      * AuthenticationOk, no password being asked for; the settings that client libraries insist on;
      * ready.
      */
-    private static ByteBuf welcoming() {
-        String[] settings = {
+    private static ByteBuf buildStartupResponse() {
+        String[] parameters = {
             "server_version",
             "16.0",
             "server_encoding",
@@ -43,67 +45,72 @@
             "standard_conforming_strings",
             "on"
         };
-        ByteBuf all = Unpooled.buffer().writeBytes(new byte[] {'R', 0, 0, 0, 8, 0, 0, 0, 0});
-        for (int i = 0; i < settings.length; i += 2) {
-            byte[] words =
-                    (settings[i] + "\0" + settings[i + 1] + "\0")
+        ByteBuf response = Unpooled.buffer().writeBytes(new byte[] {'R', 0, 0, 0, 8, 0, 0, 0, 0});
+        for (int i = 0; i < parameters.length; i += 2) {
+            byte[] parameterBytes =
+                    (parameters[i] + "\0" + parameters[i + 1] + "\0")
                             .getBytes(StandardCharsets.US_ASCII);
-            all.writeByte('S').writeInt(4 + words.length).writeBytes(words);
+            response.writeByte('S').writeInt(4 + parameterBytes.length).writeBytes(parameterBytes);
         }
-        all.writeBytes(new byte[] {'Z', 0, 0, 0, 5, 'I'});
-        byte[] bytes = new byte[all.readableBytes()];
-        all.readBytes(bytes);
-        return fixed(bytes);
+        response.writeBytes(new byte[] {'Z', 0, 0, 0, 5, 'I'});
+        byte[] bytes = new byte[response.readableBytes()];
+        response.readBytes(bytes);
+        return constantMessage(bytes);
     }
 
-    private static ByteBuf startup() {
-        byte[] words = "user\0web\0database\0orders\0\0".getBytes(StandardCharsets.US_ASCII);
-        ByteBuf all =
-                Unpooled.buffer().writeInt(8 + words.length).writeInt(3 << 16).writeBytes(words);
-        byte[] bytes = new byte[all.readableBytes()];
-        all.readBytes(bytes);
-        return fixed(bytes);
+    private static ByteBuf buildStartupMessage() {
+        byte[] parameterBytes =
+                "user\0web\0database\0orders\0\0".getBytes(StandardCharsets.US_ASCII);
+        ByteBuf message =
+                Unpooled.buffer()
+                        .writeInt(8 + parameterBytes.length)
+                        .writeInt(3 << 16)
+                        .writeBytes(parameterBytes);
+        byte[] bytes = new byte[message.readableBytes()];
+        message.readBytes(bytes);
+        return constantMessage(bytes);
     }
 
     static ByteBuf startupResponse() {
-        return WELCOME.duplicate();
+        return STARTUP_RESPONSE.duplicate();
     }
 
     static ByteBuf readyForQuery() {
-        return READY.duplicate();
+        return READY_FOR_QUERY.duplicate();
     }
 
     static ByteBuf emptyQueryResponse() {
-        return EMPTY.duplicate();
+        return EMPTY_QUERY_RESPONSE.duplicate();
     }
 
     static ByteBuf encryptionRefused() {
-        return NO_CRYPTO.duplicate();
+        return ENCRYPTION_REFUSED.duplicate();
     }
 
     /** What opens a connection to a pod. */
     static ByteBuf startupMessage() {
-        return HELLO.duplicate();
+        return STARTUP_MESSAGE.duplicate();
     }
 
     /** ErrorResponse and ReadyForQuery; {@code comeBackMs} 0 gives no advice. */
-    static ByteBuf errorResponse(String code, String text, long comeBackMs, boolean ready) {
-        ByteBuf b = Unpooled.buffer(96);
-        b.writeByte('E').writeInt(0);
-        field(b, 'S', "ERROR");
-        field(b, 'V', "ERROR");
-        field(b, 'C', code);
-        field(b, 'M', text);
-        if (comeBackMs > 0) {
-            field(b, 'D', Long.toString(comeBackMs));
+    static ByteBuf errorResponse(
+            String code, String text, long backoffMs, boolean withReadyForQuery) {
+        ByteBuf response = Unpooled.buffer(96);
+        response.writeByte('E').writeInt(0);
+        writeField(response, 'S', "ERROR");
+        writeField(response, 'V', "ERROR");
+        writeField(response, 'C', code);
+        writeField(response, 'M', text);
+        if (backoffMs > 0) {
+            writeField(response, 'D', Long.toString(backoffMs));
         }
-        b.writeByte(0);
-        b.setInt(1, b.readableBytes() - 1);
-        return ready ? b.writeBytes(READY.duplicate()) : b;
+        response.writeByte(0);
+        response.setInt(1, response.readableBytes() - 1);
+        return withReadyForQuery ? response.writeBytes(READY_FOR_QUERY.duplicate()) : response;
     }
 
-    private static void field(ByteBuf b, char name, String text) {
-        b.writeByte(name).writeCharSequence(text, StandardCharsets.UTF_8);
-        b.writeByte(0);
+    private static void writeField(ByteBuf response, char name, String text) {
+        response.writeByte(name).writeCharSequence(text, StandardCharsets.UTF_8);
+        response.writeByte(0);
     }
 }
--- a/sidecar/src/main/java/mulleinlever/sidecar/QueryHandler.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/QueryHandler.java
@@ -9,59 +9,64 @@
 
 /** Second stage: whether a command is a req, and what it asks for. */
 final class QueryHandler {
-    private final Map<String, Settings.RouteSettings> routes;
-    private final ReqRegistry book;
-    private final SidecarPolicyActions route;
+    private final Map<String, Settings.RouteSettings> routesByName;
+    private final ReqRegistry reqRegistry;
+    private final SidecarPolicyActions policyActions;
 
-    QueryHandler(Settings settings, ReqRegistry book, SidecarPolicyActions route) {
-        this.routes =
+    QueryHandler(Settings settings, ReqRegistry reqRegistry, SidecarPolicyActions policyActions) {
+        this.routesByName =
                 settings.routes().stream()
                         .collect(
                                 Collectors.toMap(
                                         Settings.RouteSettings::name, Function.identity()));
-        this.book = book;
-        this.route = route;
+        this.reqRegistry = reqRegistry;
+        this.policyActions = policyActions;
     }
 
     /** Takes over the text. What no pod would understand is turned down here and never sent on. */
-    void handleQuery(ClientConnection client, ByteBuf text) {
-        if (blank(text)) {
-            text.release();
+    void handleQuery(ClientConnection client, ByteBuf query) {
+        if (isBlank(query)) {
+            query.release();
             client.respond(PostgresMessages.emptyQueryResponse());
             return;
         }
-        Statement s = Statement.parse(text);
-        Settings.RouteSettings row = s == null ? null : routes.get(s.route);
-        PendingCommand held = row == null ? null : new PendingCommand(client, s);
-        if (held == null || !book.register(held)) {
-            text.release();
-            String why =
-                    s == null
+        Statement statement = Statement.parse(query);
+        Settings.RouteSettings routeSettings =
+                statement == null ? null : routesByName.get(statement.route);
+        PendingCommand command =
+                routeSettings == null ? null : new PendingCommand(client, statement);
+        if (command == null || !reqRegistry.register(command)) {
+            query.release();
+            String reason =
+                    statement == null
                             ? "no req: the comment with id, c and d is missing"
-                            : row == null ? "no such route" : "this id is in hand";
+                            : routeSettings == null ? "no such route" : "this id is in hand";
             client.respond(
-                    PostgresMessages.errorResponse(PostgresMessages.SYNTAX_ERROR, why, 0, true));
+                    PostgresMessages.errorResponse(PostgresMessages.SYNTAX_ERROR, reason, 0, true));
             return;
         }
-        held.latencyObjectiveNs = row.latencyObjectiveNs();
-        long waitsNs = s.clientTimeoutMs < 0 ? row.timeoutNs() : s.clientTimeoutMs * 1_000_000L;
-        held.clientTimeoutNs = waitsNs;
-        client.enqueue(held);
-        route.submitReq(
+        command.latencyObjectiveNs = routeSettings.latencyObjectiveNs();
+        long clientTimeoutNs =
+                statement.clientTimeoutMs < 0
+                        ? routeSettings.timeoutNs()
+                        : statement.clientTimeoutMs * 1_000_000L;
+        command.clientTimeoutNs = clientTimeoutNs;
+        client.enqueue(command);
+        policyActions.submitReq(
                 new Req(
-                        s.id,
-                        s.route,
-                        s.isClientRetry,
-                        s.isWrite(),
-                        waitsNs,
+                        statement.id,
+                        statement.route,
+                        statement.isClientRetry,
+                        statement.isWrite(),
+                        clientTimeoutNs,
                         0,
-                        s.key(),
-                        s.tenant));
+                        statement.key(),
+                        statement.tenant));
     }
 
-    private static boolean blank(ByteBuf text) {
-        for (int i = text.readerIndex(); i < text.writerIndex() - 1; i++) {
-            if (text.getByte(i) > ' ' && text.getByte(i) != ';') {
+    private static boolean isBlank(ByteBuf query) {
+        for (int i = query.readerIndex(); i < query.writerIndex() - 1; i++) {
+            if (query.getByte(i) > ' ' && query.getByte(i) != ';') {
                 return false;
             }
         }
--- a/sidecar/src/main/java/mulleinlever/sidecar/ReqMemoryLimiter.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/ReqMemoryLimiter.java
@@ -8,21 +8,21 @@
  * that large values in a burst don't use up the memory.
  */
 final class ReqMemoryLimiter {
-    private static final long MOST = 12L << 20;
+    private static final long MAX_RESERVED_BYTES = 12L << 20;
 
     private final Set<ClientConnection> waiting = new LinkedHashSet<>();
-    private long bytes;
+    private long reservedBytes;
 
     boolean isExceeded() {
-        return bytes > MOST;
+        return reservedBytes > MAX_RESERVED_BYTES;
     }
 
-    void reserve(int more) {
-        bytes += more;
+    void reserve(int bytes) {
+        reservedBytes += bytes;
     }
 
-    void release(int less) {
-        bytes -= less;
+    void release(int bytes) {
+        reservedBytes -= bytes;
         if (!isExceeded() && !waiting.isEmpty()) {
             waiting.forEach(ClientConnection::scheduleDecode);
             waiting.clear();
--- a/sidecar/src/main/java/mulleinlever/sidecar/ReqRegistry.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/ReqRegistry.java
@@ -9,89 +9,94 @@
 /** Last stage: what is in hand, how each try ended, and the one final answer of each req. */
 final class ReqRegistry {
     private final Clock clock;
-    private final Map<String, PendingCommand> inHand = new HashMap<>();
-    private final SidecarMetrics counts;
+    private final Map<String, PendingCommand> commandsById = new HashMap<>();
+    private final SidecarMetrics metrics;
     private Policy policy;
 
-    ReqRegistry(Clock clock, SidecarMetrics counts) {
+    ReqRegistry(Clock clock, SidecarMetrics metrics) {
         this.clock = clock;
-        this.counts = counts;
+        this.metrics = metrics;
     }
 
-    void setPolicy(Policy decides) {
-        this.policy = decides;
+    void setPolicy(Policy policy) {
+        this.policy = policy;
     }
 
     PendingCommand find(String id) {
-        return inHand.get(id);
+        return commandsById.get(id);
     }
 
-    boolean register(PendingCommand held) {
-        boolean mine = inHand.putIfAbsent(held.statement.id, held) == null;
-        if (mine) {
-            held.receivedNs = clock.nowNs();
-            counts.increment(SidecarMetrics.Event.IN);
+    boolean register(PendingCommand command) {
+        boolean registered = commandsById.putIfAbsent(command.statement.id, command) == null;
+        if (registered) {
+            command.receivedNs = clock.nowNs();
+            metrics.increment(SidecarMetrics.Event.IN);
         }
-        return mine;
+        return registered;
     }
 
     int inFlightCount() {
-        return inHand.size();
+        return commandsById.size();
     }
 
     /**
      * A try is over, once; what still comes for it is passed over. A served one answers the req.
      */
-    void onTryEnded(UpstreamTry t, TryOutcome ending, ByteBuf served) {
-        if (t.hasEnded()) {
-            if (served != null) {
-                served.release();
+    void onTryEnded(UpstreamTry upstreamTry, TryOutcome outcome, ByteBuf response) {
+        if (upstreamTry.hasEnded()) {
+            if (response != null) {
+                response.release();
             }
             return;
         }
-        t.outcome = ending;
-        counts.recordTryOutcome(ending);
-        if (t.timeoutTask != null) {
-            t.timeoutTask.cancel(false);
+        upstreamTry.outcome = outcome;
+        metrics.recordTryOutcome(outcome);
+        if (upstreamTry.timeoutTask != null) {
+            upstreamTry.timeoutTask.cancel(false);
         }
-        long now = clock.nowNs();
-        if (served != null) {
-            respond(t.command, served, SidecarMetrics.Event.COMPLETED);
+        long nowNs = clock.nowNs();
+        if (response != null) {
+            respond(upstreamTry.command, response, SidecarMetrics.Event.COMPLETED);
         }
-        boolean complete = t.command.outcomeDecided;
+        boolean outcomeDecided = upstreamTry.command.outcomeDecided;
         policy.onTryEnded(
-                now, t.command.statement.id, t.tryNo, ending, now - t.startedNs, complete);
-        settle(t.command);
+                nowNs,
+                upstreamTry.command.statement.id,
+                upstreamTry.tryNo,
+                outcome,
+                nowNs - upstreamTry.startedNs,
+                outcomeDecided);
+        releaseIfFinished(upstreamTry.command);
     }
 
     /** The first answer goes to the client, any other nowhere. */
-    void respond(PendingCommand held, ByteBuf answer, SidecarMetrics.Event how) {
-        if (held.outcomeDecided) {
-            answer.release();
+    void respond(PendingCommand command, ByteBuf response, SidecarMetrics.Event event) {
+        if (command.outcomeDecided) {
+            response.release();
             return;
         }
-        held.outcomeDecided = true;
-        held.response = answer;
-        counts.recordOutcome(held, how);
-        held.client.flushResponses();
-        settle(held);
+        command.outcomeDecided = true;
+        command.response = response;
+        metrics.recordOutcome(command, event);
+        command.client.flushResponses();
+        releaseIfFinished(command);
     }
 
-    void onClientDisconnected(PendingCommand held) {
-        if (!held.outcomeDecided) {
-            held.outcomeDecided = true;
-            counts.recordOutcome(held, SidecarMetrics.Event.GONE);
-            policy.onClientDisconnected(clock.nowNs(), held.statement.id);
+    void onClientDisconnected(PendingCommand command) {
+        if (!command.outcomeDecided) {
+            command.outcomeDecided = true;
+            metrics.recordOutcome(command, SidecarMetrics.Event.GONE);
+            policy.onClientDisconnected(clock.nowNs(), command.statement.id);
         }
-        settle(held);
+        releaseIfFinished(command);
     }
 
-    private void settle(PendingCommand held) {
-        if (held.outcomeDecided
-                && !held.hasTriesInFlight()
-                && inHand.remove(held.statement.id, held)) {
-            held.client.releaseMemory(held);
-            held.statement.text.release();
+    private void releaseIfFinished(PendingCommand command) {
+        if (command.outcomeDecided
+                && !command.hasTriesInFlight()
+                && commandsById.remove(command.statement.id, command)) {
+            command.client.releaseMemory(command);
+            command.statement.text.release();
         }
     }
 }
--- a/sidecar/src/main/java/mulleinlever/sidecar/SidecarMetrics.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/SidecarMetrics.java
@@ -30,115 +30,119 @@
     }
 
     /** Of each second, so many reqs that got no row are told with their tries. */
-    private static final int STORIES = 3;
+    private static final int MAX_LOGGED_REQS_PER_SECOND = 3;
 
     private final Clock clock;
     private final RateLimitedLog log;
-    private final int[] of = new int[Event.values().length];
-    private final int[] ends = new int[TryOutcome.values().length];
-    private int stories;
+    private final int[] eventCounts = new int[Event.values().length];
+    private final int[] outcomeCounts = new int[TryOutcome.values().length];
+    private int failedOrOverdueCount;
 
     SidecarMetrics(Clock clock, RateLimitedLog log) {
         this.clock = clock;
         this.log = log;
     }
 
-    void increment(Event what) {
-        of[what.ordinal()]++;
+    void increment(Event event) {
+        eventCounts[event.ordinal()]++;
     }
 
-    void recordTryOutcome(TryOutcome how) {
-        ends[how.ordinal()]++;
+    void recordTryOutcome(TryOutcome outcome) {
+        outcomeCounts[outcome.ordinal()]++;
     }
 
     /**
      * How a req was answered: completed and in time or late, shed, errored, or left by its client.
      */
-    void recordOutcome(PendingCommand held, Event how) {
-        increment(how);
-        long tookNs = clock.nowNs() - held.receivedNs;
-        if (how == Event.COMPLETED && tookNs > held.latencyObjectiveNs) {
+    void recordOutcome(PendingCommand command, Event event) {
+        increment(event);
+        long tookNs = clock.nowNs() - command.receivedNs;
+        if (event == Event.COMPLETED && tookNs > command.latencyObjectiveNs) {
             increment(Event.LATE);
         }
-        boolean sent = held.tries.stream().anyMatch(t -> t.fullyWritten);
-        if (!sent) {
+        boolean fullySent = command.tries.stream().anyMatch(t -> t.fullyWritten);
+        if (!fullySent) {
             increment(Event.UNSENT);
         }
-        boolean overdue = tookNs > held.clientTimeoutNs;
+        boolean overdue = tookNs > command.clientTimeoutNs;
         if (overdue) {
             increment(Event.OVERDUE);
         }
-        if ((overdue || how != Event.COMPLETED && how != Event.GONE) && ++stories <= STORIES) {
-            log.info("req", story(held, how, tookNs));
+        if ((overdue || event != Event.COMPLETED && event != Event.GONE)
+                && ++failedOrOverdueCount <= MAX_LOGGED_REQS_PER_SECOND) {
+            log.info("req", describeReq(command, event, tookNs));
         }
     }
 
-    private static String story(PendingCommand held, Event how, long tookNs) {
-        StringBuilder b =
-                new StringBuilder(held.statement.id)
+    private static String describeReq(PendingCommand command, Event event, long tookNs) {
+        StringBuilder description =
+                new StringBuilder(command.statement.id)
                         .append(' ')
-                        .append(word(how))
+                        .append(lowerCaseName(event))
                         .append(" after ")
                         .append(tookNs / 1_000_000)
                         .append(" of ")
-                        .append(held.clientTimeoutNs / 1_000_000)
+                        .append(command.clientTimeoutNs / 1_000_000)
                         .append(" ms");
-        for (UpstreamTry t : held.tries) {
-            b.append("; ")
-                    .append(t.podId)
+        for (UpstreamTry upstreamTry : command.tries) {
+            description
+                    .append("; ")
+                    .append(upstreamTry.podId)
                     .append(" at ")
-                    .append((t.startedNs - held.receivedNs) / 1_000_000)
+                    .append((upstreamTry.startedNs - command.receivedNs) / 1_000_000)
                     .append(' ')
-                    .append(t.hasEnded() ? word(t.outcome) : "out")
-                    .append(t.fullyWritten ? "" : " unwritten");
+                    .append(upstreamTry.hasEnded() ? lowerCaseName(upstreamTry.outcome) : "out")
+                    .append(upstreamTry.fullyWritten ? "" : " unwritten");
         }
-        return b.toString();
+        return description.toString();
     }
 
     /** Says what there is to say, and begins anew. */
-    void logAndReset(Policy.Stats sight, int clients, int links, long listAgeNs) {
-        StringBuilder b = new StringBuilder();
-        for (Event w : Event.values()) {
-            put(b, word(w), of[w.ordinal()]);
-            of[w.ordinal()] = 0;
+    void logAndReset(
+            Policy.Stats stats, int clientConnectionCount, int podConnectionCount, long listAgeNs) {
+        StringBuilder line = new StringBuilder();
+        for (Event event : Event.values()) {
+            appendIfPositive(line, lowerCaseName(event), eventCounts[event.ordinal()]);
+            eventCounts[event.ordinal()] = 0;
         }
-        for (TryOutcome e : TryOutcome.values()) {
-            put(b, "try_" + word(e), ends[e.ordinal()]);
-            ends[e.ordinal()] = 0;
+        for (TryOutcome outcome : TryOutcome.values()) {
+            appendIfPositive(
+                    line, "try_" + lowerCaseName(outcome), outcomeCounts[outcome.ordinal()]);
+            outcomeCounts[outcome.ordinal()] = 0;
         }
-        stories = 0;
-        if (b.length() > 0) {
+        failedOrOverdueCount = 0;
+        if (line.length() > 0) {
             log.info(
                     "count",
-                    b.append(
+                    line.append(
                                     String.format(
                                             Locale.ROOT,
                                             "clients=%d links=%d room=%.1f open=%d first=%d "
                                                     + "further=%d ease=%.2f ready=%d usable=%d fit=%d cold=%d dark=%d list_age=%.1f",
-                                            clients,
-                                            links,
-                                            sight.tryLimit(),
-                                            sight.openTryCount(),
-                                            sight.queuedFirstTryCount(),
-                                            sight.queuedRetryCount(),
-                                            sight.meanLatencyRatio(),
-                                            sight.readyPodCount(),
-                                            sight.leasedPodCount(),
-                                            sight.healthyPodCount(),
-                                            sight.coldPodCount(),
-                                            sight.unreachablePodCount(),
+                                            clientConnectionCount,
+                                            podConnectionCount,
+                                            stats.tryLimit(),
+                                            stats.openTryCount(),
+                                            stats.queuedFirstTryCount(),
+                                            stats.queuedRetryCount(),
+                                            stats.meanLatencyRatio(),
+                                            stats.readyPodCount(),
+                                            stats.leasedPodCount(),
+                                            stats.healthyPodCount(),
+                                            stats.coldPodCount(),
+                                            stats.unreachablePodCount(),
                                             listAgeNs / 1e9))
                             .toString());
         }
     }
 
-    private static void put(StringBuilder b, String name, int n) {
-        if (n > 0) {
-            b.append(name).append('=').append(n).append(' ');
+    private static void appendIfPositive(StringBuilder line, String name, int count) {
+        if (count > 0) {
+            line.append(name).append('=').append(count).append(' ');
         }
     }
 
-    private static String word(Enum<?> of) {
-        return of.name().toLowerCase(Locale.ROOT);
+    private static String lowerCaseName(Enum<?> constant) {
+        return constant.name().toLowerCase(Locale.ROOT);
     }
 }
--- a/sidecar/src/main/java/mulleinlever/sidecar/SidecarPolicyActions.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/SidecarPolicyActions.java
@@ -8,34 +8,34 @@
 
 /** Third stage: hands each req to the module and does what that asks for. */
 final class SidecarPolicyActions implements PolicyActions {
-    private final NettyTransport net;
+    private final NettyTransport transport;
     private final Clock clock;
-    private final ReqRegistry book;
-    private final TryDispatcher send;
-    private final DiscoveryClient discovery;
-    private final ReleasePlatformClient platform;
+    private final ReqRegistry reqRegistry;
+    private final TryDispatcher tryDispatcher;
+    private final DiscoveryClient discoveryClient;
+    private final ReleasePlatformClient platformClient;
     private final RateLimitedLog log;
     private Policy policy;
 
     SidecarPolicyActions(
-            NettyTransport net,
+            NettyTransport transport,
             Clock clock,
-            ReqRegistry book,
-            TryDispatcher send,
-            DiscoveryClient discovery,
-            ReleasePlatformClient platform,
+            ReqRegistry reqRegistry,
+            TryDispatcher tryDispatcher,
+            DiscoveryClient discoveryClient,
+            ReleasePlatformClient platformClient,
             RateLimitedLog log) {
-        this.net = net;
+        this.transport = transport;
         this.clock = clock;
-        this.book = book;
-        this.send = send;
-        this.discovery = discovery;
-        this.platform = platform;
+        this.reqRegistry = reqRegistry;
+        this.tryDispatcher = tryDispatcher;
+        this.discoveryClient = discoveryClient;
+        this.platformClient = platformClient;
         this.log = log;
     }
 
-    void setPolicy(Policy decides) {
-        this.policy = decides;
+    void setPolicy(Policy policy) {
+        this.policy = policy;
     }
 
     void submitReq(Req req) {
@@ -43,14 +43,14 @@
     }
 
     @Override
-    public void startTry(String rq, String pod, long writeWithinNs, long limitNs) {
-        send.startTry(book.find(rq), pod, writeWithinNs, limitNs);
+    public void startTry(String reqId, String podId, long writeWithinNs, long limitNs) {
+        tryDispatcher.startTry(reqRegistry.find(reqId), podId, writeWithinNs, limitNs);
     }
 
     @Override
-    public void shedReq(String rq, long backoffNs) {
-        answer(
-                rq,
+    public void shedReq(String reqId, long backoffNs) {
+        respond(
+                reqId,
                 SidecarMetrics.Event.SHED,
                 PostgresMessages.errorResponse(
                         PostgresMessages.TOO_MANY_CONNECTIONS,
@@ -60,48 +60,48 @@
     }
 
     @Override
-    public void failReq(String rq) {
-        answer(
-                rq,
+    public void failReq(String reqId) {
+        respond(
+                reqId,
                 SidecarMetrics.Event.ERRORED,
                 PostgresMessages.errorResponse(
                         PostgresMessages.INTERNAL_ERROR, "errored", 0, true));
     }
 
-    private void answer(String rq, SidecarMetrics.Event how, ByteBuf answer) {
-        PendingCommand held = book.find(rq);
-        if (held == null) {
-            answer.release();
+    private void respond(String reqId, SidecarMetrics.Event event, ByteBuf response) {
+        PendingCommand command = reqRegistry.find(reqId);
+        if (command == null) {
+            response.release();
         } else {
-            book.respond(held, answer, how);
+            reqRegistry.respond(command, response, event);
         }
     }
 
     @Override
-    public void cancelTry(String rq, int tryNo) {
-        PendingCommand held = book.find(rq);
-        if (held != null && tryNo >= 0 && tryNo < held.tries.size()) {
-            send.cancelTry(held.tries.get(tryNo));
+    public void cancelTry(String reqId, int tryNo) {
+        PendingCommand command = reqRegistry.find(reqId);
+        if (command != null && tryNo >= 0 && tryNo < command.tries.size()) {
+            tryDispatcher.cancelTry(command.tries.get(tryNo));
         }
     }
 
     @Override
-    public void castVote(int build, int stage, RolloutVote verdict) {
-        platform.sendVote(build, stage, verdict);
+    public void castVote(int build, int stage, RolloutVote vote) {
+        platformClient.sendVote(build, stage, vote);
     }
 
     @Override
     public void watchPodList() {
-        discovery.openWatch();
+        discoveryClient.openWatch();
     }
 
     @Override
     public void scheduleTimer(long atNs, String token) {
-        net.schedule(atNs - clock.nowNs(), () -> policy.onTimer(clock.nowNs(), token));
+        transport.schedule(atNs - clock.nowNs(), () -> policy.onTimer(clock.nowNs(), token));
     }
 
     @Override
-    public void log(String line) {
-        log.info("module", line);
+    public void log(String message) {
+        log.info("module", message);
     }
 }
--- a/sidecar/src/main/java/mulleinlever/sidecar/Statement.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/Statement.java
@@ -5,7 +5,7 @@
 
 /** A client's statement and what its comment says; the text stays where it was read. */
 final class Statement {
-    private static final int HEX = 16;
+    private static final int HEX_RADIX = 16;
 
     /** The text with the zero behind it. */
     final ByteBuf text;
@@ -31,61 +31,70 @@
      * Null where the text is not in the form that reqs have; it is left to the caller to release.
      */
     static Statement parse(ByteBuf text) {
-        Statement s = new Statement(text);
+        Statement statement = new Statement(text);
         int end = text.readerIndex() + text.readableBytes() - 1;
         while (end > text.readerIndex() && text.getByte(end - 1) <= ' ') {
             end--;
         }
-        int from = text.readerIndex();
-        int at = end - 2;
-        if (at < from || text.getByte(at) != '*' || text.getByte(at + 1) != '/') {
+        int start = text.readerIndex();
+        int commentEnd = end - 2;
+        if (commentEnd < start
+                || text.getByte(commentEnd) != '*'
+                || text.getByte(commentEnd + 1) != '/') {
             return null;
         }
-        int open = at - 2;
-        while (open >= from && (text.getByte(open) != '/' || text.getByte(open + 1) != '*')) {
-            open--;
+        int commentStart = commentEnd - 2;
+        while (commentStart >= start
+                && (text.getByte(commentStart) != '/' || text.getByte(commentStart + 1) != '*')) {
+            commentStart--;
         }
-        return open >= from && s.fields(open + 2, at) ? s : null;
+        return commentStart >= start && statement.parseFields(commentStart + 2, commentEnd)
+                ? statement
+                : null;
     }
 
-    private boolean fields(int from, int to) {
-        for (int i = from; i < to; ) {
-            int comma = text.indexOf(i, to, (byte) ',');
-            int end = comma < 0 ? to : comma;
-            int a = i;
-            int b = end;
-            while (a < b && text.getByte(a) <= ' ') {
-                a++;
+    private boolean parseFields(int start, int end) {
+        for (int segmentStart = start; segmentStart < end; ) {
+            int comma = text.indexOf(segmentStart, end, (byte) ',');
+            int segmentEnd = comma < 0 ? end : comma;
+            int fieldStart = segmentStart;
+            int fieldEnd = segmentEnd;
+            while (fieldStart < fieldEnd && text.getByte(fieldStart) <= ' ') {
+                fieldStart++;
             }
-            while (b > a && text.getByte(b - 1) <= ' ') {
-                b--;
+            while (fieldEnd > fieldStart && text.getByte(fieldEnd - 1) <= ' ') {
+                fieldEnd--;
             }
-            int is = text.indexOf(a, b, (byte) '=');
-            if (is < 0 || !field(a, is, is + 1, b)) {
+            int equalsIndex = text.indexOf(fieldStart, fieldEnd, (byte) '=');
+            if (equalsIndex < 0
+                    || !parseField(fieldStart, equalsIndex, equalsIndex + 1, fieldEnd)) {
                 return false;
             }
-            i = end + 1;
+            segmentStart = segmentEnd + 1;
         }
         return id != null && route != null;
     }
 
-    private boolean field(int nameAt, int is, int from, int to) {
+    private boolean parseField(int nameStart, int nameEnd, int valueStart, int valueEnd) {
         boolean isId =
-                is == nameAt + 2 && text.getByte(nameAt) == 'i' && text.getByte(nameAt + 1) == 'd';
+                nameEnd == nameStart + 2
+                        && text.getByte(nameStart) == 'i'
+                        && text.getByte(nameStart + 1) == 'd';
         if (isId) {
-            id = word(from, to);
+            id = decode(valueStart, valueEnd);
         }
-        if (is != nameAt + 1) {
+        if (nameEnd != nameStart + 1) {
             return true;
         }
-        switch (text.getByte(nameAt)) {
-            case 'c' -> route = word(from, to);
-            case 't' -> tenant = word(from, to);
-            case 'r' -> isClientRetry = to == from + 1 && text.getByte(from) == '1';
+        switch (text.getByte(nameStart)) {
+            case 'c' -> route = decode(valueStart, valueEnd);
+            case 't' -> tenant = decode(valueStart, valueEnd);
+            case 'r' ->
+                    isClientRetry = valueEnd == valueStart + 1 && text.getByte(valueStart) == '1';
             case 'd' -> {
-                clientTimeoutIndex = from;
-                clientTimeoutLength = to - from;
-                clientTimeoutMs = digits(from, to);
+                clientTimeoutIndex = valueStart;
+                clientTimeoutLength = valueEnd - valueStart;
+                clientTimeoutMs = parseDigits(valueStart, valueEnd);
                 return clientTimeoutMs >= 0;
             }
             default -> {}
@@ -93,20 +102,20 @@
         return true;
     }
 
-    private String word(int from, int to) {
-        return text.toString(from, to - from, StandardCharsets.UTF_8);
+    private String decode(int start, int end) {
+        return text.toString(start, end - start, StandardCharsets.UTF_8);
     }
 
-    private long digits(int from, int to) {
-        long n = 0;
-        for (int i = from; i < to; i++) {
-            int d = text.getByte(i) - '0';
-            if (d < 0 || d > 9 || to - from > 9) {
+    private long parseDigits(int start, int end) {
+        long value = 0;
+        for (int i = start; i < end; i++) {
+            int digit = text.getByte(i) - '0';
+            if (digit < 0 || digit > 9 || end - start > 9) {
                 return -1;
             }
-            n = 10 * n + d;
+            value = 10 * value + digit;
         }
-        return to > from ? n : -1;
+        return end > start ? value : -1;
     }
 
     boolean isWrite() {
@@ -118,14 +127,14 @@
      * none.
      */
     long key() {
-        int from = text.indexOf(text.readerIndex(), text.writerIndex(), (byte) '\'') + 1;
+        int start = text.indexOf(text.readerIndex(), text.writerIndex(), (byte) '\'') + 1;
         long key = 0;
-        for (int i = from; from > 0 && i < text.writerIndex() && i - from <= HEX; i++) {
-            int d = Character.digit(text.getByte(i), HEX);
-            if (d < 0) {
-                return text.getByte(i) == '\'' && i > from ? key & Long.MAX_VALUE : -1;
+        for (int i = start; start > 0 && i < text.writerIndex() && i - start <= HEX_RADIX; i++) {
+            int digit = Character.digit(text.getByte(i), HEX_RADIX);
+            if (digit < 0) {
+                return text.getByte(i) == '\'' && i > start ? key & Long.MAX_VALUE : -1;
             }
-            key = key * HEX + d;
+            key = key * HEX_RADIX + digit;
         }
         return -1;
     }
--- a/sidecar/src/test/java/mulleinlever/sidecar/DecodersTest.java
+++ b/sidecar/src/test/java/mulleinlever/sidecar/DecodersTest.java
@@ -27,79 +27,86 @@
     private static final int ROUNDS = 300;
 
     /** The bytes in pieces of random length. */
-    private static List<ByteBuf> cut(byte[] all, SplittableRandom random) {
+    private static List<ByteBuf> splitRandomly(byte[] bytes, SplittableRandom random) {
         List<ByteBuf> pieces = new ArrayList<>();
-        for (int at = 0; at < all.length; ) {
-            int n = Math.min(all.length - at, 1 + random.nextInt(random.nextBoolean() ? 3 : 200));
-            pieces.add(ByteBufAllocator.DEFAULT.buffer(n).writeBytes(all, at, n));
-            at += n;
+        for (int start = 0; start < bytes.length; ) {
+            int length =
+                    Math.min(
+                            bytes.length - start,
+                            1 + random.nextInt(random.nextBoolean() ? 3 : 200));
+            pieces.add(ByteBufAllocator.DEFAULT.buffer(length).writeBytes(bytes, start, length));
+            start += length;
         }
         return pieces;
     }
 
-    private static byte[] bytes(ByteBuf b) {
-        byte[] all = new byte[b.readableBytes()];
-        b.readBytes(all).release();
-        return all;
+    private static byte[] readAndRelease(ByteBuf buffer) {
+        byte[] bytes = new byte[buffer.readableBytes()];
+        buffer.readBytes(bytes).release();
+        return bytes;
     }
 
     @Test
     void decodesMessagesSplitAtRandomPositions() {
         SplittableRandom random = new SplittableRandom(1);
         for (int round = 0; round < ROUNDS; round++) {
-            ByteBuf all = Unpooled.buffer();
+            ByteBuf encoded = Unpooled.buffer();
             List<String> expected = new ArrayList<>();
             for (int i = random.nextInt(6); i >= 0; i--) {
                 String body = "abc".repeat(random.nextInt(100)) + round + "," + i;
                 char type = (char) ('A' + random.nextInt(26));
-                all.writeByte(type).writeInt(4 + body.length()).writeBytes(body.getBytes());
+                encoded.writeByte(type).writeInt(4 + body.length()).writeBytes(body.getBytes());
                 expected.add(type + body);
             }
-            PostgresMessageDecoder frames = new PostgresMessageDecoder(ByteBufAllocator.DEFAULT);
-            List<ByteBuf> kept = new ArrayList<>();
+            PostgresMessageDecoder decoder = new PostgresMessageDecoder(ByteBufAllocator.DEFAULT);
+            List<ByteBuf> retainedBodies = new ArrayList<>();
             List<String> types = new ArrayList<>();
-            for (ByteBuf piece : cut(bytes(all), random)) {
-                frames.addBytes(piece);
-                while (frames.nextMessage(true)) {
-                    types.add(String.valueOf(frames.messageType));
-                    kept.add(frames.retainBody());
+            for (ByteBuf piece : splitRandomly(readAndRelease(encoded), random)) {
+                decoder.addBytes(piece);
+                while (decoder.nextMessage(true)) {
+                    types.add(String.valueOf(decoder.messageType));
+                    retainedBodies.add(decoder.retainBody());
                 }
             }
-            assertEquals(0, frames.unreadBytes());
-            frames.release();
+            assertEquals(0, decoder.unreadBytes());
+            decoder.release();
             // What was kept outlives all later reads.
-            for (int i = 0; i < kept.size(); i++) {
-                assertEquals(expected.get(i), types.get(i) + new String(bytes(kept.get(i))));
+            for (int i = 0; i < retainedBodies.size(); i++) {
+                assertEquals(
+                        expected.get(i),
+                        types.get(i) + new String(readAndRelease(retainedBodies.get(i))));
             }
-            assertEquals(expected.size(), kept.size());
+            assertEquals(expected.size(), retainedBodies.size());
         }
     }
 
     @ParameterizedTest
     @CsvSource({"0", "3", "-1", "200000", "2147483647"})
     void rejectsInvalidMessageLength(int length) {
-        PostgresMessageDecoder frames = new PostgresMessageDecoder(ByteBufAllocator.DEFAULT);
-        frames.addBytes(Unpooled.buffer().writeByte('Q').writeInt(length));
-        assertThrows(InvalidInputException.class, () -> frames.nextMessage(true));
+        PostgresMessageDecoder decoder = new PostgresMessageDecoder(ByteBufAllocator.DEFAULT);
+        decoder.addBytes(Unpooled.buffer().writeByte('Q').writeInt(length));
+        assertThrows(InvalidInputException.class, () -> decoder.nextMessage(true));
     }
 
-    private static final Pattern FORM = Pattern.compile("(?s).*/\\*((?:(?!/\\*).)*)\\*/\\s*");
+    private static final Pattern STATEMENT_PATTERN =
+            Pattern.compile("(?s).*/\\*((?:(?!/\\*).)*)\\*/\\s*");
 
     /** The plain reading: the last comment, split at commas, then at the first equals sign. */
-    private static String plainly(String text) {
-        Matcher m = FORM.matcher(text);
-        if (!m.matches()) {
+    private static String referenceParse(String text) {
+        Matcher matcher = STATEMENT_PATTERN.matcher(text);
+        if (!matcher.matches()) {
             return null;
         }
         Map<String, String> fields = new LinkedHashMap<>();
-        for (String part : m.group(1).split(",", -1)) {
-            String[] pair = part.trim().split("=", 2);
-            if (pair.length < 2 || pair[0].equals("d") && !pair[1].matches("\\d{1,9}")) {
+        for (String field : matcher.group(1).split(",", -1)) {
+            String[] nameAndValue = field.trim().split("=", 2);
+            if (nameAndValue.length < 2
+                    || nameAndValue[0].equals("d") && !nameAndValue[1].matches("\\d{1,9}")) {
                 return null;
             }
-            fields.put(pair[0], pair[1]);
+            fields.put(nameAndValue[0], nameAndValue[1]);
         }
-        String waits = fields.getOrDefault("d", "-1");
+        String clientTimeoutMs = fields.getOrDefault("d", "-1");
         return !fields.containsKey("id") || !fields.containsKey("c")
                 ? null
                 : fields.get("id")
@@ -108,7 +115,7 @@
                         + " "
                         + fields.get("t")
                         + " "
-                        + Long.parseLong(waits)
+                        + Long.parseLong(clientTimeoutMs)
                         + " "
                         + "1".equals(fields.get("r"));
     }
@@ -116,7 +123,7 @@
     @Test
     void statementParserMatchesReferenceParser() {
         SplittableRandom random = new SplittableRandom(2);
-        String[] parts = {
+        String[] extraFields = {
             "id=9b1f",
             "c=basket",
             "t=acme",
@@ -134,46 +141,48 @@
             " t=b ",
             "d=1234567890"
         };
-        int read = 0;
+        int parsedCount = 0;
         for (int round = 0; round < 20 * ROUNDS; round++) {
-            List<String> some = new ArrayList<>(List.of("id=" + round, "c=get"));
+            List<String> fields = new ArrayList<>(List.of("id=" + round, "c=get"));
             for (int i = random.nextInt(4); i > 0; i--) {
-                some.add(random.nextInt(some.size() + 1), parts[random.nextInt(parts.length)]);
+                fields.add(
+                        random.nextInt(fields.size() + 1),
+                        extraFields[random.nextInt(extraFields.length)]);
             }
             String text =
                     "SELECT '/* c=no */' "
                             + (random.nextInt(9) == 0 ? "" : "/*")
                             + " "
-                            + String.join(",", some)
+                            + String.join(",", fields)
                             + " */"
                             + " ".repeat(random.nextInt(3));
-            ByteBuf b = Unpooled.copiedBuffer(text + "\0", StandardCharsets.UTF_8);
-            Statement s = Statement.parse(b);
-            String got =
-                    s == null
+            ByteBuf buffer = Unpooled.copiedBuffer(text + "\0", StandardCharsets.UTF_8);
+            Statement statement = Statement.parse(buffer);
+            String parsed =
+                    statement == null
                             ? null
-                            : s.id
+                            : statement.id
                                     + " "
-                                    + s.route
+                                    + statement.route
                                     + " "
-                                    + s.tenant
+                                    + statement.tenant
                                     + " "
-                                    + s.clientTimeoutMs
+                                    + statement.clientTimeoutMs
                                     + " "
-                                    + s.isClientRetry;
-            assertEquals(plainly(text), got, text);
-            read += s == null ? 0 : 1;
-            if (s != null && s.clientTimeoutMs >= 0) {
+                                    + statement.isClientRetry;
+            assertEquals(referenceParse(text), parsed, text);
+            parsedCount += statement == null ? 0 : 1;
+            if (statement != null && statement.clientTimeoutMs >= 0) {
                 assertEquals(
-                        s.clientTimeoutMs,
+                        statement.clientTimeoutMs,
                         Long.parseLong(
-                                b.toString(
-                                        s.clientTimeoutIndex,
-                                        s.clientTimeoutLength,
+                                buffer.toString(
+                                        statement.clientTimeoutIndex,
+                                        statement.clientTimeoutLength,
                                         StandardCharsets.UTF_8)));
             }
         }
-        assertEquals(true, read > ROUNDS);
+        assertEquals(true, parsedCount > ROUNDS);
     }
 
     @ParameterizedTest
@@ -187,9 +196,12 @@
         "SELECT '7f3a9c21e0b4d6551', ",
         "SELECT '7f3a, "
     })
-    void parsesKeyFromQuotedHexLiteral(String text, String key) {
-        ByteBuf b = Unpooled.copiedBuffer(text + " /* id=1,c=get,d=5 */\0", StandardCharsets.UTF_8);
-        assertEquals(key == null ? -1 : Long.parseLong(key, 16), Statement.parse(b).key());
+    void parsesKeyFromQuotedHexLiteral(String text, String expectedHexKey) {
+        ByteBuf buffer =
+                Unpooled.copiedBuffer(text + " /* id=1,c=get,d=5 */\0", StandardCharsets.UTF_8);
+        assertEquals(
+                expectedHexKey == null ? -1 : Long.parseLong(expectedHexKey, 16),
+                Statement.parse(buffer).key());
     }
 
     @Test
@@ -200,24 +212,24 @@
             for (int i = random.nextInt(5); i >= 0; i--) {
                 expected.add("x".repeat(random.nextInt(60)));
             }
-            byte[] text = (String.join("\n", expected) + "\r\n").getBytes();
-            StringBuilder all =
+            byte[] body = (String.join("\n", expected) + "\r\n").getBytes();
+            StringBuilder response =
                     new StringBuilder(
                             "HTTP/1.1 200 OK\r\nTransfer-Encoding: Chunked\r\nA: b\r\n\r\n");
-            for (ByteBuf chunk : cut(text, random)) {
-                byte[] part = bytes(chunk);
-                all.append(Integer.toHexString(part.length))
+            for (ByteBuf chunk : splitRandomly(body, random)) {
+                byte[] chunkBytes = readAndRelease(chunk);
+                response.append(Integer.toHexString(chunkBytes.length))
                         .append(random.nextBoolean() ? ";a=b" : "")
                         .append("\r\n")
-                        .append(new String(part))
+                        .append(new String(chunkBytes))
                         .append("\r\n");
             }
-            all.append("0\r\n\r\n");
-            List<String> got = new ArrayList<>();
-            EmbeddedChannel channel = new EmbeddedChannel(lines(got));
-            cut(all.toString().getBytes(), random).forEach(channel::writeInbound);
+            response.append("0\r\n\r\n");
+            List<String> events = new ArrayList<>();
+            EmbeddedChannel channel = new EmbeddedChannel(recordingConnection(events));
+            splitRandomly(response.toString().getBytes(), random).forEach(channel::writeInbound);
             expected.add("complete");
-            assertEquals(expected, got);
+            assertEquals(expected, events);
         }
     }
 
@@ -228,15 +240,15 @@
         "HTTP/1.1 200 OK|Transfer-Encoding: chunked||zz|",
         "HTTP/1.1 200 OK|Transfer-Encoding: chunked||-5|"
     })
-    void unexpectedResponseEndsWatch(String text) {
-        List<String> got = new ArrayList<>();
-        EmbeddedChannel channel = new EmbeddedChannel(lines(got));
+    void unexpectedResponseEndsWatch(String response) {
+        List<String> events = new ArrayList<>();
+        EmbeddedChannel channel = new EmbeddedChannel(recordingConnection(events));
         channel.writeInbound(
-                Unpooled.copiedBuffer(text.replace("|", "\r\n"), StandardCharsets.US_ASCII));
-        assertEquals(List.of("ended"), got);
+                Unpooled.copiedBuffer(response.replace("|", "\r\n"), StandardCharsets.US_ASCII));
+        assertEquals(List.of("ended"), events);
     }
 
-    private static ChunkedHttpConnection lines(List<String> got) {
+    private static ChunkedHttpConnection recordingConnection(List<String> events) {
         RateLimitedLog log =
                 new RateLimitedLog(new PrintStream(OutputStream.nullOutputStream()), new Clock());
         return new ChunkedHttpConnection(null, 100, log, "test") {
@@ -247,17 +259,17 @@
 
             @Override
             void onLine(String text) {
-                got.add(text);
+                events.add(text);
             }
 
             @Override
             void onResponseComplete() {
-                got.add("complete");
+                events.add("complete");
             }
 
             @Override
             void onEnd(EndReason reason) {
-                got.add("ended");
+                events.add("ended");
             }
         };
     }
@@ -278,17 +290,23 @@
                 "\"voteWaitNs\":5|\"voteWaitNs\":x5|JSON: expected a value at character",
                 "\"settings\":{|\"set\":{|configuration: settings needs an object"
             })
-    void configurationErrorNamesKey(String there, String instead, String message) {
-        String known = "{\"generation\":1,\"instances\":[]}";
-        String good =
-                SidecarTestBase.configJson("127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3", known, 99);
-        assertEquals(99, SidecarConfig.parse(good, Map.of()).maxSockets());
-        String bad = good.replace(there, instead == null ? "" : instead);
-        InvalidInputException fault =
-                assertThrows(InvalidInputException.class, () -> SidecarConfig.parse(bad, Map.of()));
+    void configurationErrorNamesKey(String original, String replacement, String expectedMessage) {
+        String podList = "{\"generation\":1,\"instances\":[]}";
+        String validConfig =
+                SidecarTestBase.configJson(
+                        "127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3", podList, 99);
+        assertEquals(99, SidecarConfig.parse(validConfig, Map.of()).maxSockets());
+        String invalidConfig =
+                validConfig.replace(original, replacement == null ? "" : replacement);
+        InvalidInputException thrown =
+                assertThrows(
+                        InvalidInputException.class,
+                        () -> SidecarConfig.parse(invalidConfig, Map.of()));
         assertEquals(
-                message,
-                fault.getMessage()
-                        .substring(0, Math.min(message.length(), fault.getMessage().length())));
+                expectedMessage,
+                thrown.getMessage()
+                        .substring(
+                                0,
+                                Math.min(expectedMessage.length(), thrown.getMessage().length())));
     }
 }
