--- a/sidecar/src/main/java/mulleinlever/sidecar/ClientConnection.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/ClientConnection.java
@@ -11,16 +11,26 @@
 import mulleinlever.settings.InvalidInputException;
 
 /**
- * First stage: one client's connection, from its bytes to its commands, and the answers in their
- * order.
+ * The connection of one client: the first stage that a req passes. Decodes the client's messages
+ * into commands and writes the responses in the order of the commands. Each instance serves one
+ * channel and is called by the event loop only.
  */
 final class ClientConnection extends ChannelInboundHandlerAdapter {
+    /**
+     * The maximum number of commands that wait for their responses; reading pauses at this number.
+     */
     private static final int MAX_PIPELINED_COMMANDS = 32;
 
-    /** Against peers that go silent before or within a message, or take no answer. */
+    /**
+     * How long a client may make no progress before its startup message, within a message or
+     * without reading its responses. Such a client could hold its connection and buffers forever.
+     */
     private static final long STALL_TIMEOUT_NS = 10_000_000_000L;
 
+    /** The code of SSLRequest, in the place of a startup message's protocol version. */
     private static final int SSL_REQUEST_CODE = 80_877_103;
+
+    /** The code of GSSENCRequest, in the place of a startup message's protocol version. */
     private static final int GSSENC_REQUEST_CODE = 80_877_104;
 
     private final QueryHandler queryHandler;
@@ -29,18 +39,22 @@
     private final ReqRegistry reqRegistry;
     private final Clock clock;
     private final RateLimitedLog log;
+
+    /** The commands without a written response, in the order of their arrival. */
     private final ArrayDeque<PendingCommand> pendingCommands = new ArrayDeque<>();
+
     private Channel channel;
     private PostgresMessageDecoder decoder;
     private boolean startupComplete;
     private boolean closing;
+
+    /** When bytes were last received or a response was last written. */
     private long lastProgressNs;
 
-    /**
-     * What waits for the client itself: the message it has half sent, the answers it has not taken.
-     */
+    /** The capacity of the buffer that holds received bytes not yet decoded into a command. */
     private int partialMessageBytes;
 
+    /** The size of the responses that were written but not yet taken by the network. */
     private int unsentResponseBytes;
 
     ClientConnection(
@@ -77,6 +91,7 @@
         decode();
     }
 
+    /** Decodes and handles messages until reading has to pause, and sets auto-read accordingly. */
     private void decode() {
         try {
             while (!closing && canRead() && decoder.nextMessage(startupComplete)) {
@@ -99,19 +114,26 @@
         clientConnections.addBufferedBytes(addedBytes);
     }
 
+    /** Returns whether memory is held for a partial message or for unsent responses. */
     boolean hasBufferedBytes() {
         return partialMessageBytes + unsentResponseBytes > 0;
     }
 
+    /** Returns when bytes were last received or a response was last written. */
     long lastProgressNs() {
         return lastProgressNs;
     }
 
+    /** Closes the connection without waiting for pending commands or unsent responses. */
     void closeNow() {
         closing = true;
         channel.close();
     }
 
+    /**
+     * Returns whether another message may be decoded. Where the memory limit forbids it, registers
+     * this connection to be resumed once memory has been released.
+     */
     private boolean canRead() {
         if (reqMemoryLimiter.isExceeded()) {
             reqMemoryLimiter.addWaiter(this);
@@ -121,8 +143,8 @@
     }
 
     /**
-     * Not at once: the module may be in the middle of a call, and what is read next becomes
-     * another.
+     * Resumes decoding in a later turn of the event loop. Decoding at once could call the policy
+     * while one of its methods is still running.
      */
     void scheduleDecode() {
         channel.eventLoop()
@@ -134,6 +156,7 @@
                         });
     }
 
+    /** Handles a startup message: refuses encryption, accepts protocol version 3. */
     private void handleStartupMessage() {
         int code = decoder.bodyLength >= 4 ? decoder.buffer().getInt(decoder.bodyIndex) : 0;
         if (code == SSL_REQUEST_CODE || code == GSSENC_REQUEST_CODE) {
@@ -146,6 +169,7 @@
         }
     }
 
+    /** Handles a message after the startup: a query or the termination of the connection. */
     private void handleMessage() {
         switch (decoder.messageType) {
             case 'Q' -> {
@@ -164,7 +188,10 @@
         }
     }
 
-    /** What came before gets its answers, then the connection ends. */
+    /**
+     * Answers malformed input with an error and closes the connection after the responses to all
+     * commands received before it.
+     */
     private void rejectMalformedInput(String reason) {
         closing = true;
         respond(
@@ -172,7 +199,7 @@
                         PostgresMessages.PROTOCOL_VIOLATION, reason, 0, false));
     }
 
-    /** A command that is no req takes its place in the line with its answer. */
+    /** Queues the response to a command that is not a req behind those of earlier commands. */
     void respond(ByteBuf response) {
         PendingCommand command = new PendingCommand(this, null);
         command.response = response;
@@ -180,16 +207,21 @@
         flushResponses();
     }
 
+    /** Queues a req for its response and reserves the memory that it takes. */
     void enqueue(PendingCommand command) {
         pendingCommands.add(command);
         reqMemoryLimiter.reserve(command.memoryBytes());
     }
 
+    /** Releases the memory that {@link #enqueue} reserved for the req. */
     void releaseMemory(PendingCommand command) {
         reqMemoryLimiter.release(command.memoryBytes());
     }
 
-    /** Answers go out in the order of the commands. */
+    /**
+     * Writes the responses that are available, in the order of the commands. Afterwards closes a
+     * connection that is due to close, or resumes reading where it was paused.
+     */
     void flushResponses() {
         boolean responseWritten = false;
         while (!pendingCommands.isEmpty() && pendingCommands.peek().response != null) {
@@ -218,24 +250,36 @@
         clientConnections.addBufferedBytes(-responseBytes);
     }
 
+    /** Closes the connection after all written responses have been sent. */
     private void flushAndClose() {
         closing = true;
         channel.writeAndFlush(Unpooled.EMPTY_BUFFER).addListener(ChannelFutureListener.CLOSE);
     }
 
+    /**
+     * Closes the connection unless a command is pending or, while it isn't closing yet, received
+     * bytes are left to decode.
+     */
     void closeIfIdle() {
         if (pendingCommands.isEmpty() && (closing || !decoder.hasUnreadBytes())) {
             flushAndClose();
         }
     }
 
-    /** For how long it has asked for nothing; -1 where it waits for an answer. */
+    /**
+     * Returns for how long the client has sent no command, in nanoseconds, or -1 if the connection
+     * isn't idle: it is closing, a command is pending or a message has been received in part.
+     */
     long idleNs(long nowNs) {
         return !closing && pendingCommands.isEmpty() && !decoder.hasUnreadBytes()
                 ? nowNs - lastProgressNs
                 : -1;
     }
 
+    /**
+     * Closes the connection if the client hasn't finished its startup, has left a message
+     * incomplete or doesn't read its responses, and this has lasted longer than the stall timeout.
+     */
     void closeIfStalled(long nowNs) {
         boolean awaitingPeer =
                 !startupComplete || decoder.hasUnreadBytes() || !channel.isWritable();
--- a/sidecar/src/main/java/mulleinlever/sidecar/ClientConnections.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/ClientConnections.java
@@ -6,8 +6,13 @@
 import java.util.LinkedHashSet;
 import java.util.Set;
 
-/** The clients' connections: how many there may be, and which have been silent for too long. */
+/**
+ * The open connections of all clients. Bounds their number and the memory that clients hold by
+ * partial messages and unread responses, and closes stalled and idle connections. Called by the
+ * event loop only.
+ */
 final class ClientConnections {
+    /** The maximum size of partial messages and unsent responses over all connections. */
     private static final long MAX_BUFFERED_BYTES = 8L << 20;
 
     private final int maxConnections;
@@ -16,11 +21,18 @@
     private Channel listener;
     private long bufferedBytes;
 
+    /**
+     * Creates the set of connections.
+     *
+     * @param maxConnections the number of connections at which an idle one is closed or, if none is
+     *     idle, accepting pauses
+     */
     ClientConnections(int maxConnections, Lifecycle lifecycle) {
         this.maxConnections = maxConnections;
         this.lifecycle = lifecycle;
     }
 
+    /** Sets the listening channel; called before the first connection is accepted. */
     void setListener(Channel listener) {
         this.listener = listener;
     }
@@ -30,8 +42,9 @@
     }
 
     /**
-     * At the most, the one idle for longest goes. If none is idle no more are accepted: they wait
-     * in the machine's queue rather than use up descriptors.
+     * Adds a connection. At the maximum number, the other connection that has been idle longest is
+     * closed. If none is idle, accepting pauses: new connections wait in the backlog of the
+     * operating system and use up no file descriptors.
      */
     void connectionOpened(ClientConnection opened, long nowNs) {
         connections.add(opened);
@@ -45,6 +58,7 @@
         }
     }
 
+    /** Removes a connection, and resumes accepting below the maximum number. */
     void connectionClosed(ClientConnection closed) {
         connections.remove(closed);
         if (connections.size() < maxConnections && !listener.config().isAutoRead()) {
@@ -53,8 +67,10 @@
     }
 
     /**
-     * Peers that send half a message or take no answers hold memory for as long as they like. Past
-     * the most, the one that has not moved for longest goes; all others are served as ever.
+     * Adds to the size of partial messages and unsent responses; negative numbers reduce it. A
+     * client that leaves a message incomplete or reads no responses could hold memory forever.
+     * Above the maximum, the connection that holds memory and has made no progress for longest is
+     * closed; all others continue to be served.
      */
     void addBufferedBytes(int addedBytes) {
         bufferedBytes += addedBytes;
@@ -66,15 +82,20 @@
         }
     }
 
+    /**
+     * Closes the connections whose clients have made no progress for longer than the stall timeout.
+     */
     void closeStalled(long nowNs) {
         new ArrayList<>(connections).forEach(c -> c.closeIfStalled(nowNs));
     }
 
+    /** Stops accepting and closes idle connections; the others close after their last response. */
     void shutDown() {
         listener.close();
         new ArrayList<>(connections).forEach(ClientConnection::closeIfIdle);
     }
 
+    /** Returns whether connections are to close as soon as they are idle. */
     boolean isShuttingDown() {
         return lifecycle.isIn(Lifecycle.Phase.FINISHING);
     }
--- a/sidecar/src/main/java/mulleinlever/sidecar/PendingCommand.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/PendingCommand.java
@@ -4,32 +4,38 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A req taken and not yet done with, or another command that waits for its turn to be answered. */
+/**
+ * A req in flight, or another command whose response waits for those of earlier commands on its
+ * connection. Used by the event loop only.
+ */
 final class PendingCommand {
     /**
-     * What a req takes besides its text: the buffer it was read into, its tries, what the module
-     * keeps.
+     * The estimated memory that a req takes besides its text: unused capacity of the buffer it was
+     * read into, its tries, and its state in the policy.
      */
     private static final int REQ_OVERHEAD_BYTES = 2048;
 
     final ClientConnection client;
 
-    /** Null for a command that is no req. */
+    /** The req's statement; null for a command that is not a req. */
     final Statement statement;
 
+    /** All tries of the req so far, in the order of their numbers. */
     final List<UpstreamTry> tries = new ArrayList<>(2);
 
-    /**
-     * When it was taken, how long an answer earns its full worth, and how long its client waits.
-     */
+    /** When the req was registered. */
     long receivedNs;
 
+    /** The time since receipt within which a response has its full worth; later it is late. */
     long latencyObjectiveNs;
+
+    /** The time since receipt for which the client waits for the response. */
     long clientTimeoutNs;
 
-    /** The answer, once there is one, waiting for those ahead of it on its connection. */
+    /** The response; null until there is one. It is written after those of earlier commands. */
     ByteBuf response;
 
+    /** Whether the req has its response or its client has disconnected. */
     boolean outcomeDecided;
 
     PendingCommand(ClientConnection client, Statement statement) {
@@ -37,10 +43,12 @@
         this.statement = statement;
     }
 
+    /** Returns whether any try has not ended yet. */
     boolean hasTriesInFlight() {
         return tries.stream().anyMatch(t -> !t.hasEnded());
     }
 
+    /** Returns the estimated memory that the req takes; not to be called for other commands. */
     int memoryBytes() {
         return statement.text.readableBytes() + REQ_OVERHEAD_BYTES;
     }
--- a/sidecar/src/main/java/mulleinlever/sidecar/PostgresMessageDecoder.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/PostgresMessageDecoder.java
@@ -5,30 +5,43 @@
 import mulleinlever.settings.InvalidInputException;
 
 /**
- * Cuts a peer's bytes, however they were split, into PostgreSQL's messages. A message is read in
- * place; a part of it that must outlive the next read is taken with {@link #retainBody}.
+ * Decodes a stream of bytes, split at arbitrary positions, into messages of the PostgreSQL
+ * protocol. A message is read in place and is valid until the next call of {@link #addBytes} or
+ * {@link #nextMessage}; {@link #retainBody} and {@link #retainMessage} return slices that remain
+ * valid longer. Each instance belongs to one connection and is called by its event loop only.
  */
 final class PostgresMessageDecoder {
-    /** A value of 64 KiB written as hex takes twice that; no honest message is longer than this. */
+    /**
+     * The maximum value of a message's length field. A payload of 64 KiB takes 128 KiB as hex
+     * digits; no valid message is longer than this limit.
+     */
     static final int MAX_MESSAGE_BYTES = 192 * 1024;
 
+    /** The size of the length field, which counts itself but not the type. */
     private static final int LENGTH_FIELD_BYTES = 4;
 
     private final ByteBufAllocator allocator;
+
+    /** The received bytes; null if there are none. */
     private ByteBuf buffer;
+
+    /** The size of the message whose start has been received, type included; 0 if not known. */
     private int currentMessageBytes;
 
-    /** The message at hand: its type, where its body begins and how long that is. */
+    /** The type of the current message; 0 for a startup message. */
     char messageType;
 
+    /** The index in {@link #buffer()} at which the body of the current message starts. */
     int bodyIndex;
+
+    /** The length of the body of the current message, in bytes. */
     int bodyLength;
 
     PostgresMessageDecoder(ByteBufAllocator allocator) {
         this.allocator = allocator;
     }
 
-    /** Takes over the buffer. */
+    /** Appends received bytes; ownership of the given buffer passes to this decoder. */
     void addBytes(ByteBuf received) {
         if (buffer == null || !buffer.isReadable()) {
             release();
@@ -37,7 +50,8 @@
             buffer.writeBytes(received);
             received.release();
         } else {
-            // As long as the message that has begun: else a long one would be copied at each read.
+            // Allocates space for the whole of the message that has started. Otherwise a long
+            // message would be copied at each read.
             int capacityBytes =
                     Math.max(
                             buffer.readableBytes() + received.readableBytes(), currentMessageBytes);
@@ -49,7 +63,12 @@
         }
     }
 
-    /** Goes to the next whole message, if there is one; a startup message has no type. */
+    /**
+     * Advances to the next message. Returns false if it hasn't been received completely.
+     *
+     * @param hasType whether the message starts with a type, which a startup message doesn't
+     * @throws InvalidInputException if the length field is out of range
+     */
     boolean nextMessage(boolean hasType) {
         int typeBytes = hasType ? 1 : 0;
         if (buffer == null || buffer.readableBytes() < typeBytes + LENGTH_FIELD_BYTES) {
@@ -72,35 +91,44 @@
         return true;
     }
 
+    /** Returns whether bytes were received beyond the current message. */
     boolean hasUnreadBytes() {
         return unreadBytes() > 0;
     }
 
-    /** What the message half read takes, which is more than has come of it. */
+    /**
+     * Returns the capacity of the buffer that holds the unread bytes, or 0 if there are none. The
+     * capacity may be larger than the number of the bytes received.
+     */
     int retainedCapacityBytes() {
         return hasUnreadBytes() ? buffer.capacity() : 0;
     }
 
-    /** Bytes read that belong to no whole message yet, or to one not yet asked for. */
+    /** Returns the number of bytes received beyond the current message. */
     int unreadBytes() {
         return buffer == null ? 0 : buffer.readableBytes();
     }
 
+    /** Returns the buffer with the current message, without retaining it. */
     ByteBuf buffer() {
         return buffer;
     }
 
-    /** The body at hand, kept until released. */
+    /** Returns the body of the current message; the caller has to release it. */
     ByteBuf retainBody() {
         return buffer.retainedSlice(bodyIndex, bodyLength);
     }
 
-    /** The message at hand with its head, kept until released. */
+    /**
+     * Returns the current message with its type and length field; the caller has to release it. Not
+     * to be called for a startup message, which has no type.
+     */
     ByteBuf retainMessage() {
         return buffer.retainedSlice(
                 bodyIndex - LENGTH_FIELD_BYTES - 1, bodyLength + LENGTH_FIELD_BYTES + 1);
     }
 
+    /** Releases the buffer with all unread bytes. */
     void release() {
         if (buffer != null) {
             buffer.release();
--- a/sidecar/src/main/java/mulleinlever/sidecar/PostgresMessages.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/PostgresMessages.java
@@ -4,9 +4,14 @@
 import io.netty.buffer.Unpooled;
 import java.nio.charset.StandardCharsets;
 
-/** The messages of our own that a client or a pod is sent. */
+/**
+ * The messages of the PostgreSQL protocol that the sidecar composes itself, for clients and pods.
+ * Every method returns a buffer that may be written to a channel without retaining it.
+ */
 final class PostgresMessages {
+    // The SQLSTATEs of error responses.
     static final String TOO_MANY_CONNECTIONS = "53300";
+
     static final String INTERNAL_ERROR = "XX000";
     static final String PROTOCOL_VIOLATION = "08P01";
     static final String SYNTAX_ERROR = "42601";
@@ -21,14 +26,15 @@
 
     private PostgresMessages() {}
 
+    /** Returns an unreleasable read-only buffer, so that one buffer serves all connections. */
     private static ByteBuf constantMessage(byte[] bytes) {
         ByteBuf buffer = Unpooled.directBuffer(bytes.length).writeBytes(bytes);
         return Unpooled.unreleasableBuffer(buffer).asReadOnly();
     }
 
     /**
-     * AuthenticationOk, no password being asked for; the settings that client libraries insist on;
-     * ready.
+     * Returns AuthenticationOk, since no password is requested, a ParameterStatus for each
+     * parameter that client libraries require, and ReadyForQuery.
      */
     private static ByteBuf buildStartupResponse() {
         String[] parameters = {
@@ -71,6 +77,7 @@
         return constantMessage(bytes);
     }
 
+    /** Returns the response to a client's startup message. */
     static ByteBuf startupResponse() {
         return STARTUP_RESPONSE.duplicate();
     }
@@ -79,20 +86,29 @@
         return READY_FOR_QUERY.duplicate();
     }
 
+    /** Returns EmptyQueryResponse and ReadyForQuery. */
     static ByteBuf emptyQueryResponse() {
         return EMPTY_QUERY_RESPONSE.duplicate();
     }
 
+    /** Returns the response to a client's request for SSL or GSSAPI encryption. */
     static ByteBuf encryptionRefused() {
         return ENCRYPTION_REFUSED.duplicate();
     }
 
-    /** What opens a connection to a pod. */
+    /** Returns the message that starts the protocol on a connection to a pod. */
     static ByteBuf startupMessage() {
         return STARTUP_MESSAGE.duplicate();
     }
 
-    /** ErrorResponse and ReadyForQuery; {@code comeBackMs} 0 gives no advice. */
+    /**
+     * Returns an ErrorResponse.
+     *
+     * @param code the SQLSTATE
+     * @param backoffMs how long the client is advised to wait before a retry; 0 for no advice
+     * @param withReadyForQuery whether ReadyForQuery follows, as it does unless the connection
+     *     closes
+     */
     static ByteBuf errorResponse(
             String code, String text, long backoffMs, boolean withReadyForQuery) {
         ByteBuf response = Unpooled.buffer(96);
@@ -109,6 +125,7 @@
         return withReadyForQuery ? response.writeBytes(READY_FOR_QUERY.duplicate()) : response;
     }
 
+    /** Writes one field of an ErrorResponse. */
     private static void writeField(ByteBuf response, char name, String text) {
         response.writeByte(name).writeCharSequence(text, StandardCharsets.UTF_8);
         response.writeByte(0);
--- a/sidecar/src/main/java/mulleinlever/sidecar/QueryHandler.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/QueryHandler.java
@@ -7,7 +7,11 @@
 import mulleinlever.Req;
 import mulleinlever.Settings;
 
-/** Second stage: whether a command is a req, and what it asks for. */
+/**
+ * Recognizes reqs among the clients' queries: the second stage that a req passes. A valid req is
+ * registered and handed to the policy; any other query is answered here. Called by the event loop
+ * only.
+ */
 final class QueryHandler {
     private final Map<String, Settings.RouteSettings> routesByName;
     private final ReqRegistry reqRegistry;
@@ -23,7 +27,12 @@
         this.policyActions = policyActions;
     }
 
-    /** Takes over the text. What no pod would understand is turned down here and never sent on. */
+    /**
+     * Handles one query. A query that isn't a valid req is answered with an error and never
+     * forwarded, since no pod would understand it.
+     *
+     * @param query the query's text with its terminating zero byte; ownership passes to this method
+     */
     void handleQuery(ClientConnection client, ByteBuf query) {
         if (isBlank(query)) {
             query.release();
@@ -64,6 +73,7 @@
                         statement.tenant));
     }
 
+    /** Returns whether the query holds only white space and semicolons, which is an empty query. */
     private static boolean isBlank(ByteBuf query) {
         for (int i = query.readerIndex(); i < query.writerIndex() - 1; i++) {
             if (query.getByte(i) > ' ' && query.getByte(i) != ';') {
--- a/sidecar/src/main/java/mulleinlever/sidecar/ReqRegistry.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/ReqRegistry.java
@@ -6,7 +6,11 @@
 import mulleinlever.Policy;
 import mulleinlever.TryOutcome;
 
-/** Last stage: what is in hand, how each try ended, and the one final answer of each req. */
+/**
+ * The reqs in flight: the last stage that a req passes. Records how each try ended, ensures that a
+ * req gets at most one response, and releases a req once it has its outcome and none of its tries
+ * is in flight. Called by the event loop only.
+ */
 final class ReqRegistry {
     private final Clock clock;
     private final Map<String, PendingCommand> commandsById = new HashMap<>();
@@ -18,14 +22,20 @@
         this.metrics = metrics;
     }
 
+    /** Sets the policy; called once, before the first req. */
     void setPolicy(Policy policy) {
         this.policy = policy;
     }
 
+    /** Returns the req in flight with the given id, or null if there is none. */
     PendingCommand find(String id) {
         return commandsById.get(id);
     }
 
+    /**
+     * Registers a req and records when it was received. Returns false, without registering it, if a
+     * req with the same id is in flight.
+     */
     boolean register(PendingCommand command) {
         boolean registered = commandsById.putIfAbsent(command.statement.id, command) == null;
         if (registered) {
@@ -35,12 +45,17 @@
         return registered;
     }
 
+    /** Returns the number of reqs without an outcome or with tries in flight. */
     int inFlightCount() {
         return commandsById.size();
     }
 
     /**
-     * A try is over, once; what still comes for it is passed over. A served one answers the req.
+     * Records that a try has ended, and reports it to the policy. Only the first call for a try has
+     * an effect.
+     *
+     * @param response the pod's response, with which the req completes, or null if the try returned
+     *     none; ownership passes to this method
      */
     void onTryEnded(UpstreamTry upstreamTry, TryOutcome outcome, ByteBuf response) {
         if (upstreamTry.hasEnded()) {
@@ -69,7 +84,10 @@
         releaseIfFinished(upstreamTry.command);
     }
 
-    /** The first answer goes to the client, any other nowhere. */
+    /**
+     * Sends the response of a req to its client, and counts the given event. If the outcome of the
+     * req is decided already, the response is released without effect.
+     */
     void respond(PendingCommand command, ByteBuf response, SidecarMetrics.Event event) {
         if (command.outcomeDecided) {
             response.release();
@@ -82,6 +100,10 @@
         releaseIfFinished(command);
     }
 
+    /**
+     * Records that the client of a req has disconnected, which decides the outcome if it wasn't
+     * yet.
+     */
     void onClientDisconnected(PendingCommand command) {
         if (!command.outcomeDecided) {
             command.outcomeDecided = true;
@@ -91,6 +113,7 @@
         releaseIfFinished(command);
     }
 
+    /** Removes a req that has its outcome and no tries in flight, and releases its memory. */
     private void releaseIfFinished(PendingCommand command) {
         if (command.outcomeDecided
                 && !command.hasTriesInFlight()
--- a/sidecar/src/main/java/mulleinlever/sidecar/SidecarMetrics.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/SidecarMetrics.java
@@ -5,37 +5,55 @@
 import mulleinlever.TryOutcome;
 
 /**
- * What happened since the last line of the log on it: one line a second while reqs come, which
- * {@code fleetlog} adds up over a fleet. Counting costs an increment; the line is put together once
- * a second, not by req.
+ * Counts the events of reqs, connections and tries, and logs the counts in one line a second while
+ * there are any. The command {@code fleetlog} sums these lines over a fleet. Counting is only an
+ * increment, since the line is built once a second and not for each req. Called by the event loop
+ * only.
  */
 final class SidecarMetrics {
     /**
-     * In the order of the line. A req never sent on is counted as that beside how it was answered.
+     * The events that are counted, in the order in which the log line lists them. Their names in
+     * lower case are the names in the line. {@link #LATE}, {@link #UNSENT} and {@link #OVERDUE} are
+     * counted in addition to the outcome of a req.
      */
     enum Event {
+        /** A req was registered. */
         IN,
+        /** A req was answered with a row. */
         COMPLETED,
+        /** A req was answered with a row, but after its latency objective. */
         LATE,
+        /** A req was shed. */
         SHED,
+        /** A req was answered with an error that doesn't tell whether it ran. */
         ERRORED,
+        /** The client of a req disconnected before the response. */
         GONE,
+        /** A req ended without any try having been written completely. */
         UNSENT,
+        /** A req ended after the time for which its client waits. */
         OVERDUE,
+        /** Opening a connection to a pod was started for a try. */
         OPENED,
+        /** A try was given an idle connection to its pod. */
         REUSED,
+        /** A try waited for the end of the cooldown of its connection. */
         RESTED,
+        /** A connection to a pod was refused, by the network or by the pod. */
         REFUSED,
+        /** A connection to a pod was not ready within the connect timeout. */
         TOO_LATE
     }
 
-    /** Of each second, so many reqs that got no row are told with their tries. */
+    /** The maximum number of shed, errored or overdue reqs that are logged with their tries. */
     private static final int MAX_LOGGED_REQS_PER_SECOND = 3;
 
     private final Clock clock;
     private final RateLimitedLog log;
     private final int[] eventCounts = new int[Event.values().length];
     private final int[] outcomeCounts = new int[TryOutcome.values().length];
+
+    /** The number of shed, errored or overdue reqs since the last line. */
     private int failedOrOverdueCount;
 
     SidecarMetrics(Clock clock, RateLimitedLog log) {
@@ -52,7 +70,8 @@
     }
 
     /**
-     * How a req was answered: completed and in time or late, shed, errored, or left by its client.
+     * Records the outcome of a req: completed, shed, errored, or gone if its client disconnected.
+     * The first reqs of each second that are shed, errored or overdue are logged with their tries.
      */
     void recordOutcome(PendingCommand command, Event event) {
         increment(event);
@@ -74,6 +93,7 @@
         }
     }
 
+    /** Returns the log line of a req; times are in milliseconds since its receipt. */
     private static String describeReq(PendingCommand command, Event event, long tookNs) {
         StringBuilder description =
                 new StringBuilder(command.statement.id)
@@ -97,7 +117,10 @@
         return description.toString();
     }
 
-    /** Says what there is to say, and begins anew. */
+    /**
+     * Logs the counts since the last call, if any is above 0, and resets them; called once a
+     * second.
+     */
     void logAndReset(
             Policy.Stats stats, int clientConnectionCount, int podConnectionCount, long listAgeNs) {
         StringBuilder line = new StringBuilder();
--- a/sidecar/src/main/java/mulleinlever/sidecar/SidecarPolicyActions.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/SidecarPolicyActions.java
@@ -6,7 +6,10 @@
 import mulleinlever.Req;
 import mulleinlever.RolloutVote;
 
-/** Third stage: hands each req to the module and does what that asks for. */
+/**
+ * Hands each req to the policy and carries out the actions that the policy calls for: the third
+ * stage that a req passes. Called by the event loop only.
+ */
 final class SidecarPolicyActions implements PolicyActions {
     private final NettyTransport transport;
     private final Clock clock;
@@ -34,10 +37,14 @@
         this.log = log;
     }
 
+    /** Sets the policy; called once, before the first req and the first timer. */
     void setPolicy(Policy policy) {
         this.policy = policy;
     }
 
+    /**
+     * Hands a registered req to the policy. The policy's actions may be called before this returns.
+     */
     void submitReq(Req req) {
         policy.onReq(clock.nowNs(), req);
     }
@@ -68,6 +75,7 @@
                         PostgresMessages.INTERNAL_ERROR, "errored", 0, true));
     }
 
+    /** Responds to a req; releases the response if the req is no longer registered. */
     private void respond(String reqId, SidecarMetrics.Event event, ByteBuf response) {
         PendingCommand command = reqRegistry.find(reqId);
         if (command == null) {
--- a/sidecar/src/main/java/mulleinlever/sidecar/Statement.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/Statement.java
@@ -3,24 +3,40 @@
 import io.netty.buffer.ByteBuf;
 import java.nio.charset.StandardCharsets;
 
-/** A client's statement and what its comment says; the text stays where it was read. */
+/**
+ * A client's SQL statement with the fields of the comment at its end, such as {@code
+ * id=9b1f,c=basket,d=480}. The text is not copied: it remains a slice of the buffer into which it
+ * was read. Immutable after {@link #parse}.
+ */
 final class Statement {
+    /** The radix of keys, and also their maximum number of digits: 16 hex digits are 64 bits. */
     private static final int HEX_RADIX = 16;
 
-    /** The text with the zero behind it. */
+    /** The text with its terminating zero byte. */
     final ByteBuf text;
 
+    /** The req's id: field {@code id}. */
     String id;
+
+    /** The name of the route: field {@code c}. */
     String route;
+
+    /** The name of the tenant: field {@code t}; null if absent. */
     String tenant;
+
+    /** Whether the client has sent this req before: field {@code r} is 1. */
     boolean isClientRetry;
+
+    /** How long the client waits for the response: field {@code d}; -1 if absent. */
     long clientTimeoutMs = -1;
 
     /**
-     * Where the number stands that says how long the client waits: each pod is told its own there.
+     * The position of the value of field {@code d} in the text. Each try replaces the value by the
+     * time that is left to its pod.
      */
     int clientTimeoutIndex;
 
+    /** The number of digits of the value of field {@code d}. */
     int clientTimeoutLength;
 
     private Statement(ByteBuf text) {
@@ -28,7 +44,9 @@
     }
 
     /**
-     * Null where the text is not in the form that reqs have; it is left to the caller to release.
+     * Parses the comment at the end of a statement. Returns null if the comment is missing, is
+     * malformed or lacks the id or the route. In either case the caller keeps ownership of the
+     * text.
      */
     static Statement parse(ByteBuf text) {
         Statement statement = new Statement(text);
@@ -53,6 +71,10 @@
                 : null;
     }
 
+    /**
+     * Parses the comma-separated fields in the given range of the text. Returns whether all are
+     * well formed and the id and the route are present.
+     */
     private boolean parseFields(int start, int end) {
         for (int segmentStart = start; segmentStart < end; ) {
             int comma = text.indexOf(segmentStart, end, (byte) ',');
@@ -75,6 +97,10 @@
         return id != null && route != null;
     }
 
+    /**
+     * Parses one field; unknown names are ignored. Returns false if the client's timeout isn't a
+     * number.
+     */
     private boolean parseField(int nameStart, int nameEnd, int valueStart, int valueEnd) {
         boolean isId =
                 nameEnd == nameStart + 2
@@ -102,10 +128,15 @@
         return true;
     }
 
+    /** Returns the given range of the text, decoded as UTF-8. */
     private String decode(int start, int end) {
         return text.toString(start, end - start, StandardCharsets.UTF_8);
     }
 
+    /**
+     * Returns the decimal number of 1 to 9 digits in the given range of the text, or -1 if there is
+     * none.
+     */
     private long parseDigits(int start, int end) {
         long value = 0;
         for (int i = start; i < end; i++) {
@@ -118,13 +149,15 @@
         return end > start ? value : -1;
     }
 
+    /** Returns whether the statement is an INSERT, as its first letter shows. */
     boolean isWrite() {
         return text.getByte(text.readerIndex()) == 'I' || text.getByte(text.readerIndex()) == 'i';
     }
 
     /**
-     * What the req is about: the row named by up to 16 hex digits between quotes; -1 where there is
-     * none.
+     * Returns the key of the row that the statement refers to, or -1 if there is none. The key is
+     * the first quoted literal, if it consists of 1 to 16 hex digits; the highest bit is cleared so
+     * that it is never negative.
      */
     long key() {
         int start = text.indexOf(text.readerIndex(), text.writerIndex(), (byte) '\'') + 1;
--- a/sidecar/src/test/java/mulleinlever/sidecar/DecodersTest.java
+++ b/sidecar/src/test/java/mulleinlever/sidecar/DecodersTest.java
@@ -22,11 +22,15 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The decoders on generated inputs, cut anywhere, beside slow and plain readings of the same. */
+/**
+ * Guards against decoders and parsers that misread input split at arbitrary positions or malformed
+ * input. Runs them on generated inputs and compares the results with the values that were encoded
+ * or with a simple reference parser.
+ */
 class DecodersTest {
     private static final int ROUNDS = 300;
 
-    /** The bytes in pieces of random length. */
+    /** Returns the bytes in buffers of random length. */
     private static List<ByteBuf> splitRandomly(byte[] bytes, SplittableRandom random) {
         List<ByteBuf> pieces = new ArrayList<>();
         for (int start = 0; start < bytes.length; ) {
@@ -70,7 +74,7 @@
             }
             assertEquals(0, decoder.unreadBytes());
             decoder.release();
-            // What was kept outlives all later reads.
+            // Retained bodies remain valid after later reads and the decoder's release.
             for (int i = 0; i < retainedBodies.size(); i++) {
                 assertEquals(
                         expected.get(i),
@@ -91,7 +95,10 @@
     private static final Pattern STATEMENT_PATTERN =
             Pattern.compile("(?s).*/\\*((?:(?!/\\*).)*)\\*/\\s*");
 
-    /** The plain reading: the last comment, split at commas, then at the first equals sign. */
+    /**
+     * Parses the last comment of a statement: splits it at commas, then at the first equals sign of
+     * each field. Returns the fields as text, or null if the statement is malformed.
+     */
     private static String referenceParse(String text) {
         Matcher matcher = STATEMENT_PATTERN.matcher(text);
         if (!matcher.matches()) {
@@ -248,6 +255,7 @@
         assertEquals(List.of("ended"), events);
     }
 
+    /** Returns a connection that adds its lines, and the kind of its end, to the given list. */
     private static ChunkedHttpConnection recordingConnection(List<String> events) {
         RateLimitedLog log =
                 new RateLimitedLog(new PrintStream(OutputStream.nullOutputStream()), new Clock());
--- a/sidecar/src/test/java/mulleinlever/sidecar/SidecarProcessTest.java
+++ b/sidecar/src/test/java/mulleinlever/sidecar/SidecarProcessTest.java
@@ -20,7 +20,9 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Starts the program and speaks to it over sockets. */
+/**
+ * Tests the sidecar as a process of its own, over sockets, with fake pods, discovery and platform.
+ */
 @Timeout(60)
 class SidecarProcessTest extends SidecarTestBase {
     SidecarProcessTest() throws IOException {}
@@ -29,7 +31,7 @@
     void forwardsReqAndReturnsRow() throws Exception {
         FakeServer pod = startPod((query, out) -> sendRow(out, "v"));
         startSidecar();
-        // What was rehearsed before the start stayed inside.
+        // The reqs of the warm-up are not sent to pods.
         assertTrue(pod.received.isEmpty());
         try (Client client = new Client()) {
             assertEquals("TDvC", client.execute(selectSql("7f3a", 480)));
@@ -132,10 +134,11 @@
         startSidecar();
         try (Client client = new Client()) {
             assertEquals("E53300 with advice", client.execute(insertSql("1", 800)));
-            // It has run, and no value was given that could be passed on.
+            // The insert ran, but the pod returned no row that could be forwarded.
             assertEquals("EXX000", client.execute(insertSql("rowless", 800)));
             closesConnection[0] = true;
-            // It may have run, and its repeat might go where that is not known.
+            // The insert may have run, and a retry might reach a pod outside its dedup scope, which
+            // would run it again.
             assertEquals("EXX000", client.execute(insertSql("1", 800)));
         }
         awaitTrue(
@@ -151,6 +154,7 @@
                 logText());
     }
 
+    /** Returns the sum of a count over all lines logged so far. */
     private int sumLoggedCounts(String name) {
         return Pattern.compile(" " + name + "=(\\d+)")
                 .matcher(logText())
@@ -172,7 +176,7 @@
             long startNs = System.nanoTime();
             assertTrue(client.execute(selectSql("1", 700)).startsWith("E"));
             long tookMs = (System.nanoTime() - startNs) / 1_000_000;
-            assertTrue(tookMs < 750, "took " + tookMs);
+            assertTrue(tookMs < 750, "response time in ms: " + tookMs);
         }
         assertFalse(hangingPod.received.isEmpty());
     }
@@ -182,7 +186,7 @@
         FakeServer pod =
                 startPod(
                         (query, out) -> {
-                            // Until the other side ends the connection.
+                            // Writing fails once the sidecar has closed the connection.
                             for (int i = 0; i < 300; i++) {
                                 Thread.sleep(20);
                                 out.write(encodeMessage('N', new byte[1]));
@@ -237,7 +241,7 @@
         List<Client> partialClients = new ArrayList<>();
         byte[] partialMessage = Arrays.copyOf(queryMessage("x".repeat(180 * 1024)), 150 * 1024);
         try (Client client = new Client()) {
-            // Together more than all the memory there is for buffers.
+            // Together these exceed the memory available for buffers.
             for (int i = 0; i < 300; i++) {
                 Client partialClient = new Client();
                 partialClients.add(partialClient);
@@ -274,6 +278,7 @@
         }
     }
 
+    /** Returns the response with a row whose value is the ref that the query asks for. */
     private static byte[] rowWithRequestedRef(String query) throws IOException {
         return rowResponse(
                 query.replaceAll(".*ref = '(.*?)'.*", "$1").getBytes(StandardCharsets.UTF_8));
@@ -296,7 +301,7 @@
                 assertEquals("TDoddC", client.execute(selectSql("odd", 800)));
                 assertEquals("TDevenC", client.execute(selectSql("even", 800)));
             }
-            // The pod was asked once for each, whichever connection went.
+            // Each req was sent once, whichever connections were closed.
             assertEquals(60, pod.received.size());
         }
     }
@@ -307,7 +312,7 @@
         ThreadLocal<Long> respondedNs = new ThreadLocal<>();
         startPod(
                 (query, out) -> {
-                    // Each connection of the stand-in has a thread of its own.
+                    // The fake pod serves each connection on a thread of its own.
                     if (respondedNs.get() != null) {
                         cooldownsNs.add(System.nanoTime() - respondedNs.get());
                     }
@@ -385,9 +390,9 @@
         watchesSilent = true;
         long silentSinceNs = System.nanoTime();
         awaitTrue(() -> platform.received.size() > 1);
-        // What is told meanwhile is told to nobody, so that a bad build may pass.
+        // News sent meanwhile reaches no sidecar, so that a bad build may be approved.
         assertTrue(System.nanoTime() - silentSinceNs < 3_000_000_000L);
-        // Each is asked on a new connection, while the old one stands and says nothing.
+        // Both watches are opened on new connections while the old ones are open and silent.
         awaitTrue(() -> platform.received.size() > 1 && discovery.received.size() > 1);
         assertEquals(platform.received.size(), Collections.frequency(platform.received, "NOTIFY"));
         try (Client client = new Client()) {
@@ -430,7 +435,8 @@
 
     @Test
     void ignoresOutdatedNews() throws Exception {
-        // The answer to a vote says stage 1; what was written before it is read behind it.
+        // The response to a vote reports stage 1. News written earlier is read after it and must
+        // not take effect.
         progressLine =
                 "* progress 2 1 testing 0.7 0\r\n* progress 2 0 testing 0.2 900\r\n* progress 2 1 testing 0.7 9";
         startPod((query, out) -> sendRow(out, "v"));
@@ -506,8 +512,8 @@
             oldPlatform.close();
             assertEquals("TDvC", client.readResponse());
             assertTrue(logText().contains("; a restart is needed for limits.sockets"));
-            // What the new address tells is taken: the only pod leaves, so nothing is sent any
-            // more.
+            // The list from the new discovery address is applied: the only pod is gone, so that no
+            // req is sent any more.
             discoveryLines.add(podListJson(8, false, podJson(0, 1, "gone")));
             awaitTrue(() -> pods.get(0).openSockets.isEmpty());
             assertEquals("E53300 with advice", client.execute(selectSql("1", 800)));
@@ -544,9 +550,8 @@
             for (int i = 0; i < 200; i++) {
                 assertEquals("TDvC", client.execute(selectSql("k" + i, 1400)));
             }
-            // It takes connections and says nothing, as one does that is paused. The other is in
-            // the zone that idle
-            // sidecars leave alone.
+            // The pod accepts connections and sends nothing, as a suspended process does. It is
+            // listed in both zones, since an idle sidecar sends nothing to one of them.
             FakeServer unresponsivePod = new FakeServer((in, out) -> Thread.sleep(30_000));
             pods.addAll(List.of(unresponsivePod, unresponsivePod));
             discoveryLines.add(
@@ -558,11 +563,13 @@
                 slowestNs = Math.max(slowestNs, System.nanoTime() - startNs);
                 Thread.sleep(1);
             }
-            assertFalse(unresponsivePod.openSockets.isEmpty(), "it was never tried");
-            // 250 ms are what the settings allow.
+            assertFalse(
+                    unresponsivePod.openSockets.isEmpty(),
+                    "no connection to the unresponsive pod was opened");
+            // The settings allow 250 ms.
             assertTrue(
                     slowestNs < 200_000_000L,
-                    "slowest answer after " + slowestNs / 1_000_000 + " ms");
+                    "slowest response after " + slowestNs / 1_000_000 + " ms");
         }
     }
 }
