--- a/sidecar/src/main/java/mulleinlever/sidecar/PostgresMessageDecoder.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/PostgresMessageDecoder.java
@@ -5,103 +5,134 @@
 import mulleinlever.settings.InvalidInputException;
 
 /**
- * Cuts a peer's bytes, however they were split, into PostgreSQL's messages. A message is read in
- * place; a part of it that must outlive the next read is taken with {@link #retainBody}.
+ * Decodes a stream of bytes, split at arbitrary positions, into messages of the PostgreSQL
+ * protocol. A message is read in place and is valid until the next call of {@link #addBytes} or
+ * {@link #nextMessage}; {@link #retainBody} and {@link #retainMessage} return slices that remain
+ * valid longer. Each instance belongs to one connection and is called by its event loop only.
  */
 final class PostgresMessageDecoder {
-    /** A value of 64 KiB written as hex takes twice that; no honest message is longer than this. */
+    /**
+     * The maximum value of a message's length field. A payload of 64 KiB takes 128 KiB as hex
+     * digits; no valid message is longer than this limit.
+     */
     static final int MAX_MESSAGE_BYTES = 192 * 1024;
 
-    private static final int LENGTH = 4;
+    /** The size of the length field, which counts itself but not the type. */
+    private static final int LENGTH_FIELD_BYTES = 4;
 
-    private final ByteBufAllocator alloc;
-    private ByteBuf bytes;
-    private int begun;
+    private final ByteBufAllocator allocator;
 
-    /** The message at hand: its type, where its body begins and how long that is. */
+    /** The received bytes; null if there are none. */
+    private ByteBuf buffer;
+
+    /** The size of the message whose start has been received, type included; 0 if not known. */
+    private int currentMessageBytes;
+
+    /** The type of the current message; 0 for a startup message. */
     char messageType;
 
+    /** The index in {@link #buffer()} at which the body of the current message starts. */
     int bodyIndex;
+
+    /** The length of the body of the current message, in bytes. */
     int bodyLength;
 
-    PostgresMessageDecoder(ByteBufAllocator alloc) {
-        this.alloc = alloc;
+    PostgresMessageDecoder(ByteBufAllocator allocator) {
+        this.allocator = allocator;
     }
 
-    /** Takes over the buffer. */
-    void addBytes(ByteBuf more) {
-        if (bytes == null || !bytes.isReadable()) {
+    /** Appends received bytes; ownership of the given buffer passes to this decoder. */
+    void addBytes(ByteBuf received) {
+        if (buffer == null || !buffer.isReadable()) {
             release();
-            bytes = more;
-        } else if (bytes.refCnt() == 1 && bytes.writableBytes() >= more.readableBytes()) {
-            bytes.writeBytes(more);
-            more.release();
+            buffer = received;
+        } else if (buffer.refCnt() == 1 && buffer.writableBytes() >= received.readableBytes()) {
+            buffer.writeBytes(received);
+            received.release();
         } else {
-            // As long as the message that has begun: else a long one would be copied at each read.
-            int need = Math.max(bytes.readableBytes() + more.readableBytes(), begun);
-            ByteBuf wider = alloc.buffer(need);
-            wider.writeBytes(bytes).writeBytes(more);
-            more.release();
+            // Allocates space for the whole of the message that has started. Otherwise a long
+            // message would be copied at each read.
+            int capacityBytes =
+                    Math.max(
+                            buffer.readableBytes() + received.readableBytes(), currentMessageBytes);
+            ByteBuf larger = allocator.buffer(capacityBytes);
+            larger.writeBytes(buffer).writeBytes(received);
+            received.release();
             release();
-            bytes = wider;
+            buffer = larger;
         }
     }
 
-    /** Goes to the next whole message, if there is one; a startup message has no type. */
-    boolean nextMessage(boolean typed) {
-        int head = typed ? 1 : 0;
-        if (bytes == null || bytes.readableBytes() < head + LENGTH) {
+    /**
+     * Advances to the next message. Returns false if it hasn't been received completely.
+     *
+     * @param hasType whether the message starts with a type, which a startup message doesn't
+     * @throws InvalidInputException if the length field is out of range
+     */
+    boolean nextMessage(boolean hasType) {
+        int typeBytes = hasType ? 1 : 0;
+        if (buffer == null || buffer.readableBytes() < typeBytes + LENGTH_FIELD_BYTES) {
             return false;
         }
-        int from = bytes.readerIndex();
-        int n = bytes.getInt(from + head);
-        if (n < LENGTH || n > MAX_MESSAGE_BYTES) {
-            throw new InvalidInputException("a message of " + n + " bytes");
+        int start = buffer.readerIndex();
+        int lengthBytes = buffer.getInt(start + typeBytes);
+        if (lengthBytes < LENGTH_FIELD_BYTES || lengthBytes > MAX_MESSAGE_BYTES) {
+            throw new InvalidInputException("a message of " + lengthBytes + " bytes");
         }
-        begun = head + n;
-        if (bytes.readableBytes() < begun) {
+        currentMessageBytes = typeBytes + lengthBytes;
+        if (buffer.readableBytes() < currentMessageBytes) {
             return false;
         }
-        messageType = typed ? (char) bytes.getUnsignedByte(from) : 0;
-        bodyIndex = from + head + LENGTH;
-        bodyLength = n - LENGTH;
-        bytes.skipBytes(begun);
-        begun = 0;
+        messageType = hasType ? (char) buffer.getUnsignedByte(start) : 0;
+        bodyIndex = start + typeBytes + LENGTH_FIELD_BYTES;
+        bodyLength = lengthBytes - LENGTH_FIELD_BYTES;
+        buffer.skipBytes(currentMessageBytes);
+        currentMessageBytes = 0;
         return true;
     }
 
+    /** Returns whether bytes were received beyond the current message. */
     boolean hasUnreadBytes() {
         return unreadBytes() > 0;
     }
 
-    /** What the message half read takes, which is more than has come of it. */
+    /**
+     * Returns the capacity of the buffer that holds the unread bytes, or 0 if there are none. The
+     * capacity may be larger than the number of the bytes received.
+     */
     int retainedCapacityBytes() {
-        return hasUnreadBytes() ? bytes.capacity() : 0;
+        return hasUnreadBytes() ? buffer.capacity() : 0;
     }
 
-    /** Bytes read that belong to no whole message yet, or to one not yet asked for. */
+    /** Returns the number of bytes received beyond the current message. */
     int unreadBytes() {
-        return bytes == null ? 0 : bytes.readableBytes();
+        return buffer == null ? 0 : buffer.readableBytes();
     }
 
+    /** Returns the buffer with the current message, without retaining it. */
     ByteBuf buffer() {
-        return bytes;
+        return buffer;
     }
 
-    /** The body at hand, kept until released. */
+    /** Returns the body of the current message; the caller has to release it. */
     ByteBuf retainBody() {
-        return bytes.retainedSlice(bodyIndex, bodyLength);
+        return buffer.retainedSlice(bodyIndex, bodyLength);
     }
 
-    /** The message at hand with its head, kept until released. */
+    /**
+     * Returns the current message with its type and length field; the caller has to release it. Not
+     * to be called for a startup message, which has no type.
+     */
     ByteBuf retainMessage() {
-        return bytes.retainedSlice(bodyIndex - LENGTH - 1, bodyLength + LENGTH + 1);
+        return buffer.retainedSlice(
+                bodyIndex - LENGTH_FIELD_BYTES - 1, bodyLength + LENGTH_FIELD_BYTES + 1);
     }
 
+    /** Releases the buffer with all unread bytes. */
     void release() {
-        if (bytes != null) {
-            bytes.release();
-            bytes = null;
+        if (buffer != null) {
+            buffer.release();
+            buffer = null;
         }
     }
 }
--- a/sidecar/src/main/java/mulleinlever/sidecar/SidecarMetrics.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/SidecarMetrics.java
@@ -5,140 +5,167 @@
 import mulleinlever.TryOutcome;
 
 /**
- * What happened since the last line of the log on it: one line a second while reqs come, which
- * {@code fleetlog} adds up over a fleet. Counting costs an increment; the line is put together once
- * a second, not by req.
+ * Counts the events of reqs, connections and tries, and logs the counts in one line a second while
+ * there are any. The command {@code fleetlog} sums these lines over a fleet. Counting is only an
+ * increment, since the line is built once a second and not for each req. Called by the event loop
+ * only.
  */
 final class SidecarMetrics {
     /**
-     * In the order of the line. A req never sent on is counted as that beside how it was answered.
+     * The events that are counted, in the order in which the log line lists them. Their names in
+     * lower case are the names in the line. {@link #LATE}, {@link #UNSENT} and {@link #OVERDUE} are
+     * counted in addition to the outcome of a req.
      */
     enum Event {
+        /** A req was registered. */
         IN,
+        /** A req was answered with a row. */
         COMPLETED,
+        /** A req was answered with a row, but after its latency objective. */
         LATE,
+        /** A req was shed. */
         SHED,
+        /** A req was answered with an error that doesn't tell whether it ran. */
         ERRORED,
+        /** The client of a req disconnected before the response. */
         GONE,
+        /** A req ended without any try having been written completely. */
         UNSENT,
+        /** A req ended after the time for which its client waits. */
         OVERDUE,
+        /** Opening a connection to a pod was started for a try. */
         OPENED,
+        /** A try was given an idle connection to its pod. */
         REUSED,
+        /** A try waited for the end of the cooldown of its connection. */
         RESTED,
+        /** A connection to a pod was refused, by the network or by the pod. */
         REFUSED,
+        /** A connection to a pod was not ready within the connect timeout. */
         TOO_LATE
     }
 
-    /** Of each second, so many reqs that got no row are told with their tries. */
-    private static final int STORIES = 3;
+    /** The maximum number of shed, errored or overdue reqs that are logged with their tries. */
+    private static final int MAX_LOGGED_REQS_PER_SECOND = 3;
 
     private final Clock clock;
     private final RateLimitedLog log;
-    private final int[] of = new int[Event.values().length];
-    private final int[] ends = new int[TryOutcome.values().length];
-    private int stories;
+    private final int[] eventCounts = new int[Event.values().length];
+    private final int[] outcomeCounts = new int[TryOutcome.values().length];
+
+    /** The number of shed, errored or overdue reqs since the last line. */
+    private int failedOrOverdueCount;
 
     SidecarMetrics(Clock clock, RateLimitedLog log) {
         this.clock = clock;
         this.log = log;
     }
 
-    void increment(Event what) {
-        of[what.ordinal()]++;
+    void increment(Event event) {
+        eventCounts[event.ordinal()]++;
     }
 
-    void recordTryOutcome(TryOutcome how) {
-        ends[how.ordinal()]++;
+    void recordTryOutcome(TryOutcome outcome) {
+        outcomeCounts[outcome.ordinal()]++;
     }
 
     /**
-     * How a req was answered: completed and in time or late, shed, errored, or left by its client.
+     * Records the outcome of a req: completed, shed, errored, or gone if its client disconnected.
+     * The first reqs of each second that are shed, errored or overdue are logged with their tries.
      */
-    void recordOutcome(PendingCommand held, Event how) {
-        increment(how);
-        long tookNs = clock.nowNs() - held.receivedNs;
-        if (how == Event.COMPLETED && tookNs > held.latencyObjectiveNs) {
+    void recordOutcome(PendingCommand command, Event event) {
+        increment(event);
+        long tookNs = clock.nowNs() - command.receivedNs;
+        if (event == Event.COMPLETED && tookNs > command.latencyObjectiveNs) {
             increment(Event.LATE);
         }
-        boolean sent = held.tries.stream().anyMatch(t -> t.fullyWritten);
-        if (!sent) {
+        boolean fullySent = command.tries.stream().anyMatch(t -> t.fullyWritten);
+        if (!fullySent) {
             increment(Event.UNSENT);
         }
-        boolean overdue = tookNs > held.clientTimeoutNs;
+        boolean overdue = tookNs > command.clientTimeoutNs;
         if (overdue) {
             increment(Event.OVERDUE);
         }
-        if ((overdue || how != Event.COMPLETED && how != Event.GONE) && ++stories <= STORIES) {
-            log.info("req", story(held, how, tookNs));
+        if ((overdue || event != Event.COMPLETED && event != Event.GONE)
+                && ++failedOrOverdueCount <= MAX_LOGGED_REQS_PER_SECOND) {
+            log.info("req", describeReq(command, event, tookNs));
         }
     }
 
-    private static String story(PendingCommand held, Event how, long tookNs) {
-        StringBuilder b =
-                new StringBuilder(held.statement.id)
+    /** Returns the log line of a req; times are in milliseconds since its receipt. */
+    private static String describeReq(PendingCommand command, Event event, long tookNs) {
+        StringBuilder description =
+                new StringBuilder(command.statement.id)
                         .append(' ')
-                        .append(word(how))
+                        .append(lowerCaseName(event))
                         .append(" after ")
                         .append(tookNs / 1_000_000)
                         .append(" of ")
-                        .append(held.clientTimeoutNs / 1_000_000)
+                        .append(command.clientTimeoutNs / 1_000_000)
                         .append(" ms");
-        for (UpstreamTry t : held.tries) {
-            b.append("; ")
-                    .append(t.podId)
+        for (UpstreamTry upstreamTry : command.tries) {
+            description
+                    .append("; ")
+                    .append(upstreamTry.podId)
                     .append(" at ")
-                    .append((t.startedNs - held.receivedNs) / 1_000_000)
+                    .append((upstreamTry.startedNs - command.receivedNs) / 1_000_000)
                     .append(' ')
-                    .append(t.hasEnded() ? word(t.outcome) : "out")
-                    .append(t.fullyWritten ? "" : " unwritten");
+                    .append(upstreamTry.hasEnded() ? lowerCaseName(upstreamTry.outcome) : "out")
+                    .append(upstreamTry.fullyWritten ? "" : " unwritten");
         }
-        return b.toString();
+        return description.toString();
     }
 
-    /** Says what there is to say, and begins anew. */
-    void logAndReset(Policy.Stats sight, int clients, int links, long listAgeNs) {
-        StringBuilder b = new StringBuilder();
-        for (Event w : Event.values()) {
-            put(b, word(w), of[w.ordinal()]);
-            of[w.ordinal()] = 0;
+    /**
+     * Logs the counts since the last call, if any is above 0, and resets them; called once a
+     * second.
+     */
+    void logAndReset(
+            Policy.Stats stats, int clientConnectionCount, int podConnectionCount, long listAgeNs) {
+        StringBuilder line = new StringBuilder();
+        for (Event event : Event.values()) {
+            appendIfPositive(line, lowerCaseName(event), eventCounts[event.ordinal()]);
+            eventCounts[event.ordinal()] = 0;
         }
-        for (TryOutcome e : TryOutcome.values()) {
-            put(b, "try_" + word(e), ends[e.ordinal()]);
-            ends[e.ordinal()] = 0;
+        for (TryOutcome outcome : TryOutcome.values()) {
+            appendIfPositive(
+                    line, "try_" + lowerCaseName(outcome), outcomeCounts[outcome.ordinal()]);
+            outcomeCounts[outcome.ordinal()] = 0;
         }
-        stories = 0;
-        if (b.length() > 0) {
+        failedOrOverdueCount = 0;
+        if (line.length() > 0) {
             log.info(
                     "count",
-                    b.append(
+                    line.append(
                                     String.format(
                                             Locale.ROOT,
                                             "clients=%d links=%d room=%.1f open=%d first=%d "
                                                     + "further=%d ease=%.2f ready=%d usable=%d fit=%d cold=%d dark=%d list_age=%.1f",
-                                            clients,
-                                            links,
-                                            sight.tryLimit(),
-                                            sight.openTryCount(),
-                                            sight.queuedFirstTryCount(),
-                                            sight.queuedRetryCount(),
-                                            sight.meanLatencyRatio(),
-                                            sight.readyPodCount(),
-                                            sight.leasedPodCount(),
-                                            sight.healthyPodCount(),
-                                            sight.coldPodCount(),
-                                            sight.unreachablePodCount(),
+                                            clientConnectionCount,
+                                            podConnectionCount,
+                                            stats.tryLimit(),
+                                            stats.openTryCount(),
+                                            stats.queuedFirstTryCount(),
+                                            stats.queuedRetryCount(),
+                                            stats.meanLatencyRatio(),
+                                            stats.readyPodCount(),
+                                            stats.leasedPodCount(),
+                                            stats.healthyPodCount(),
+                                            stats.coldPodCount(),
+                                            stats.unreachablePodCount(),
                                             listAgeNs / 1e9))
                             .toString());
         }
     }
 
-    private static void put(StringBuilder b, String name, int n) {
-        if (n > 0) {
-            b.append(name).append('=').append(n).append(' ');
+    private static void appendIfPositive(StringBuilder line, String name, int count) {
+        if (count > 0) {
+            line.append(name).append('=').append(count).append(' ');
         }
     }
 
-    private static String word(Enum<?> of) {
-        return of.name().toLowerCase(Locale.ROOT);
+    private static String lowerCaseName(Enum<?> constant) {
+        return constant.name().toLowerCase(Locale.ROOT);
     }
 }
--- a/sidecar/src/main/java/mulleinlever/sidecar/Statement.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/Statement.java
@@ -3,24 +3,40 @@
 import io.netty.buffer.ByteBuf;
 import java.nio.charset.StandardCharsets;
 
-/** A client's statement and what its comment says; the text stays where it was read. */
+/**
+ * A client's SQL statement with the fields of the comment at its end, such as {@code
+ * id=9b1f,c=basket,d=480}. The text is not copied: it remains a slice of the buffer into which it
+ * was read. Immutable after {@link #parse}.
+ */
 final class Statement {
-    private static final int HEX = 16;
+    /** The radix of keys, and also their maximum number of digits: 16 hex digits are 64 bits. */
+    private static final int HEX_RADIX = 16;
 
-    /** The text with the zero behind it. */
+    /** The text with its terminating zero byte. */
     final ByteBuf text;
 
+    /** The req's id: field {@code id}. */
     String id;
+
+    /** The name of the route: field {@code c}. */
     String route;
+
+    /** The name of the tenant: field {@code t}; null if absent. */
     String tenant;
+
+    /** Whether the client has sent this req before: field {@code r} is 1. */
     boolean isClientRetry;
+
+    /** How long the client waits for the response: field {@code d}; -1 if absent. */
     long clientTimeoutMs = -1;
 
     /**
-     * Where the number stands that says how long the client waits: each pod is told its own there.
+     * The position of the value of field {@code d} in the text. Each try replaces the value by the
+     * time that is left to its pod.
      */
     int clientTimeoutIndex;
 
+    /** The number of digits of the value of field {@code d}. */
     int clientTimeoutLength;
 
     private Statement(ByteBuf text) {
@@ -28,64 +44,83 @@
     }
 
     /**
-     * Null where the text is not in the form that reqs have; it is left to the caller to release.
+     * Parses the comment at the end of a statement. Returns null if the comment is missing, is
+     * malformed or lacks the id or the route. In either case the caller keeps ownership of the
+     * text.
      */
     static Statement parse(ByteBuf text) {
-        Statement s = new Statement(text);
+        Statement statement = new Statement(text);
         int end = text.readerIndex() + text.readableBytes() - 1;
         while (end > text.readerIndex() && text.getByte(end - 1) <= ' ') {
             end--;
         }
-        int from = text.readerIndex();
-        int at = end - 2;
-        if (at < from || text.getByte(at) != '*' || text.getByte(at + 1) != '/') {
+        int start = text.readerIndex();
+        int commentEnd = end - 2;
+        if (commentEnd < start
+                || text.getByte(commentEnd) != '*'
+                || text.getByte(commentEnd + 1) != '/') {
             return null;
         }
-        int open = at - 2;
-        while (open >= from && (text.getByte(open) != '/' || text.getByte(open + 1) != '*')) {
-            open--;
+        int commentStart = commentEnd - 2;
+        while (commentStart >= start
+                && (text.getByte(commentStart) != '/' || text.getByte(commentStart + 1) != '*')) {
+            commentStart--;
         }
-        return open >= from && s.fields(open + 2, at) ? s : null;
+        return commentStart >= start && statement.parseFields(commentStart + 2, commentEnd)
+                ? statement
+                : null;
     }
 
-    private boolean fields(int from, int to) {
-        for (int i = from; i < to; ) {
-            int comma = text.indexOf(i, to, (byte) ',');
-            int end = comma < 0 ? to : comma;
-            int a = i;
-            int b = end;
-            while (a < b && text.getByte(a) <= ' ') {
-                a++;
+    /**
+     * Parses the comma-separated fields in the given range of the text. Returns whether all are
+     * well formed and the id and the route are present.
+     */
+    private boolean parseFields(int start, int end) {
+        for (int segmentStart = start; segmentStart < end; ) {
+            int comma = text.indexOf(segmentStart, end, (byte) ',');
+            int segmentEnd = comma < 0 ? end : comma;
+            int fieldStart = segmentStart;
+            int fieldEnd = segmentEnd;
+            while (fieldStart < fieldEnd && text.getByte(fieldStart) <= ' ') {
+                fieldStart++;
             }
-            while (b > a && text.getByte(b - 1) <= ' ') {
-                b--;
+            while (fieldEnd > fieldStart && text.getByte(fieldEnd - 1) <= ' ') {
+                fieldEnd--;
             }
-            int is = text.indexOf(a, b, (byte) '=');
-            if (is < 0 || !field(a, is, is + 1, b)) {
+            int equalsIndex = text.indexOf(fieldStart, fieldEnd, (byte) '=');
+            if (equalsIndex < 0
+                    || !parseField(fieldStart, equalsIndex, equalsIndex + 1, fieldEnd)) {
                 return false;
             }
-            i = end + 1;
+            segmentStart = segmentEnd + 1;
         }
         return id != null && route != null;
     }
 
-    private boolean field(int nameAt, int is, int from, int to) {
+    /**
+     * Parses one field; unknown names are ignored. Returns false if the client's timeout isn't a
+     * number.
+     */
+    private boolean parseField(int nameStart, int nameEnd, int valueStart, int valueEnd) {
         boolean isId =
-                is == nameAt + 2 && text.getByte(nameAt) == 'i' && text.getByte(nameAt + 1) == 'd';
+                nameEnd == nameStart + 2
+                        && text.getByte(nameStart) == 'i'
+                        && text.getByte(nameStart + 1) == 'd';
         if (isId) {
-            id = word(from, to);
+            id = decode(valueStart, valueEnd);
         }
-        if (is != nameAt + 1) {
+        if (nameEnd != nameStart + 1) {
             return true;
         }
-        switch (text.getByte(nameAt)) {
-            case 'c' -> route = word(from, to);
-            case 't' -> tenant = word(from, to);
-            case 'r' -> isClientRetry = to == from + 1 && text.getByte(from) == '1';
+        switch (text.getByte(nameStart)) {
+            case 'c' -> route = decode(valueStart, valueEnd);
+            case 't' -> tenant = decode(valueStart, valueEnd);
+            case 'r' ->
+                    isClientRetry = valueEnd == valueStart + 1 && text.getByte(valueStart) == '1';
             case 'd' -> {
-                clientTimeoutIndex = from;
-                clientTimeoutLength = to - from;
-                clientTimeoutMs = digits(from, to);
+                clientTimeoutIndex = valueStart;
+                clientTimeoutLength = valueEnd - valueStart;
+                clientTimeoutMs = parseDigits(valueStart, valueEnd);
                 return clientTimeoutMs >= 0;
             }
             default -> {}
@@ -93,39 +128,46 @@
         return true;
     }
 
-    private String word(int from, int to) {
-        return text.toString(from, to - from, StandardCharsets.UTF_8);
+    /** Returns the given range of the text, decoded as UTF-8. */
+    private String decode(int start, int end) {
+        return text.toString(start, end - start, StandardCharsets.UTF_8);
     }
 
-    private long digits(int from, int to) {
-        long n = 0;
-        for (int i = from; i < to; i++) {
-            int d = text.getByte(i) - '0';
-            if (d < 0 || d > 9 || to - from > 9) {
+    /**
+     * Returns the decimal number of 1 to 9 digits in the given range of the text, or -1 if there is
+     * none.
+     */
+    private long parseDigits(int start, int end) {
+        long value = 0;
+        for (int i = start; i < end; i++) {
+            int digit = text.getByte(i) - '0';
+            if (digit < 0 || digit > 9 || end - start > 9) {
                 return -1;
             }
-            n = 10 * n + d;
+            value = 10 * value + digit;
         }
-        return to > from ? n : -1;
+        return end > start ? value : -1;
     }
 
+    /** Returns whether the statement is an INSERT, as its first letter shows. */
     boolean isWrite() {
         return text.getByte(text.readerIndex()) == 'I' || text.getByte(text.readerIndex()) == 'i';
     }
 
     /**
-     * What the req is about: the row named by up to 16 hex digits between quotes; -1 where there is
-     * none.
+     * Returns the key of the row that the statement refers to, or -1 if there is none. The key is
+     * the first quoted literal, if it consists of 1 to 16 hex digits; the highest bit is cleared so
+     * that it is never negative.
      */
     long key() {
-        int from = text.indexOf(text.readerIndex(), text.writerIndex(), (byte) '\'') + 1;
+        int start = text.indexOf(text.readerIndex(), text.writerIndex(), (byte) '\'') + 1;
         long key = 0;
-        for (int i = from; from > 0 && i < text.writerIndex() && i - from <= HEX; i++) {
-            int d = Character.digit(text.getByte(i), HEX);
-            if (d < 0) {
-                return text.getByte(i) == '\'' && i > from ? key & Long.MAX_VALUE : -1;
+        for (int i = start; start > 0 && i < text.writerIndex() && i - start <= HEX_RADIX; i++) {
+            int digit = Character.digit(text.getByte(i), HEX_RADIX);
+            if (digit < 0) {
+                return text.getByte(i) == '\'' && i > start ? key & Long.MAX_VALUE : -1;
             }
-            key = key * HEX + d;
+            key = key * HEX_RADIX + digit;
         }
         return -1;
     }
