--- a/sidecar/src/main/java/mulleinlever/sidecar/AcceptFailureHandler.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/AcceptFailureHandler.java
@@ -11,16 +11,16 @@
  * for a second.
  */
 final class AcceptFailureHandler extends ChannelInboundHandlerAdapter {
-    private static final long PAUSE_MS = 20;
+    private static final long ACCEPT_PAUSE_MS = 20;
 
     /** From one line of the log to the next. */
-    private static final long TELL_NS = 1_000_000_000L;
+    private static final long LOG_INTERVAL_NS = 1_000_000_000L;
 
     private final RateLimitedLog log;
-    private int failures;
+    private int failureCount;
     private boolean paused;
-    private boolean told;
-    private long toldNs;
+    private boolean logged;
+    private long lastLoggedNs;
 
     AcceptFailureHandler(RateLimitedLog log) {
         this.log = log;
@@ -28,23 +28,23 @@
 
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-        failures++;
+        failureCount++;
         Channel listener = ctx.channel();
         if (paused || !listener.config().isAutoRead()) {
             return;
         }
-        tell(cause);
+        logFailure(cause);
         paused = true;
         listener.config().setAutoRead(false);
-        ctx.executor().schedule(() -> resume(listener), PAUSE_MS, TimeUnit.MILLISECONDS);
+        ctx.executor().schedule(() -> resume(listener), ACCEPT_PAUSE_MS, TimeUnit.MILLISECONDS);
     }
 
-    private void tell(Throwable cause) {
+    private void logFailure(Throwable cause) {
         long nowNs = System.nanoTime();
-        if (!told || nowNs - toldNs > TELL_NS) {
-            told = true;
-            toldNs = nowNs;
-            log.info("clients", "accept failed, " + failures + " times so far: " + cause);
+        if (!logged || nowNs - lastLoggedNs > LOG_INTERVAL_NS) {
+            logged = true;
+            lastLoggedNs = nowNs;
+            log.info("clients", "accept failed, " + failureCount + " times so far: " + cause);
         }
     }
 
--- a/sidecar/src/main/java/mulleinlever/sidecar/AdaptiveConnectTimeout.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/AdaptiveConnectTimeout.java
@@ -10,49 +10,54 @@
  * would cost them one handshake more each time: then it waits longer.
  */
 final class AdaptiveConnectTimeout {
-    private static final double TIMES_SLOWEST = 3;
+    private static final double SLOWEST_MULTIPLE = 3;
 
     /** Fewer show too little of what is usual. */
-    private static final double ENOUGH = 20;
+    private static final double MIN_SUCCESS_COUNT = 20;
 
     /**
      * Never under this part of what the settings allow: a collector's pause at either end must not
      * count.
      */
-    private static final double LEAST_PART = 0.1;
+    private static final double MIN_TIMEOUT_FRACTION = 0.1;
 
     private static final long HALF_LIFE_NS = 10_000_000_000L;
 
-    private final long mostNs;
-    private long ups;
-    private final DecayingSum slowestNs = new DecayingSum(HALF_LIFE_NS);
-    private final DecayingSum cameUp = new DecayingSum(HALF_LIFE_NS);
-    private final DecayingSum tooLate = new DecayingSum(HALF_LIFE_NS);
+    private final long maxTimeoutNs;
+    private long successCount;
+    private final DecayingSum slowestConnectNs = new DecayingSum(HALF_LIFE_NS);
+    private final DecayingSum recentSuccesses = new DecayingSum(HALF_LIFE_NS);
+    private final DecayingSum recentTimeouts = new DecayingSum(HALF_LIFE_NS);
 
     /** Up to what the settings allow, in nanoseconds. */
-    AdaptiveConnectTimeout(long mostNs) {
-        this.mostNs = mostNs;
+    AdaptiveConnectTimeout(long maxTimeoutNs) {
+        this.maxTimeoutNs = maxTimeoutNs;
     }
 
-    void recordSuccess(long nowNs, long tookNs) {
-        ups++;
-        cameUp.add(nowNs, 1);
-        slowestNs.add(nowNs, Math.max(0, tookNs - slowestNs.valueAt(nowNs)));
+    void recordSuccess(long nowNs, long durationNs) {
+        successCount++;
+        recentSuccesses.add(nowNs, 1);
+        slowestConnectNs.add(nowNs, Math.max(0, durationNs - slowestConnectNs.valueAt(nowNs)));
     }
 
     /** It did not come up in its time; one that was refused tells nothing of how slow pods are. */
     void recordTimeout(long nowNs) {
-        tooLate.add(nowNs, 1);
+        recentTimeouts.add(nowNs, 1);
     }
 
     /** In nanoseconds, for a connection opened now. */
     long timeoutNs(long nowNs) {
-        double up = cameUp.valueAt(nowNs);
-        if (ups < ENOUGH || up == 0) {
-            return mostNs;
+        double successes = recentSuccesses.valueAt(nowNs);
+        if (successCount < MIN_SUCCESS_COUNT || successes == 0) {
+            return maxTimeoutNs;
         }
-        double times = TIMES_SLOWEST * (up + tooLate.valueAt(nowNs)) / up;
+        double multiple =
+                SLOWEST_MULTIPLE * (successes + recentTimeouts.valueAt(nowNs)) / successes;
         return (long)
-                Math.min(mostNs, Math.max(LEAST_PART * mostNs, times * slowestNs.valueAt(nowNs)));
+                Math.min(
+                        maxTimeoutNs,
+                        Math.max(
+                                MIN_TIMEOUT_FRACTION * maxTimeoutNs,
+                                multiple * slowestConnectNs.valueAt(nowNs)));
     }
 }
--- a/sidecar/src/main/java/mulleinlever/sidecar/InProcessTransport.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/InProcessTransport.java
@@ -18,7 +18,7 @@
  * address.
  */
 final class InProcessTransport extends NettyTransport {
-    private final Map<InetSocketAddress, LocalAddress> addresses = new HashMap<>();
+    private final Map<InetSocketAddress, LocalAddress> localAddresses = new HashMap<>();
 
     InProcessTransport(RateLimitedLog log) {
         super(log, LocalIoHandler.newFactory());
@@ -28,25 +28,26 @@
      * Another one than any other loop's for the same address: the process keeps one register of
      * them all.
      */
-    private LocalAddress inner(InetSocketAddress at) {
-        return addresses.computeIfAbsent(at, a -> new LocalAddress(InProcessTransport.class));
+    private LocalAddress localAddress(InetSocketAddress address) {
+        return localAddresses.computeIfAbsent(
+                address, a -> new LocalAddress(InProcessTransport.class));
     }
 
     @Override
-    ChannelFuture startConnect(InetSocketAddress to, long withinNs, ChannelHandler handler) {
+    ChannelFuture startConnect(InetSocketAddress address, long timeoutNs, ChannelHandler handler) {
         return new Bootstrap()
                 .group(eventLoop)
                 .channel(LocalChannel.class)
                 .handler(handler)
-                .connect(inner(to));
+                .connect(localAddress(address));
     }
 
     @Override
-    ChannelFuture bind(InetSocketAddress at, Supplier<ChannelHandler> handlers) {
+    ChannelFuture bind(InetSocketAddress address, Supplier<ChannelHandler> handlerSupplier) {
         return new ServerBootstrap()
                 .group(eventLoop, eventLoop)
                 .channel(LocalServerChannel.class)
-                .childHandler(channelInitializer(handlers))
-                .bind(inner(at));
+                .childHandler(channelInitializer(handlerSupplier))
+                .bind(localAddress(address));
     }
 }
--- a/sidecar/src/main/java/mulleinlever/sidecar/NettyLogHandler.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/NettyLogHandler.java
@@ -12,7 +12,7 @@
  */
 final class NettyLogHandler extends Handler {
     /** Held here, since the JDK itself holds loggers weakly. */
-    private static final Logger NETTY = Logger.getLogger("io.netty");
+    private static final Logger NETTY_LOGGER = Logger.getLogger("io.netty");
 
     private final RateLimitedLog log;
 
@@ -23,19 +23,20 @@
 
     /** From now on, instead of the handlers that the process started with. */
     static void install(RateLimitedLog log) {
-        NETTY.setUseParentHandlers(false);
-        for (Handler before : NETTY.getHandlers()) {
-            NETTY.removeHandler(before);
+        NETTY_LOGGER.setUseParentHandlers(false);
+        for (Handler handler : NETTY_LOGGER.getHandlers()) {
+            NETTY_LOGGER.removeHandler(handler);
         }
-        NETTY.addHandler(new NettyLogHandler(log));
+        NETTY_LOGGER.addHandler(new NettyLogHandler(log));
     }
 
     @Override
-    public void publish(LogRecord told) {
-        if (isLoggable(told)) {
+    public void publish(LogRecord record) {
+        if (isLoggable(record)) {
             log.info(
                     "netty",
-                    told.getMessage() + (told.getThrown() == null ? "" : " " + told.getThrown()));
+                    record.getMessage()
+                            + (record.getThrown() == null ? "" : " " + record.getThrown()));
         }
     }
 
--- a/sidecar/src/main/java/mulleinlever/sidecar/NettyTransport.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/NettyTransport.java
@@ -25,18 +25,18 @@
 
 /** The one event loop, on which everything happens, and how connections are made on it. */
 class NettyTransport {
-    private static final int BACKLOG = 1024;
-    private static final int PAGE = 8192;
+    private static final int ACCEPT_BACKLOG = 1024;
+    private static final int PAGE_SIZE_BYTES = 8192;
 
     /** Chunks of 256 KiB: a process this small would waste most of the usual 4 MiB. */
     private static final int CHUNK_ORDER = 5;
 
-    private final ByteBufAllocator alloc =
+    private final ByteBufAllocator allocator =
             new PooledByteBufAllocator(
                     true,
                     0,
                     1,
-                    PAGE,
+                    PAGE_SIZE_BYTES,
                     CHUNK_ORDER,
                     PooledByteBufAllocator.defaultSmallCacheSize(),
                     PooledByteBufAllocator.defaultNormalCacheSize(),
@@ -56,23 +56,25 @@
     }
 
     /** Not within the call that asks for it: the module is not to be called while it decides. */
-    void execute(Runnable what) {
-        eventLoop.execute(guarded(what));
+    void execute(Runnable task) {
+        eventLoop.execute(loggingExceptions(task));
     }
 
-    Future<?> schedule(long ns, Runnable what) {
-        return eventLoop.schedule(guarded(what), Math.max(0, ns), TimeUnit.NANOSECONDS);
+    Future<?> schedule(long delayNs, Runnable task) {
+        return eventLoop.schedule(
+                loggingExceptions(task), Math.max(0, delayNs), TimeUnit.NANOSECONDS);
     }
 
-    void scheduleAtFixedRate(long ns, Runnable what) {
-        eventLoop.scheduleAtFixedRate(guarded(what), ns, ns, TimeUnit.NANOSECONDS);
+    void scheduleAtFixedRate(long periodNs, Runnable task) {
+        eventLoop.scheduleAtFixedRate(
+                loggingExceptions(task), periodNs, periodNs, TimeUnit.NANOSECONDS);
     }
 
     /** A fault in one task must neither pass unseen nor end those that repeat. */
-    private Runnable guarded(Runnable what) {
+    private Runnable loggingExceptions(Runnable task) {
         return () -> {
             try {
-                what.run();
+                task.run();
             } catch (RuntimeException e) {
                 log.internalError("loop", e);
             }
@@ -82,71 +84,71 @@
     /**
      * Opens a connection.
      *
-     * @param failed told on the loop, and never within this call, where it does not come up
+     * @param onFailure told on the loop, and never within this call, where it does not come up
      * @return its channel, or null where not even a socket could be had
      */
     final Channel connect(
-            InetSocketAddress to,
-            long withinNs,
+            InetSocketAddress address,
+            long timeoutNs,
             ChannelHandler handler,
-            Consumer<Throwable> failed) {
-        ChannelFuture connecting = startConnect(to, withinNs, handler);
+            Consumer<Throwable> onFailure) {
+        ChannelFuture connectFuture = startConnect(address, timeoutNs, handler);
         // Without a socket Netty tells of it on a thread of its own, and closing that channel
         // throws.
-        if (connecting.isDone()
-                && !connecting.isSuccess()
-                && !connecting.channel().isRegistered()) {
-            execute(() -> failed.accept(connecting.cause()));
+        if (connectFuture.isDone()
+                && !connectFuture.isSuccess()
+                && !connectFuture.channel().isRegistered()) {
+            execute(() -> onFailure.accept(connectFuture.cause()));
             return null;
         }
-        connecting.addListener(
+        connectFuture.addListener(
                 f -> {
                     if (!f.isSuccess()) {
-                        failed.accept(f.cause());
+                        onFailure.accept(f.cause());
                     }
                 });
-        return connecting.channel();
+        return connectFuture.channel();
     }
 
     /** Begins to connect. */
-    ChannelFuture startConnect(InetSocketAddress to, long withinNs, ChannelHandler handler) {
+    ChannelFuture startConnect(InetSocketAddress address, long timeoutNs, ChannelHandler handler) {
         return new Bootstrap()
                 .group(eventLoop)
                 .channel(NioSocketChannel.class)
                 .handler(handler)
-                .option(ChannelOption.ALLOCATOR, alloc)
-                .option(ChannelOption.RECVBUF_ALLOCATOR, reads())
+                .option(ChannelOption.ALLOCATOR, allocator)
+                .option(ChannelOption.RECVBUF_ALLOCATOR, newReceiveBufferAllocator())
                 .option(ChannelOption.TCP_NODELAY, true)
                 .option(
                         ChannelOption.CONNECT_TIMEOUT_MILLIS,
-                        (int) Math.max(1, withinNs / 1_000_000))
-                .connect(to);
+                        (int) Math.max(1, timeoutNs / 1_000_000))
+                .connect(address);
     }
 
-    ChannelFuture bind(InetSocketAddress at, Supplier<ChannelHandler> handlers) {
+    ChannelFuture bind(InetSocketAddress address, Supplier<ChannelHandler> handlerSupplier) {
         return new ServerBootstrap()
                 .group(eventLoop, eventLoop)
                 .channel(NioServerSocketChannel.class)
-                .option(ChannelOption.SO_BACKLOG, BACKLOG)
+                .option(ChannelOption.SO_BACKLOG, ACCEPT_BACKLOG)
                 .option(ChannelOption.SO_REUSEADDR, true)
-                .childOption(ChannelOption.ALLOCATOR, alloc)
-                .childOption(ChannelOption.RECVBUF_ALLOCATOR, reads())
+                .childOption(ChannelOption.ALLOCATOR, allocator)
+                .childOption(ChannelOption.RECVBUF_ALLOCATOR, newReceiveBufferAllocator())
                 .childOption(ChannelOption.TCP_NODELAY, true)
                 .handler(new AcceptFailureHandler(log))
-                .childHandler(channelInitializer(handlers))
-                .bind(at);
+                .childHandler(channelInitializer(handlerSupplier))
+                .bind(address);
     }
 
-    static ChannelHandler channelInitializer(Supplier<ChannelHandler> handlers) {
+    static ChannelHandler channelInitializer(Supplier<ChannelHandler> handlerSupplier) {
         return new ChannelInitializer<Channel>() {
             @Override
-            protected void initChannel(Channel c) {
-                c.pipeline().addLast(handlers.get());
+            protected void initChannel(Channel channel) {
+                channel.pipeline().addLast(handlerSupplier.get());
             }
         };
     }
 
-    private static AdaptiveRecvByteBufAllocator reads() {
+    private static AdaptiveRecvByteBufAllocator newReceiveBufferAllocator() {
         return new AdaptiveRecvByteBufAllocator(512, 1024, 32_768);
     }
 
--- a/sidecar/src/main/java/mulleinlever/sidecar/PodConnection.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/PodConnection.java
@@ -17,7 +17,7 @@
      * A pod in trouble sends an answer twice, the copy up to a millisecond behind: read after the
      * next req was written, it would be taken for that one's answer.
      */
-    private static final long REST_NS = 3_000_000L;
+    private static final long REUSE_COOLDOWN_NS = 3_000_000L;
 
     final String podId;
     final InetSocketAddress address;
@@ -25,41 +25,41 @@
     /** When it began to open. */
     final long connectStartNs;
 
-    private final PodConnectionPool pods;
-    private final PodResponseHandler relay;
-    private final TryDispatcher send;
+    private final PodConnectionPool connectionPool;
+    private final PodResponseHandler responseHandler;
+    private final TryDispatcher dispatcher;
     private final Clock clock;
     private final RateLimitedLog log;
     private Channel channel;
-    private PostgresMessageDecoder frames;
-    private Future<?> openLimit;
+    private PostgresMessageDecoder decoder;
+    private Future<?> connectTimeoutTask;
 
     /** The try that waits for this connection to open or to have rested, or is carried by it. */
-    private UpstreamTry at;
+    private UpstreamTry currentTry;
 
-    private boolean up;
-    private boolean carries;
+    private boolean handshakeComplete;
+    private boolean tryActive;
 
     /** Whether the pod has said so since the last try. */
-    private boolean ready;
+    private boolean podReady;
 
     private boolean closed;
     final PodResponseHandler.PartialResponse response = new PodResponseHandler.PartialResponse();
     long idleSinceNs;
 
     PodConnection(
-            String pod,
+            String podId,
             InetSocketAddress address,
-            PodConnectionPool pods,
-            PodResponseHandler relay,
-            TryDispatcher send,
+            PodConnectionPool connectionPool,
+            PodResponseHandler responseHandler,
+            TryDispatcher dispatcher,
             Clock clock,
             RateLimitedLog log) {
-        this.podId = pod;
+        this.podId = podId;
         this.address = address;
-        this.pods = pods;
-        this.relay = relay;
-        this.send = send;
+        this.connectionPool = connectionPool;
+        this.responseHandler = responseHandler;
+        this.dispatcher = dispatcher;
         this.clock = clock;
         this.log = log;
         this.connectStartNs = clock.nowNs();
@@ -69,85 +69,85 @@
         return channel;
     }
 
-    void setWaitingTry(UpstreamTry t) {
-        at = t;
+    void setWaitingTry(UpstreamTry upstreamTry) {
+        currentTry = upstreamTry;
     }
 
-    void setActiveTry(UpstreamTry t) {
-        at = t;
-        carries = true;
-        ready = false;
+    void setActiveTry(UpstreamTry upstreamTry) {
+        currentTry = upstreamTry;
+        tryActive = true;
+        podReady = false;
         response.clear();
     }
 
     /** How long it is not to be written to yet. */
-    long remainingCooldownNs(long now) {
-        return idleSinceNs + REST_NS - now;
+    long remainingCooldownNs(long nowNs) {
+        return idleSinceNs + REUSE_COOLDOWN_NS - nowNs;
     }
 
     /** After its rest the try is written, unless the connection is given up before. */
-    void cooldownEnded(UpstreamTry t) {
-        if (at == t && !carries && !closed) {
-            pods.removePending(this);
-            send.writeReq(t, this);
+    void cooldownEnded(UpstreamTry upstreamTry) {
+        if (currentTry == upstreamTry && !tryActive && !closed) {
+            connectionPool.removePending(this);
+            dispatcher.writeReq(upstreamTry, this);
         }
     }
 
     /** Null where no socket could be had, of which {@link #connectFailed} tells. */
-    void setConnecting(Channel connecting, Future<?> limit) {
-        channel = connecting;
-        openLimit = limit;
+    void setConnecting(Channel connectingChannel, Future<?> timeoutTask) {
+        channel = connectingChannel;
+        connectTimeoutTask = timeoutTask;
     }
 
     void connectFailed(Throwable cause) {
         if (cause instanceof ConnectTimeoutException) {
             connectTimedOut();
         } else if (!closed) {
-            pods.recordRefused();
-            lost();
+            connectionPool.recordRefused();
+            closeAndResetTry();
         }
     }
 
     /** It had its time. */
     void connectTimedOut() {
-        if (!up && !closed) {
-            pods.recordConnectTimeout();
+        if (!handshakeComplete && !closed) {
+            connectionPool.recordConnectTimeout();
         }
         closeUnlessCarrying();
     }
 
     /** Its pod is not to be sent to any more: a try that waits here goes elsewhere. */
     void closeUnlessCarrying() {
-        if (!carries) {
-            lost();
+        if (!tryActive) {
+            closeAndResetTry();
         }
     }
 
     /** What it was for is not sent: it waits for another. */
     void releaseUnused() {
-        at = null;
+        currentTry = null;
         idleSinceNs = clock.nowNs();
-        pods.release(this);
+        connectionPool.release(this);
     }
 
     boolean isReusable() {
-        return ready && !closed && channel.isActive() && at == null;
+        return podReady && !closed && channel.isActive() && currentTry == null;
     }
 
     /** Its try is no longer waited for: the connection must not carry another behind it. */
     void abandonTry() {
-        at = null;
+        currentTry = null;
         close();
     }
 
     void close() {
         if (!closed) {
             closed = true;
-            if (openLimit != null) {
-                openLimit.cancel(false);
+            if (connectTimeoutTask != null) {
+                connectTimeoutTask.cancel(false);
             }
             response.clear();
-            pods.connectionClosed(this);
+            connectionPool.connectionClosed(this);
             if (channel != null) {
                 channel.close();
             }
@@ -155,33 +155,33 @@
     }
 
     /** It broke, ended, or never came up. */
-    private void lost() {
-        UpstreamTry t = at;
-        at = null;
+    private void closeAndResetTry() {
+        UpstreamTry upstreamTry = currentTry;
+        currentTry = null;
         close();
-        if (t != null) {
-            t.connection = null;
-            send.endTry(t, TryOutcome.RESET);
+        if (upstreamTry != null) {
+            upstreamTry.connection = null;
+            dispatcher.endTry(upstreamTry, TryOutcome.RESET);
         }
     }
 
     /**
      * Something came that nobody asked for: a try that waits for the rest to end goes over another.
      */
-    private void stray() {
-        UpstreamTry t = at;
-        at = null;
+    private void closeAndMoveTry() {
+        UpstreamTry upstreamTry = currentTry;
+        currentTry = null;
         close();
-        if (t != null) {
-            t.connection = null;
-            send.openConnection(t);
+        if (upstreamTry != null) {
+            upstreamTry.connection = null;
+            dispatcher.openConnection(upstreamTry);
         }
     }
 
     @Override
     public void channelActive(ChannelHandlerContext ctx) {
         channel = ctx.channel();
-        frames = new PostgresMessageDecoder(ctx.alloc());
+        decoder = new PostgresMessageDecoder(ctx.alloc());
         ctx.writeAndFlush(PostgresMessages.startupMessage());
     }
 
@@ -191,74 +191,74 @@
             ((ByteBuf) msg).release();
             return;
         }
-        frames.addBytes((ByteBuf) msg);
+        decoder.addBytes((ByteBuf) msg);
         try {
-            while (!closed && frames.nextMessage(true)) {
-                if (!up) {
-                    opened();
-                } else if (frames.messageType == 'Z' && !ready) {
-                    free();
-                } else if (carries) {
-                    relay.handleMessage(this, at, frames);
-                } else if (frames.messageType != 'S' && frames.messageType != 'N') {
+            while (!closed && decoder.nextMessage(true)) {
+                if (!handshakeComplete) {
+                    handleStartupMessage();
+                } else if (decoder.messageType == 'Z' && !podReady) {
+                    handleReadyForQuery();
+                } else if (tryActive) {
+                    responseHandler.handleMessage(this, currentTry, decoder);
+                } else if (decoder.messageType != 'S' && decoder.messageType != 'N') {
                     // Nothing was asked: a copy, noise, or the pod says that it is about to end the
                     // connection.
-                    stray();
+                    closeAndMoveTry();
                 }
             }
-            if (ready && frames.hasUnreadBytes()) {
-                stray();
+            if (podReady && decoder.hasUnreadBytes()) {
+                closeAndMoveTry();
             }
         } catch (InvalidInputException e) {
-            if (ready) {
-                stray();
+            if (podReady) {
+                closeAndMoveTry();
             } else {
-                lost();
+                closeAndResetTry();
             }
         }
     }
 
     /** A pod that turns the connection away never saw the req. */
-    private void opened() {
-        if (frames.messageType == 'E') {
-            pods.recordRefused();
-            lost();
-        } else if (frames.messageType == 'Z') {
-            up = true;
-            ready = true;
-            pods.connectionReady(this);
-            openLimit.cancel(false);
-            if (at != null) {
-                send.writeReq(at, this);
+    private void handleStartupMessage() {
+        if (decoder.messageType == 'E') {
+            connectionPool.recordRefused();
+            closeAndResetTry();
+        } else if (decoder.messageType == 'Z') {
+            handshakeComplete = true;
+            podReady = true;
+            connectionPool.connectionReady(this);
+            connectTimeoutTask.cancel(false);
+            if (currentTry != null) {
+                dispatcher.writeReq(currentTry, this);
             }
         }
     }
 
     /** The try's end was told; until the pod is ready nothing else may go over this connection. */
     void detachTry() {
-        at.connection = null;
-        at = null;
-        carries = false;
+        currentTry.connection = null;
+        currentTry = null;
+        tryActive = false;
     }
 
-    private void free() {
-        if (carries) {
+    private void handleReadyForQuery() {
+        if (tryActive) {
             throw new InvalidInputException("ready without an answer");
         }
-        ready = true;
+        podReady = true;
         idleSinceNs = clock.nowNs();
-        pods.release(this);
+        connectionPool.release(this);
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
-        if (ready) {
-            stray();
+        if (podReady) {
+            closeAndMoveTry();
         } else {
-            lost();
+            closeAndResetTry();
         }
-        if (frames != null) {
-            frames.release();
+        if (decoder != null) {
+            decoder.release();
         }
     }
 
@@ -267,6 +267,6 @@
         if (!(cause instanceof IOException)) {
             log.internalError("pod " + podId, cause);
         }
-        lost();
+        closeAndResetTry();
     }
 }
--- a/sidecar/src/main/java/mulleinlever/sidecar/PodConnectionPool.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/PodConnectionPool.java
@@ -17,60 +17,61 @@
     /**
      * Idle connections go before the pods' own limit: a req written to a closed one would be lost.
      */
-    private static final double IDLE_PART = 0.85;
+    private static final double IDLE_TIMEOUT_FRACTION = 0.85;
 
-    private static final class Place {
+    private static final class PodEndpoint {
         InetSocketAddress address;
-        final ArrayDeque<PodConnection> idle = new ArrayDeque<>();
-        final Set<PodConnection> opening = new LinkedHashSet<>();
-        int links;
+        final ArrayDeque<PodConnection> idleConnections = new ArrayDeque<>();
+        final Set<PodConnection> pendingConnections = new LinkedHashSet<>();
+        int connectionCount;
         boolean gone;
     }
 
-    private final NettyTransport net;
+    private final NettyTransport transport;
     private final Clock clock;
     private final RateLimitedLog log;
-    private final PodResponseHandler relay;
-    private final int most;
-    private final AdaptiveConnectTimeout patience;
-    private final long idleNs;
-    private final Map<String, Place> places = new LinkedHashMap<>();
-    private int open;
-    private final SidecarMetrics counts;
+    private final PodResponseHandler responseHandler;
+    private final int maxConnections;
+    private final AdaptiveConnectTimeout connectTimeout;
+    private final long idleTimeoutNs;
+    private final Map<String, PodEndpoint> endpointsByPodId = new LinkedHashMap<>();
+    private int connectionCount;
+    private final SidecarMetrics metrics;
 
     PodConnectionPool(
-            NettyTransport net,
+            NettyTransport transport,
             Clock clock,
             RateLimitedLog log,
-            PodResponseHandler relay,
-            int most,
+            PodResponseHandler responseHandler,
+            int maxConnections,
             Settings.PolicyLimits limits,
-            SidecarMetrics counts) {
-        this.counts = counts;
-        this.net = net;
+            SidecarMetrics metrics) {
+        this.metrics = metrics;
+        this.transport = transport;
         this.clock = clock;
         this.log = log;
-        this.relay = relay;
-        this.most = most;
-        this.patience =
+        this.responseHandler = responseHandler;
+        this.maxConnections = maxConnections;
+        this.connectTimeout =
                 new AdaptiveConnectTimeout(
                         limits.connectTimeoutNs() > 0 ? limits.connectTimeoutNs() : 1_000_000_000L);
-        this.idleNs =
+        this.idleTimeoutNs =
                 limits.connectionIdleTimeoutNs() > 0
-                        ? (long) (IDLE_PART * limits.connectionIdleTimeoutNs())
+                        ? (long) (IDLE_TIMEOUT_FRACTION * limits.connectionIdleTimeoutNs())
                         : Long.MAX_VALUE;
     }
 
     /** Before the module hears of the list, so that it can use all that stands on it. */
     void updateAddresses(PodList list) {
-        for (PodEntry e : list.entries()) {
-            Place place = places.computeIfAbsent(e.id(), id -> new Place());
-            place.gone = e.state() == PodEntry.State.GONE;
-            InetSocketAddress now =
-                    SocketAddresses.parse(list.addressesByPodId().getOrDefault(e.id(), ""));
-            if (now != null && !now.equals(place.address)) {
-                place.address = now;
-                closeIdle(place);
+        for (PodEntry entry : list.entries()) {
+            PodEndpoint endpoint =
+                    endpointsByPodId.computeIfAbsent(entry.id(), id -> new PodEndpoint());
+            endpoint.gone = entry.state() == PodEntry.State.GONE;
+            InetSocketAddress newAddress =
+                    SocketAddresses.parse(list.addressesByPodId().getOrDefault(entry.id(), ""));
+            if (newAddress != null && !newAddress.equals(endpoint.address)) {
+                endpoint.address = newAddress;
+                closeIdle(endpoint);
             }
         }
     }
@@ -81,133 +82,155 @@
      * module decides anew.
      */
     void closeToLeavingPods(PodList list) {
-        Set<String> leaving =
-                list.isFull() ? new LinkedHashSet<>(places.keySet()) : new LinkedHashSet<>();
-        for (PodEntry e : list.entries()) {
-            if (e.state() == PodEntry.State.READY) {
-                leaving.remove(e.id());
+        Set<String> leavingPodIds =
+                list.isFull()
+                        ? new LinkedHashSet<>(endpointsByPodId.keySet())
+                        : new LinkedHashSet<>();
+        for (PodEntry entry : list.entries()) {
+            if (entry.state() == PodEntry.State.READY) {
+                leavingPodIds.remove(entry.id());
             } else {
-                leaving.add(e.id());
+                leavingPodIds.add(entry.id());
             }
         }
-        for (String id : leaving) {
-            places.get(id).gone |= list.isFull() && !list.addressesByPodId().containsKey(id);
-            closeIdle(places.get(id));
-            new ArrayList<>(places.get(id).opening).forEach(PodConnection::closeUnlessCarrying);
+        for (String podId : leavingPodIds) {
+            endpointsByPodId.get(podId).gone |=
+                    list.isFull() && !list.addressesByPodId().containsKey(podId);
+            closeIdle(endpointsByPodId.get(podId));
+            new ArrayList<>(endpointsByPodId.get(podId).pendingConnections)
+                    .forEach(PodConnection::closeUnlessCarrying);
         }
     }
 
-    private static void closeIdle(Place place) {
-        new ArrayList<>(place.idle).forEach(PodConnection::close);
-        place.idle.clear();
+    private static void closeIdle(PodEndpoint endpoint) {
+        new ArrayList<>(endpoint.idleConnections).forEach(PodConnection::close);
+        endpoint.idleConnections.clear();
     }
 
     /** Where a pod listens, as address and port; null where that is not known. */
-    String podAddress(String pod) {
-        Place place = places.get(pod);
-        return place == null || place.address == null
+    String podAddress(String podId) {
+        PodEndpoint endpoint = endpointsByPodId.get(podId);
+        return endpoint == null || endpoint.address == null
                 ? null
-                : SocketAddresses.format(place.address);
+                : SocketAddresses.format(endpoint.address);
     }
 
     /**
      * The one used last of those that have rested: those not needed grow old and are closed. Where
      * none has rested, the one that will have first, since to open another costs the pod more.
      */
-    PodConnection acquireIdle(String pod) {
-        Place place = places.get(pod);
-        if (place == null) {
+    PodConnection acquireIdle(String podId) {
+        PodEndpoint endpoint = endpointsByPodId.get(podId);
+        if (endpoint == null) {
             return null;
         }
-        long now = clock.nowNs();
-        PodConnection found = null;
-        for (Iterator<PodConnection> i = place.idle.descendingIterator();
-                i.hasNext() && (found == null || found.remainingCooldownNs(now) > 0); ) {
-            PodConnection l = i.next();
-            found = l.isReusable() && now - l.idleSinceNs < idleNs ? l : found;
+        long nowNs = clock.nowNs();
+        PodConnection candidate = null;
+        for (Iterator<PodConnection> newestFirst = endpoint.idleConnections.descendingIterator();
+                newestFirst.hasNext()
+                        && (candidate == null || candidate.remainingCooldownNs(nowNs) > 0); ) {
+            PodConnection connection = newestFirst.next();
+            candidate =
+                    connection.isReusable() && nowNs - connection.idleSinceNs < idleTimeoutNs
+                            ? connection
+                            : candidate;
         }
-        place.idle.remove(found);
-        if (found != null) {
-            counts.increment(SidecarMetrics.Event.REUSED);
+        endpoint.idleConnections.remove(candidate);
+        if (candidate != null) {
+            metrics.increment(SidecarMetrics.Event.REUSED);
         }
-        return found;
+        return candidate;
     }
 
     /** Lets a try wait until the connection has rested; it is given up like one that opens. */
-    void awaitCooldown(UpstreamTry t, PodConnection link, long forNs) {
-        counts.increment(SidecarMetrics.Event.RESTED);
-        t.connection = link;
-        link.setWaitingTry(t);
-        places.get(link.podId).opening.add(link);
-        net.schedule(forNs, () -> link.cooldownEnded(t));
-    }
-
-    void release(PodConnection link) {
-        Place place = places.get(link.podId);
-        if (link.address.equals(place.address)) {
-            place.idle.addLast(link);
+    void awaitCooldown(UpstreamTry upstreamTry, PodConnection connection, long delayNs) {
+        metrics.increment(SidecarMetrics.Event.RESTED);
+        upstreamTry.connection = connection;
+        connection.setWaitingTry(upstreamTry);
+        endpointsByPodId.get(connection.podId).pendingConnections.add(connection);
+        transport.schedule(delayNs, () -> connection.cooldownEnded(upstreamTry));
+    }
+
+    void release(PodConnection connection) {
+        PodEndpoint endpoint = endpointsByPodId.get(connection.podId);
+        if (connection.address.equals(endpoint.address)) {
+            endpoint.idleConnections.addLast(connection);
         } else {
-            link.close();
+            connection.close();
         }
     }
 
-    void connectionClosed(PodConnection link) {
-        open--;
-        places.get(link.podId).links--;
-        places.get(link.podId).idle.remove(link);
-        places.get(link.podId).opening.remove(link);
+    void connectionClosed(PodConnection connection) {
+        connectionCount--;
+        endpointsByPodId.get(connection.podId).connectionCount--;
+        endpointsByPodId.get(connection.podId).idleConnections.remove(connection);
+        endpointsByPodId.get(connection.podId).pendingConnections.remove(connection);
     }
 
     void recordRefused() {
-        counts.increment(SidecarMetrics.Event.REFUSED);
+        metrics.increment(SidecarMetrics.Event.REFUSED);
     }
 
     int connectionCount() {
-        return open;
+        return connectionCount;
     }
 
-    void removePending(PodConnection link) {
-        places.get(link.podId).opening.remove(link);
+    void removePending(PodConnection connection) {
+        endpointsByPodId.get(connection.podId).pendingConnections.remove(connection);
     }
 
     /** It is ready for its first try. */
-    void connectionReady(PodConnection link) {
-        patience.recordSuccess(clock.nowNs(), clock.nowNs() - link.connectStartNs);
-        removePending(link);
+    void connectionReady(PodConnection connection) {
+        connectTimeout.recordSuccess(clock.nowNs(), clock.nowNs() - connection.connectStartNs);
+        removePending(connection);
     }
 
     void recordConnectTimeout() {
-        counts.increment(SidecarMetrics.Event.TOO_LATE);
-        patience.recordTimeout(clock.nowNs());
+        metrics.increment(SidecarMetrics.Event.TOO_LATE);
+        connectTimeout.recordTimeout(clock.nowNs());
     }
 
     /** Opens a connection for a try; false where none may be. */
-    boolean openConnection(UpstreamTry t, TryDispatcher send) {
-        Place place = places.get(t.podId);
-        if (place == null || place.address == null || open >= most && !makeRoom()) {
+    boolean openConnection(UpstreamTry upstreamTry, TryDispatcher dispatcher) {
+        PodEndpoint endpoint = endpointsByPodId.get(upstreamTry.podId);
+        if (endpoint == null
+                || endpoint.address == null
+                || connectionCount >= maxConnections && !closeOldestIdle()) {
             return false;
         }
-        counts.increment(SidecarMetrics.Event.OPENED);
-        open++;
-        place.links++;
-        PodConnection link =
-                new PodConnection(t.podId, place.address, this, relay, send, clock, log);
-        t.connection = link;
-        link.setWaitingTry(t);
-        place.opening.add(link);
-        long limitNs = patience.timeoutNs(link.connectStartNs);
-        Channel connecting = net.connect(place.address, limitNs, link, link::connectFailed);
-        link.setConnecting(connecting, net.schedule(limitNs, link::connectTimedOut));
+        metrics.increment(SidecarMetrics.Event.OPENED);
+        connectionCount++;
+        endpoint.connectionCount++;
+        PodConnection connection =
+                new PodConnection(
+                        upstreamTry.podId,
+                        endpoint.address,
+                        this,
+                        responseHandler,
+                        dispatcher,
+                        clock,
+                        log);
+        upstreamTry.connection = connection;
+        connection.setWaitingTry(upstreamTry);
+        endpoint.pendingConnections.add(connection);
+        long timeoutNs = connectTimeout.timeoutNs(connection.connectStartNs);
+        Channel channel =
+                transport.connect(
+                        endpoint.address, timeoutNs, connection, connection::connectFailed);
+        connection.setConnecting(
+                channel, transport.schedule(timeoutNs, connection::connectTimedOut));
         return true;
     }
 
-    private boolean makeRoom() {
+    private boolean closeOldestIdle() {
         PodConnection oldest = null;
-        for (Place p : places.values()) {
-            PodConnection l = p.idle.peekFirst();
+        for (PodEndpoint endpoint : endpointsByPodId.values()) {
+            PodConnection connection = endpoint.idleConnections.peekFirst();
             oldest =
-                    l != null && (oldest == null || l.idleSinceNs < oldest.idleSinceNs)
-                            ? l
+                    connection != null
+                                    && (oldest == null
+                                            || connection.idleSinceNs < oldest.idleSinceNs)
+                            ? connection
                             : oldest;
         }
         if (oldest != null) {
@@ -217,11 +240,14 @@
     }
 
     /** Pods that came and went would else pile up with each release. */
-    void evictExpired(long now) {
-        places.values().removeIf(p -> p.gone && p.links == 0);
-        for (Place p : places.values()) {
-            while (!p.idle.isEmpty() && now - p.idle.peekFirst().idleSinceNs >= idleNs) {
-                p.idle.pollFirst().close();
+    void evictExpired(long nowNs) {
+        endpointsByPodId
+                .values()
+                .removeIf(endpoint -> endpoint.gone && endpoint.connectionCount == 0);
+        for (PodEndpoint endpoint : endpointsByPodId.values()) {
+            while (!endpoint.idleConnections.isEmpty()
+                    && nowNs - endpoint.idleConnections.peekFirst().idleSinceNs >= idleTimeoutNs) {
+                endpoint.idleConnections.pollFirst().close();
             }
         }
     }
--- a/sidecar/src/main/java/mulleinlever/sidecar/PodResponseHandler.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/PodResponseHandler.java
@@ -11,17 +11,17 @@
  * whole: a pod that dies within one costs a try, not an answer.
  */
 final class PodResponseHandler {
-    private final ReqRegistry book;
+    private final ReqRegistry reqRegistry;
 
-    PodResponseHandler(ReqRegistry book) {
-        this.book = book;
+    PodResponseHandler(ReqRegistry reqRegistry) {
+        this.reqRegistry = reqRegistry;
     }
 
     /** The parts of an answer that have come so far. */
     static final class PartialResponse {
         private CompositeByteBuf parts;
-        private boolean described;
-        private int rows;
+        private boolean hasRowDescription;
+        private int rowCount;
 
         private void add(ByteBuf part) {
             if (parts == null) {
@@ -35,64 +35,67 @@
                 parts.release();
             }
             parts = null;
-            described = false;
-            rows = 0;
+            hasRowDescription = false;
+            rowCount = 0;
         }
 
-        private ByteBuf take() {
-            ByteBuf all = parts.addComponent(true, PostgresMessages.readyForQuery());
+        private ByteBuf takeResponse() {
+            ByteBuf response = parts.addComponent(true, PostgresMessages.readyForQuery());
             parts = null;
             clear();
-            return all;
+            return response;
         }
     }
 
-    void handleMessage(PodConnection link, UpstreamTry t, PostgresMessageDecoder at) {
-        PartialResponse a = link.response;
-        switch (at.messageType) {
+    void handleMessage(
+            PodConnection connection, UpstreamTry upstreamTry, PostgresMessageDecoder decoder) {
+        PartialResponse response = connection.response;
+        switch (decoder.messageType) {
             case 'T' -> {
-                a.described = true;
-                a.add(at.retainMessage());
+                response.hasRowDescription = true;
+                response.add(decoder.retainMessage());
             }
             case 'D' -> {
-                if (!a.described || ++a.rows > 1) {
+                if (!response.hasRowDescription || ++response.rowCount > 1) {
                     throw new InvalidInputException("a row too many");
                 }
-                a.add(at.retainMessage());
+                response.add(decoder.retainMessage());
             }
             case 'C' -> {
-                link.detachTry();
-                if (a.rows == 1) {
-                    a.add(at.retainMessage());
-                    book.onTryEnded(t, TryOutcome.OK, a.take());
+                connection.detachTry();
+                if (response.rowCount == 1) {
+                    response.add(decoder.retainMessage());
+                    reqRegistry.onTryEnded(upstreamTry, TryOutcome.OK, response.takeResponse());
                 } else {
                     // No row, no value: it ran, but there is nothing to pass on.
-                    book.onTryEnded(t, TryOutcome.ERROR, null);
+                    reqRegistry.onTryEnded(upstreamTry, TryOutcome.ERROR, null);
                 }
             }
             case 'E' -> {
-                a.clear();
-                link.detachTry();
-                boolean turnedAway = PostgresMessages.TOO_MANY_CONNECTIONS.equals(code(at));
-                book.onTryEnded(t, turnedAway ? TryOutcome.FULL : TryOutcome.ERROR, null);
+                response.clear();
+                connection.detachTry();
+                boolean tooManyConnections =
+                        PostgresMessages.TOO_MANY_CONNECTIONS.equals(errorCode(decoder));
+                reqRegistry.onTryEnded(
+                        upstreamTry, tooManyConnections ? TryOutcome.FULL : TryOutcome.ERROR, null);
             }
             // Notices and settings change nothing.
             default -> {}
         }
     }
 
-    private static String code(PostgresMessageDecoder at) {
-        ByteBuf b = at.buffer();
-        int end = at.bodyIndex + at.bodyLength;
-        for (int i = at.bodyIndex; i < end && b.getByte(i) != 0; ) {
-            int zero = b.indexOf(i + 1, end, (byte) 0);
-            if (zero < 0) {
+    private static String errorCode(PostgresMessageDecoder decoder) {
+        ByteBuf buffer = decoder.buffer();
+        int bodyEnd = decoder.bodyIndex + decoder.bodyLength;
+        for (int i = decoder.bodyIndex; i < bodyEnd && buffer.getByte(i) != 0; ) {
+            int terminatorIndex = buffer.indexOf(i + 1, bodyEnd, (byte) 0);
+            if (terminatorIndex < 0) {
                 return "";
             }
-            if (b.getByte(i) == 'C') {
-                return b.toString(i + 1, zero - i - 1, StandardCharsets.US_ASCII);
+            if (buffer.getByte(i) == 'C') {
+                return buffer.toString(i + 1, terminatorIndex - i - 1, StandardCharsets.US_ASCII);
             }
-            i = zero + 1;
+            i = terminatorIndex + 1;
         }
         return "";
     }
--- a/sidecar/src/main/java/mulleinlever/sidecar/ReconnectBackoff.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/ReconnectBackoff.java
@@ -10,16 +10,16 @@
  * down too.
  */
 final class ReconnectBackoff {
-    private final long firstNs;
-    private final long mostNs;
+    private final long initialDelayNs;
+    private final long maxDelayNs;
     private final SplittableRandom random;
-    private long waitNs;
+    private long fullDelayNs;
     private long openedNs;
 
     /** Times in nanoseconds; the longest wait is the first one where it would be less. */
-    ReconnectBackoff(long firstNs, long mostNs, long seed) {
-        this.firstNs = firstNs;
-        this.mostNs = Math.max(firstNs, mostNs);
+    ReconnectBackoff(long initialDelayNs, long maxDelayNs, long seed) {
+        this.initialDelayNs = initialDelayNs;
+        this.maxDelayNs = Math.max(initialDelayNs, maxDelayNs);
         this.random = new SplittableRandom(seed);
     }
 
@@ -42,8 +42,11 @@
 
     /** How long to wait, in nanoseconds, after it has ended now. */
     long nextDelayNs(long nowNs) {
-        boolean stood = nowNs - openedNs > mostNs + firstNs;
-        waitNs = waitNs == 0 || stood ? firstNs : Math.min(mostNs, 2 * waitNs);
-        return waitNs / 2 + random.nextLong(waitNs / 2 + 1);
+        boolean stayedOpen = nowNs - openedNs > maxDelayNs + initialDelayNs;
+        fullDelayNs =
+                fullDelayNs == 0 || stayedOpen
+                        ? initialDelayNs
+                        : Math.min(maxDelayNs, 2 * fullDelayNs);
+        return fullDelayNs / 2 + random.nextLong(fullDelayNs / 2 + 1);
     }
 }
--- a/sidecar/src/main/java/mulleinlever/sidecar/TryDispatcher.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/TryDispatcher.java
@@ -8,67 +8,80 @@
 
 /** Fourth stage: puts an upstream try on a connection to its pod, and abandons it. */
 final class TryDispatcher {
-    private static final int HEAD = 5;
+    private static final int HEADER_BYTES = 5;
 
-    private final NettyTransport net;
+    private final NettyTransport transport;
     private final Clock clock;
-    private final ReqRegistry book;
-    private final PodConnectionPool pods;
+    private final ReqRegistry reqRegistry;
+    private final PodConnectionPool connectionPool;
 
-    TryDispatcher(NettyTransport net, Clock clock, ReqRegistry book, PodConnectionPool pods) {
-        this.net = net;
+    TryDispatcher(
+            NettyTransport transport,
+            Clock clock,
+            ReqRegistry reqRegistry,
+            PodConnectionPool connectionPool) {
+        this.transport = transport;
         this.clock = clock;
-        this.book = book;
-        this.pods = pods;
+        this.reqRegistry = reqRegistry;
+        this.connectionPool = connectionPool;
     }
 
-    void startTry(PendingCommand held, String pod, long writeWithinNs, long limitNs) {
-        long now = clock.nowNs();
-        UpstreamTry t =
+    void startTry(PendingCommand command, String podId, long writeWithinNs, long timeoutNs) {
+        long nowNs = clock.nowNs();
+        UpstreamTry upstreamTry =
                 new UpstreamTry(
-                        held, held.tries.size(), pod, now, now + writeWithinNs, now + limitNs);
-        held.tries.add(t);
-        if (held.outcomeDecided || limitNs <= 0) {
-            net.execute(() -> book.onTryEnded(t, TryOutcome.MOOT, null));
+                        command,
+                        command.tries.size(),
+                        podId,
+                        nowNs,
+                        nowNs + writeWithinNs,
+                        nowNs + timeoutNs);
+        command.tries.add(upstreamTry);
+        if (command.outcomeDecided || timeoutNs <= 0) {
+            transport.execute(() -> reqRegistry.onTryEnded(upstreamTry, TryOutcome.MOOT, null));
             return;
         }
-        t.timeoutTask = net.schedule(limitNs, () -> endTry(t, TryOutcome.TIMEOUT));
-        PodConnection link = pods.acquireIdle(pod);
-        long restNs = link == null ? 0 : link.remainingCooldownNs(now);
-        if (link == null) {
-            openConnection(t);
-        } else if (restNs > 0) {
-            pods.awaitCooldown(t, link, restNs);
+        upstreamTry.timeoutTask =
+                transport.schedule(timeoutNs, () -> endTry(upstreamTry, TryOutcome.TIMEOUT));
+        PodConnection connection = connectionPool.acquireIdle(podId);
+        long cooldownNs = connection == null ? 0 : connection.remainingCooldownNs(nowNs);
+        if (connection == null) {
+            openConnection(upstreamTry);
+        } else if (cooldownNs > 0) {
+            connectionPool.awaitCooldown(upstreamTry, connection, cooldownNs);
         } else {
-            writeReq(t, link);
+            writeReq(upstreamTry, connection);
         }
     }
 
-    void openConnection(UpstreamTry t) {
-        if (!pods.openConnection(t, this)) {
-            net.execute(() -> book.onTryEnded(t, TryOutcome.CONNECT_FAILED, null));
+    void openConnection(UpstreamTry upstreamTry) {
+        if (!connectionPool.openConnection(upstreamTry, this)) {
+            transport.execute(
+                    () -> reqRegistry.onTryEnded(upstreamTry, TryOutcome.CONNECT_FAILED, null));
         }
     }
 
     /** Closing is what tells the pod to stop. */
-    void cancelTry(UpstreamTry t) {
-        if (!t.hasEnded()) {
-            abandon(t);
-            net.execute(() -> book.onTryEnded(t, TryOutcome.CANCELLED, null));
+    void cancelTry(UpstreamTry upstreamTry) {
+        if (!upstreamTry.hasEnded()) {
+            abandon(upstreamTry);
+            transport.execute(
+                    () -> reqRegistry.onTryEnded(upstreamTry, TryOutcome.CANCELLED, null));
         }
     }
 
     /** What was not written whole has not run, however it ended. */
-    void endTry(UpstreamTry t, TryOutcome ending) {
-        abandon(t);
-        book.onTryEnded(t, t.fullyWritten ? ending : TryOutcome.CONNECT_FAILED, null);
+    void endTry(UpstreamTry upstreamTry, TryOutcome outcome) {
+        abandon(upstreamTry);
+        reqRegistry.onTryEnded(
+                upstreamTry, upstreamTry.fullyWritten ? outcome : TryOutcome.CONNECT_FAILED, null);
     }
 
-    private static void abandon(UpstreamTry t) {
-        if (t.connection != null) {
-            PodConnection link = t.connection;
-            t.connection = null;
-            link.abandonTry();
+    private static void abandon(UpstreamTry upstreamTry) {
+        if (upstreamTry.connection != null) {
+            PodConnection connection = upstreamTry.connection;
+            upstreamTry.connection = null;
+            connection.abandonTry();
         }
     }
 
@@ -76,37 +89,48 @@
      * The text goes on as it was read but for the time that is left: a new head, then the parts
      * around it.
      */
-    void writeReq(UpstreamTry t, PodConnection link) {
-        if (clock.nowNs() > t.writeDeadlineNs) {
-            t.connection = null;
-            link.releaseUnused();
-            net.execute(() -> endTry(t, TryOutcome.CONNECT_FAILED));
+    void writeReq(UpstreamTry upstreamTry, PodConnection connection) {
+        if (clock.nowNs() > upstreamTry.writeDeadlineNs) {
+            upstreamTry.connection = null;
+            connection.releaseUnused();
+            transport.execute(() -> endTry(upstreamTry, TryOutcome.CONNECT_FAILED));
             return;
         }
-        t.connection = link;
-        link.setActiveTry(t);
-        Channel to = link.channel();
-        Statement s = t.command.statement;
-        ByteBuf text = s.text;
-        long leftMs = Math.max(1, (t.deadlineNs - clock.nowNs()) / 1_000_000);
-        ChannelFuture last;
-        if (s.clientTimeoutMs < 0) {
-            to.write(head(to, text.readableBytes()));
-            last = to.write(text.retainedDuplicate());
+        upstreamTry.connection = connection;
+        connection.setActiveTry(upstreamTry);
+        Channel channel = connection.channel();
+        Statement statement = upstreamTry.command.statement;
+        ByteBuf text = statement.text;
+        long remainingMs = Math.max(1, (upstreamTry.deadlineNs - clock.nowNs()) / 1_000_000);
+        ChannelFuture lastWrite;
+        if (statement.clientTimeoutMs < 0) {
+            channel.write(queryHeader(channel, text.readableBytes()));
+            lastWrite = channel.write(text.retainedDuplicate());
         } else {
-            String left = Long.toString(leftMs);
-            int from = text.readerIndex();
-            int behind = s.clientTimeoutIndex + s.clientTimeoutLength;
-            to.write(head(to, text.readableBytes() - s.clientTimeoutLength + left.length()));
-            to.write(text.retainedSlice(from, s.clientTimeoutIndex - from));
-            to.write(ByteBufUtil.writeAscii(to.alloc(), left));
-            last = to.write(text.retainedSlice(behind, text.writerIndex() - behind));
+            String remainingText = Long.toString(remainingMs);
+            int textStart = text.readerIndex();
+            int timeoutEndIndex = statement.clientTimeoutIndex + statement.clientTimeoutLength;
+            channel.write(
+                    queryHeader(
+                            channel,
+                            text.readableBytes()
+                                    - statement.clientTimeoutLength
+                                    + remainingText.length()));
+            channel.write(text.retainedSlice(textStart, statement.clientTimeoutIndex - textStart));
+            channel.write(ByteBufUtil.writeAscii(channel.alloc(), remainingText));
+            lastWrite =
+                    channel.write(
+                            text.retainedSlice(
+                                    timeoutEndIndex, text.writerIndex() - timeoutEndIndex));
         }
-        last.addListener(f -> t.fullyWritten |= f.isSuccess());
-        to.flush();
+        lastWrite.addListener(f -> upstreamTry.fullyWritten |= f.isSuccess());
+        channel.flush();
     }
 
-    private static ByteBuf head(Channel to, int length) {
-        return to.alloc().buffer(HEAD).writeByte('Q').writeInt(length + HEAD - 1);
+    private static ByteBuf queryHeader(Channel channel, int textBytes) {
+        return channel.alloc()
+                .buffer(HEADER_BYTES)
+                .writeByte('Q')
+                .writeInt(textBytes + HEADER_BYTES - 1);
     }
 }
--- a/sidecar/src/main/java/mulleinlever/sidecar/UpstreamTry.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/UpstreamTry.java
@@ -24,13 +24,18 @@
     TryOutcome outcome;
 
     UpstreamTry(
-            PendingCommand held, int no, String pod, long calledNs, long writeByNs, long untilNs) {
-        this.command = held;
-        this.tryNo = no;
-        this.podId = pod;
-        this.startedNs = calledNs;
-        this.writeDeadlineNs = writeByNs;
-        this.deadlineNs = untilNs;
+            PendingCommand command,
+            int tryNo,
+            String podId,
+            long startedNs,
+            long writeDeadlineNs,
+            long deadlineNs) {
+        this.command = command;
+        this.tryNo = tryNo;
+        this.podId = podId;
+        this.startedNs = startedNs;
+        this.writeDeadlineNs = writeDeadlineNs;
+        this.deadlineNs = deadlineNs;
     }
 
     boolean hasEnded() {
--- a/sidecar/src/main/java/mulleinlever/sidecar/WarmUp.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/WarmUp.java
@@ -29,120 +29,125 @@
      */
     static final int REQ_COUNT = 400;
 
-    private static final long LONGEST_NS = 1_500_000_000L;
-    private static final int CLIENTS = 8;
-    private static final byte[] ROW = row();
+    private static final long MAX_DURATION_NS = 1_500_000_000L;
+    private static final int CLIENT_COUNT = 8;
+    private static final byte[] ROW_RESPONSE = rowResponse();
 
     private final SidecarConfig config;
-    private final Consumer<WarmUp> then;
+    private final Consumer<WarmUp> onFinished;
     private final Clock clock = new Clock();
-    private final RateLimitedLog quiet =
+    private final RateLimitedLog discardingLog =
             new RateLimitedLog(new PrintStream(OutputStream.nullOutputStream()), clock);
-    private final NettyTransport net = new InProcessTransport(quiet);
+    private final NettyTransport transport = new InProcessTransport(discardingLog);
     private final long startNs = clock.nowNs();
-    private int asked;
-    private int ended;
-    private int completed;
-    private boolean over;
+    private int sentReqCount;
+    private int answeredReqCount;
+    private int completedReqCount;
+    private boolean finished;
 
-    private WarmUp(SidecarConfig config, Consumer<WarmUp> then) {
+    private WarmUp(SidecarConfig config, Consumer<WarmUp> onFinished) {
         this.config = config;
-        this.then = then;
+        this.onFinished = onFinished;
     }
 
     /** Calls back once, on a thread of its own. */
-    static void run(SidecarConfig config, Consumer<WarmUp> then) {
-        WarmUp r = new WarmUp(config, then);
-        r.net.schedule(LONGEST_NS, r::end);
-        r.net.execute(r::begin);
+    static void run(SidecarConfig config, Consumer<WarmUp> onFinished) {
+        WarmUp warmUp = new WarmUp(config, onFinished);
+        warmUp.transport.schedule(MAX_DURATION_NS, warmUp::finish);
+        warmUp.transport.execute(warmUp::start);
     }
 
     int completedReqCount() {
-        return completed;
+        return completedReqCount;
     }
 
     @Override
     public String toString() {
-        return completed + " reqs rehearsed in " + (clock.nowNs() - startNs) / 1_000_000 + " ms";
+        return completedReqCount
+                + " reqs rehearsed in "
+                + (clock.nowNs() - startNs) / 1_000_000
+                + " ms";
     }
 
-    private void begin() {
-        SidecarComponents stages =
-                new SidecarComponents(config, net, clock, quiet, new Lifecycle(quiet));
-        stages.policy.onPodListConfirmed(clock.nowNs());
-        Set<String> addresses = new TreeSet<>(config.initialPodList().addressesByPodId().values());
-        for (String a : addresses) {
-            InetSocketAddress at = SocketAddresses.parse(a);
-            if (at != null) {
-                net.bind(at, StubPod::new);
+    private void start() {
+        SidecarComponents components =
+                new SidecarComponents(
+                        config, transport, clock, discardingLog, new Lifecycle(discardingLog));
+        components.policy.onPodListConfirmed(clock.nowNs());
+        Set<String> podAddresses =
+                new TreeSet<>(config.initialPodList().addressesByPodId().values());
+        for (String hostPort : podAddresses) {
+            InetSocketAddress address = SocketAddresses.parse(hostPort);
+            if (address != null) {
+                transport.bind(address, StubPod::new);
             }
         }
-        stages.clientConnections.setListener(
-                net.bind(config.listenAddress(), stages::newClientHandler).channel());
-        for (int i = 0; i < CLIENTS; i++) {
-            net.connect(
+        components.clientConnections.setListener(
+                transport.bind(config.listenAddress(), components::newClientHandler).channel());
+        for (int i = 0; i < CLIENT_COUNT; i++) {
+            transport.connect(
                     config.listenAddress(),
-                    LONGEST_NS,
+                    MAX_DURATION_NS,
                     new WarmUpClient(),
-                    cause -> quiet.info("life", cause.toString()));
+                    cause -> discardingLog.info("life", cause.toString()));
         }
     }
 
-    private void end() {
-        if (!over) {
-            over = true;
-            net.close();
-            then.accept(this);
+    private void finish() {
+        if (!finished) {
+            finished = true;
+            transport.close();
+            onFinished.accept(this);
         }
     }
 
     /** Asks again as soon as it has its answer. */
     private final class WarmUpClient extends ChannelInboundHandlerAdapter {
-        private PostgresMessageDecoder frames;
-        private boolean waits;
+        private PostgresMessageDecoder decoder;
+        private boolean reqSent;
 
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
-            frames = new PostgresMessageDecoder(ctx.alloc());
+            decoder = new PostgresMessageDecoder(ctx.alloc());
             ctx.writeAndFlush(PostgresMessages.startupMessage());
         }
 
         @Override
         public void channelRead(ChannelHandlerContext ctx, Object msg) {
-            frames.addBytes((ByteBuf) msg);
-            while (frames.nextMessage(true)) {
-                if (frames.messageType == 'D') {
-                    completed++;
-                } else if (frames.messageType == 'Z') {
-                    ended += waits ? 1 : 0;
-                    if (ended == REQ_COUNT) {
-                        end();
-                    } else if (asked < REQ_COUNT) {
-                        ask(ctx);
+            decoder.addBytes((ByteBuf) msg);
+            while (decoder.nextMessage(true)) {
+                if (decoder.messageType == 'D') {
+                    completedReqCount++;
+                } else if (decoder.messageType == 'Z') {
+                    answeredReqCount += reqSent ? 1 : 0;
+                    if (answeredReqCount == REQ_COUNT) {
+                        finish();
+                    } else if (sentReqCount < REQ_COUNT) {
+                        sendReq(ctx);
                     }
                 }
             }
         }
 
-        private void ask(ChannelHandlerContext ctx) {
-            waits = true;
+        private void sendReq(ChannelHandlerContext ctx) {
+            reqSent = true;
             List<Settings.RouteSettings> routes = config.settings().routes();
-            Settings.RouteSettings route = routes.get(asked++ % routes.size());
-            boolean read = route.retrySafety() == Settings.RetrySafety.IDEMPOTENT;
-            String text =
+            Settings.RouteSettings route = routes.get(sentReqCount++ % routes.size());
+            boolean isRead = route.retrySafety() == Settings.RetrySafety.IDEMPOTENT;
+            String sql =
                     String.format(
-                                    read
+                                    isRead
                                             ? "SELECT payload FROM entries WHERE ref = '%016x'"
                                             : "INSERT INTO entries (ref, payload) VALUES ('%016x', '\\x9f03') RETURNING payload",
-                                    asked % 97)
+                                    sentReqCount % 97)
                             + String.format(
                                     " /* id=%016x,c=%s,t=none,d=%d%s */\0",
-                                    asked,
+                                    sentReqCount,
                                     route.name(),
                                     route.timeoutNs() / 1_000_000,
-                                    read ? "" : ",k=5c0f6e1a2b3d4c59");
-            byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
-            later(
+                                    isRead ? "" : ",k=5c0f6e1a2b3d4c59");
+            byte[] bytes = sql.getBytes(StandardCharsets.UTF_8);
+            writeLater(
                     ctx,
                     () ->
                             ctx.alloc()
@@ -157,53 +162,55 @@
      * Within the process a write is read within the call that writes it, where a socket's is read
      * later.
      */
-    private static void later(ChannelHandlerContext ctx, Supplier<ByteBuf> what) {
-        ctx.executor().execute(() -> ctx.writeAndFlush(what.get()));
+    private static void writeLater(ChannelHandlerContext ctx, Supplier<ByteBuf> message) {
+        ctx.executor().execute(() -> ctx.writeAndFlush(message.get()));
     }
 
     /** Answers at once. */
     private static final class StubPod extends ChannelInboundHandlerAdapter {
-        private PostgresMessageDecoder frames;
-        private boolean started;
+        private PostgresMessageDecoder decoder;
+        private boolean startupReceived;
 
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
-            frames = new PostgresMessageDecoder(ctx.alloc());
+            decoder = new PostgresMessageDecoder(ctx.alloc());
         }
 
         @Override
         public void channelRead(ChannelHandlerContext ctx, Object msg) {
-            frames.addBytes((ByteBuf) msg);
-            while (frames.nextMessage(started)) {
-                boolean asked = started;
-                started = true;
-                later(
+            decoder.addBytes((ByteBuf) msg);
+            while (decoder.nextMessage(startupReceived)) {
+                boolean isQuery = startupReceived;
+                startupReceived = true;
+                writeLater(
                         ctx,
                         () ->
-                                asked
-                                        ? ctx.alloc().buffer(ROW.length).writeBytes(ROW)
+                                isQuery
+                                        ? ctx.alloc()
+                                                .buffer(ROW_RESPONSE.length)
+                                                .writeBytes(ROW_RESPONSE)
                                         : PostgresMessages.startupResponse());
             }
         }
     }
 
-    private static byte[] row() {
-        var all = new ByteArrayOutputStream();
-        message(
-                all,
+    private static byte[] rowResponse() {
+        var response = new ByteArrayOutputStream();
+        appendMessage(
+                response,
                 'T',
                 new byte[] {
                     0, 1, 'p', 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 17, -1, -1, -1, -1, -1, -1, 0, 1
                 });
-        message(all, 'D', new byte[] {0, 1, 0, 0, 0, 2, 1, 2});
-        message(all, 'C', "SELECT 1\0".getBytes(StandardCharsets.US_ASCII));
-        message(all, 'Z', new byte[] {'I'});
-        return all.toByteArray();
+        appendMessage(response, 'D', new byte[] {0, 1, 0, 0, 0, 2, 1, 2});
+        appendMessage(response, 'C', "SELECT 1\0".getBytes(StandardCharsets.US_ASCII));
+        appendMessage(response, 'Z', new byte[] {'I'});
+        return response.toByteArray();
     }
 
-    private static void message(ByteArrayOutputStream to, char type, byte[] body) {
-        to.write(type);
-        to.writeBytes(ByteBuffer.allocate(4).putInt(4 + body.length).array());
-        to.writeBytes(body);
+    private static void appendMessage(ByteArrayOutputStream out, char type, byte[] body) {
+        out.write(type);
+        out.writeBytes(ByteBuffer.allocate(4).putInt(4 + body.length).array());
+        out.writeBytes(body);
     }
 }
--- a/sidecar/src/test/java/mulleinlever/sidecar/AdaptiveConnectTimeoutTest.java
+++ b/sidecar/src/test/java/mulleinlever/sidecar/AdaptiveConnectTimeoutTest.java
@@ -10,67 +10,84 @@
 
 /** Of the class that decides how long to wait by what was seen of late. */
 class AdaptiveConnectTimeoutTest {
-    private static final long MS = 1_000_000L;
-    private static final long MOST = 250 * MS;
+    private static final long NS_PER_MS = 1_000_000L;
+    private static final long MAX_TIMEOUT_NS = 250 * NS_PER_MS;
 
-    private record Seen(long atNs, long tookNs) {}
+    private record ConnectAttempt(long endedNs, long durationNs) {}
 
     /**
      * Slow and plain: from all that was ever seen, each part faded by its age. A failure took
      * nothing.
      */
-    private static long model(List<Seen> all, long now) {
-        double slowest = 0;
-        double up = 0;
-        double down = 0;
-        for (Seen s : all) {
-            double left = Math.exp(-Math.log(2) * (now - s.atNs) / 10e9);
-            slowest = Math.max(slowest, left * s.tookNs);
-            up += s.tookNs > 0 ? left : 0;
-            down += s.tookNs > 0 ? 0 : left;
+    private static long referenceTimeoutNs(List<ConnectAttempt> attempts, long nowNs) {
+        double slowestNs = 0;
+        double successes = 0;
+        double timeouts = 0;
+        for (ConnectAttempt attempt : attempts) {
+            double decay = Math.exp(-Math.log(2) * (nowNs - attempt.endedNs) / 10e9);
+            slowestNs = Math.max(slowestNs, decay * attempt.durationNs);
+            successes += attempt.durationNs > 0 ? decay : 0;
+            timeouts += attempt.durationNs > 0 ? 0 : decay;
         }
-        boolean little = all.stream().filter(s -> s.tookNs > 0).count() < 20;
-        return little
-                ? MOST
-                : (long) Math.min(MOST, Math.max(25 * MS, 3 * slowest * (up + down) / up));
+        boolean tooFewSuccesses =
+                attempts.stream().filter(attempt -> attempt.durationNs > 0).count() < 20;
+        return tooFewSuccesses
+                ? MAX_TIMEOUT_NS
+                : (long)
+                        Math.min(
+                                MAX_TIMEOUT_NS,
+                                Math.max(
+                                        25 * NS_PER_MS,
+                                        3 * slowestNs * (successes + timeouts) / successes));
     }
 
     @Test
     void matchesReferenceModel() {
         for (int seed = 0; seed < 50; seed++) {
             var random = new SplittableRandom(seed);
-            AdaptiveConnectTimeout p = new AdaptiveConnectTimeout(MOST);
-            List<Seen> all = new ArrayList<>();
-            double bad = random.nextDouble();
-            long now = 1_000_000 * MS;
+            AdaptiveConnectTimeout connectTimeout = new AdaptiveConnectTimeout(MAX_TIMEOUT_NS);
+            List<ConnectAttempt> attempts = new ArrayList<>();
+            double timeoutProbability = random.nextDouble();
+            long nowNs = 1_000_000 * NS_PER_MS;
             for (int i = 0; i < 200; i++) {
-                now += random.nextLong(200 * MS);
-                long took = random.nextDouble() < bad ? 0 : 1 + random.nextLong(60 * MS);
-                all.add(new Seen(now, took));
-                if (took > 0) {
-                    p.recordSuccess(now, took);
+                nowNs += random.nextLong(200 * NS_PER_MS);
+                long durationNs =
+                        random.nextDouble() < timeoutProbability
+                                ? 0
+                                : 1 + random.nextLong(60 * NS_PER_MS);
+                attempts.add(new ConnectAttempt(nowNs, durationNs));
+                if (durationNs > 0) {
+                    connectTimeout.recordSuccess(nowNs, durationNs);
                 } else {
-                    p.recordTimeout(now);
+                    connectTimeout.recordTimeout(nowNs);
                 }
-                long then = now + random.nextLong(1000 * MS);
-                assertEquals(model(all, now), p.timeoutNs(now), 1000, "seed " + seed + ", " + i);
-                now = then;
-                assertEquals(model(all, now), p.timeoutNs(now), 1000, "seed " + seed + ", " + i);
+                long laterNs = nowNs + random.nextLong(1000 * NS_PER_MS);
+                assertEquals(
+                        referenceTimeoutNs(attempts, nowNs),
+                        connectTimeout.timeoutNs(nowNs),
+                        1000,
+                        "seed " + seed + ", " + i);
+                nowNs = laterNs;
+                assertEquals(
+                        referenceTimeoutNs(attempts, nowNs),
+                        connectTimeout.timeoutNs(nowNs),
+                        1000,
+                        "seed " + seed + ", " + i);
             }
         }
     }
 
     @Test
     void usesMaximumWhenMostConnectsTimeOut() {
-        AdaptiveConnectTimeout p = new AdaptiveConnectTimeout(MOST);
+        AdaptiveConnectTimeout connectTimeout = new AdaptiveConnectTimeout(MAX_TIMEOUT_NS);
         for (int i = 0; i < 30; i++) {
-            p.recordSuccess(i, 10 * MS);
+            connectTimeout.recordSuccess(i, 10 * NS_PER_MS);
         }
-        assertEquals(30 * MS, p.timeoutNs(30), MS);
+        assertEquals(30 * NS_PER_MS, connectTimeout.timeoutNs(30), NS_PER_MS);
         for (int i = 0; i < 300; i++) {
-            p.recordTimeout(30);
+            connectTimeout.recordTimeout(30);
         }
-        assertEquals(MOST, p.timeoutNs(30));
-        assertTrue(new AdaptiveConnectTimeout(MOST).timeoutNs(0) == MOST);
+        assertEquals(MAX_TIMEOUT_NS, connectTimeout.timeoutNs(30));
+        assertTrue(new AdaptiveConnectTimeout(MAX_TIMEOUT_NS).timeoutNs(0) == MAX_TIMEOUT_NS);
     }
 }
--- a/sidecar/src/test/java/mulleinlever/sidecar/DescriptorExhaustionTest.java
+++ b/sidecar/src/test/java/mulleinlever/sidecar/DescriptorExhaustionTest.java
@@ -14,23 +14,23 @@
 /** The program while system calls fail for want of descriptors, and after. */
 @Timeout(90)
 class DescriptorExhaustionTest extends SidecarTestBase {
-    private static final int DESCRIPTORS = 80;
+    private static final int DESCRIPTOR_LIMIT = 80;
 
     DescriptorExhaustionTest() throws IOException {}
 
     /** Connections that say nothing, more than the process has descriptors for. */
-    private List<Socket> exhaust() throws Exception {
-        List<Socket> all = new ArrayList<>();
-        for (int i = 0; i < 2 * DESCRIPTORS; i++) {
-            all.add(new Socket(InetAddress.getLoopbackAddress(), port));
+    private List<Socket> exhaustDescriptors() throws Exception {
+        List<Socket> sockets = new ArrayList<>();
+        for (int i = 0; i < 2 * DESCRIPTOR_LIMIT; i++) {
+            sockets.add(new Socket(InetAddress.getLoopbackAddress(), port));
         }
         awaitTrue(() -> logText().contains("Too many open files"));
-        return all;
+        return sockets;
     }
 
-    private static void close(List<Socket> all) throws IOException {
-        for (Socket s : all) {
-            s.close();
+    private static void close(List<Socket> sockets) throws IOException {
+        for (Socket socket : sockets) {
+            socket.close();
         }
     }
 
@@ -39,14 +39,14 @@
     @Test
     void reopensWatchAfterSocketCreationFailed() throws Exception {
         startPod((q, out) -> sendRow(out, "v"));
-        descriptorLimit = DESCRIPTORS;
+        descriptorLimit = DESCRIPTOR_LIMIT;
         startSidecar(1024);
         awaitTrue(() -> discovery.received.size() == 1);
-        List<Socket> taken = exhaust();
+        List<Socket> heldSockets = exhaustDescriptors();
         closeConnections(discovery);
         // Its own descriptor is taken by the next client in line before it is opened anew.
         awaitTrue(() -> logText().contains("watch 2 has ended"));
-        close(taken);
+        close(heldSockets);
         awaitTrue(() -> discovery.received.size() == 2);
     }
 
@@ -55,15 +55,15 @@
     @Test
     void failsTryFastWhenSocketCreationFails() throws Exception {
         startPod((q, out) -> sendRow(out, "v"));
-        descriptorLimit = DESCRIPTORS;
+        descriptorLimit = DESCRIPTOR_LIMIT;
         startSidecar(1024);
         try (Client client = new Client()) {
-            List<Socket> taken = exhaust();
-            long fromNs = System.nanoTime();
+            List<Socket> heldSockets = exhaustDescriptors();
+            long startNs = System.nanoTime();
             assertEquals("E53300 with advice", client.execute(selectSql("1", 1400)));
-            long tookMs = (System.nanoTime() - fromNs) / 1_000_000;
+            long tookMs = (System.nanoTime() - startNs) / 1_000_000;
             assertTrue(tookMs < 700, "answered after " + tookMs + " ms of 1400");
-            close(taken);
+            close(heldSockets);
             awaitServed(client);
         }
     }
@@ -72,15 +72,15 @@
     @Test
     void resumesAcceptingAfterAcceptFailure() throws Exception {
         startPod((q, out) -> sendRow(out, "v"));
-        descriptorLimit = DESCRIPTORS;
+        descriptorLimit = DESCRIPTOR_LIMIT;
         startSidecar(1024);
         for (int i = 0; i < 5; i++) {
-            close(exhaust());
-            long fromNs = System.nanoTime();
+            close(exhaustDescriptors());
+            long startNs = System.nanoTime();
             try (Client client = new Client()) {
                 assertEquals("TDvC", client.execute(selectSql("1", 1400)));
             }
-            long tookMs = (System.nanoTime() - fromNs) / 1_000_000;
+            long tookMs = (System.nanoTime() - startNs) / 1_000_000;
             assertTrue(tookMs < 500, "accepted and served after " + tookMs + " ms");
             Thread.sleep(300);
         }
--- a/sidecar/src/test/java/mulleinlever/sidecar/ProcessPauseTest.java
+++ b/sidecar/src/test/java/mulleinlever/sidecar/ProcessPauseTest.java
@@ -21,10 +21,10 @@
  */
 @Timeout(90)
 class ProcessPauseTest extends SidecarTestBase {
-    private static final Pattern ID = Pattern.compile("id=([0-9a-f]+)");
+    private static final Pattern REQ_ID = Pattern.compile("id=([0-9a-f]+)");
 
     /** {@code windowNs} of the tests' configuration. */
-    private static final long WINDOW_MS = 400;
+    private static final long DEDUP_WINDOW_MS = 400;
 
     ProcessPauseTest() throws IOException {}
 
@@ -36,54 +36,55 @@
                         .waitFor());
     }
 
-    private static String id(String query) {
-        Matcher m = ID.matcher(query);
-        assertTrue(m.find(), query);
-        return m.group(1);
+    private static String reqId(String query) {
+        Matcher matcher = REQ_ID.matcher(query);
+        assertTrue(matcher.find(), query);
+        return matcher.group(1);
     }
 
     /** A server that takes so long to let a connection in. */
-    private FakeServer slowToLetIn(long ms, PodBehavior answers) throws IOException {
-        FakeServer server =
+    private FakeServer startSlowHandshakePod(long handshakeDelayMs, PodBehavior behavior)
+            throws IOException {
+        FakeServer pod =
                 new FakeServer(
                         (in, out) -> {
                             in.skipBytes(in.readInt() - 4);
-                            Thread.sleep(ms);
+                            Thread.sleep(handshakeDelayMs);
                             out.write(
                                     new byte[] {'R', 0, 0, 0, 8, 0, 0, 0, 0, 'Z', 0, 0, 0, 5, 'I'});
                             while (in.read() == 'Q') {
                                 byte[] text = in.readNBytes(in.readInt() - 4);
-                                if (!answers.respond(new String(text, 0, text.length - 1), out)) {
+                                if (!behavior.respond(new String(text, 0, text.length - 1), out)) {
                                     return;
                                 }
                             }
                         });
-        pods.add(server);
-        return server;
+        pods.add(pod);
+        return pod;
     }
 
     // A repeat that waited for its connection was written after the servers may have forgotten the
     // first attempt.
     @Test
     void retryIsSentWithinIdempotencyWindowOrNotAtAll() throws Exception {
-        Map<String, Long> firstMs = new ConcurrentHashMap<>();
-        List<Long> gaps = new ArrayList<>();
-        PodBehavior failsLate =
+        Map<String, Long> firstWriteMsByReqId = new ConcurrentHashMap<>();
+        List<Long> writeDelaysMs = new ArrayList<>();
+        PodBehavior failsAfterDelay =
                 (q, out) -> {
-                    firstMs.putIfAbsent(id(q), System.nanoTime() / 1_000_000);
+                    firstWriteMsByReqId.putIfAbsent(reqId(q), System.nanoTime() / 1_000_000);
                     Thread.sleep(290);
                     return sendError(out, "XX000");
                 };
-        startPod(failsLate);
+        startPod(failsAfterDelay);
         startPod((q, out) -> sendRow(out, "v"));
         // Idle connections are closed after a second: each repeat opens one of its own.
-        slowToLetIn(
+        startSlowHandshakePod(
                 200,
                 (q, out) -> {
-                    Long first = firstMs.get(id(q));
-                    if (first != null) {
-                        synchronized (gaps) {
-                            gaps.add(System.nanoTime() / 1_000_000 - first);
+                    Long firstWriteMs = firstWriteMsByReqId.get(reqId(q));
+                    if (firstWriteMs != null) {
+                        synchronized (writeDelaysMs) {
+                            writeDelaysMs.add(System.nanoTime() / 1_000_000 - firstWriteMs);
                         }
                     }
                     sendRow(out, "v");
@@ -95,9 +96,12 @@
                 client.execute(insertSql("9f", 1400));
             }
         }
-        assertFalse(firstMs.isEmpty());
-        gaps.forEach(
-                ms -> assertTrue(ms <= WINDOW_MS, "written " + ms + " ms after the first attempt"));
+        assertFalse(firstWriteMsByReqId.isEmpty());
+        writeDelaysMs.forEach(
+                ms ->
+                        assertTrue(
+                                ms <= DEDUP_WINDOW_MS,
+                                "written " + ms + " ms after the first attempt"));
     }
 
     // Held up for 0.15 s again and again: what is due meanwhile is answered within half a second of
@@ -110,10 +114,10 @@
                     return false;
                 });
         startSidecar();
-        AtomicBoolean over = new AtomicBoolean();
+        AtomicBoolean finished = new AtomicBoolean();
         startDaemonThread(
                 () -> {
-                    while (!over.get()) {
+                    while (!finished.get()) {
                         signal("STOP");
                         Thread.sleep(150);
                         signal("CONT");
@@ -122,13 +126,13 @@
                 });
         try (Client client = new Client()) {
             for (int i = 0; i < 12; i++) {
-                long fromNs = System.nanoTime();
+                long startNs = System.nanoTime();
                 client.execute(selectSql("1", 600 + 10 * i));
-                long lateMs = (System.nanoTime() - fromNs) / 1_000_000 - 600 - 10 * i;
+                long lateMs = (System.nanoTime() - startNs) / 1_000_000 - 600 - 10 * i;
                 assertTrue(lateMs < 500, "answered " + lateMs + " ms after its time");
             }
         } finally {
-            over.set(true);
+            finished.set(true);
             Thread.sleep(400);
             signal("CONT");
         }
--- a/sidecar/src/test/java/mulleinlever/sidecar/SidecarTestBase.java
+++ b/sidecar/src/test/java/mulleinlever/sidecar/SidecarTestBase.java
@@ -40,32 +40,32 @@
     final class FakeServer implements Closeable {
         volatile ServerSocket serverSocket =
                 new ServerSocket(0, 100, InetAddress.getLoopbackAddress());
-        private final ConnectionHandler serving;
+        private final ConnectionHandler handler;
         final List<String> received = new CopyOnWriteArrayList<>();
         final List<Socket> openSockets = new CopyOnWriteArrayList<>();
         volatile int closedCount;
 
-        FakeServer(ConnectionHandler serving) throws IOException {
-            this.serving = serving;
+        FakeServer(ConnectionHandler handler) throws IOException {
+            this.handler = handler;
             accept(serverSocket);
             closeables.add(this);
         }
 
-        private void accept(ServerSocket from) {
+        private void accept(ServerSocket listener) {
             startDaemonThread(
                     () -> {
                         while (true) {
-                            Socket s = from.accept();
-                            s.setTcpNoDelay(true);
-                            openSockets.add(s);
+                            Socket socket = listener.accept();
+                            socket.setTcpNoDelay(true);
+                            openSockets.add(socket);
                             startDaemonThread(
                                     () -> {
-                                        try (s) {
-                                            serving.handle(
-                                                    new DataInputStream(s.getInputStream()),
-                                                    new DataOutputStream(s.getOutputStream()));
+                                        try (socket) {
+                                            handler.handle(
+                                                    new DataInputStream(socket.getInputStream()),
+                                                    new DataOutputStream(socket.getOutputStream()));
                                         } finally {
-                                            openSockets.remove(s);
+                                            openSockets.remove(socket);
                                             closedCount++;
                                         }
                                     });
@@ -75,11 +75,11 @@
 
         /** Listens again where it did before it was closed, as a process that starts anew. */
         void listenAgain() throws IOException {
-            var again = new ServerSocket();
-            again.setReuseAddress(true);
-            again.bind(serverSocket.getLocalSocketAddress());
-            serverSocket = again;
-            accept(again);
+            var listener = new ServerSocket();
+            listener.setReuseAddress(true);
+            listener.bind(serverSocket.getLocalSocketAddress());
+            serverSocket = listener;
+            accept(listener);
         }
 
         /** Where it listens, or did before it was closed. */
@@ -94,8 +94,8 @@
         @Override
         public void close() throws IOException {
             serverSocket.close();
-            for (Socket s : openSockets) {
-                s.close();
+            for (Socket socket : openSockets) {
+                socket.close();
             }
         }
     }
@@ -105,7 +105,7 @@
     }
 
     static void startDaemonThread(ThrowingRunnable work) {
-        Thread t =
+        Thread thread =
                 new Thread(
                         () -> {
                             try {
@@ -114,8 +114,8 @@
                                 // The other side has gone: so does this one.
                             }
                         });
-        t.setDaemon(true);
-        t.start();
+        thread.setDaemon(true);
+        thread.start();
     }
 
     /** How a pod answers a query; false ends the connection. */
@@ -164,7 +164,7 @@
         }
     }
 
-    FakeServer startPod(PodBehavior answers) throws IOException {
+    FakeServer startPod(PodBehavior behavior) throws IOException {
         FakeServer[] self = new FakeServer[1];
         self[0] =
                 new FakeServer(
@@ -181,7 +181,7 @@
                                         new String(
                                                 text, 0, text.length - 1, StandardCharsets.UTF_8);
                                 self[0].received.add(query);
-                                if (!answers.respond(query, out)) {
+                                if (!behavior.respond(query, out)) {
                                     return;
                                 }
                             }
@@ -192,8 +192,8 @@
 
     static byte[] encodeMessage(char type, byte[]... parts) throws IOException {
         var body = new ByteArrayOutputStream();
-        for (byte[] p : parts) {
-            body.write(p);
+        for (byte[] part : parts) {
+            body.write(part);
         }
         var out = new ByteArrayOutputStream();
         var data = new DataOutputStream(out);
@@ -209,12 +209,12 @@
 
     /** Row, CommandComplete, ReadyForQuery. */
     static byte[] rowResponse(byte[] value) throws IOException {
-        byte[] head = {
+        byte[] header = {
             0, 1, 0, (byte) (value.length >> 16), (byte) (value.length >> 8), (byte) value.length
         };
         var out = new ByteArrayOutputStream();
         out.write(encodeMessage('T', ROW_DESCRIPTION_BODY));
-        out.write(encodeMessage('D', head, value));
+        out.write(encodeMessage('D', header, value));
         out.write(encodeMessage('C', "SELECT 1\0".getBytes(StandardCharsets.US_ASCII)));
         out.write(encodeMessage('Z', new byte[] {'I'}));
         return out.toByteArray();
@@ -238,9 +238,12 @@
         discovery.received.add(readLine(in));
         while (!readLine(in).isEmpty()) {}
         out.writeBytes("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-        int said = 0;
+        int sentLineCount = 0;
         while (!watchesSilent) {
-            String text = said < discoveryLines.size() ? discoveryLines.get(said++) + "\n" : "\n";
+            String text =
+                    sentLineCount < discoveryLines.size()
+                            ? discoveryLines.get(sentLineCount++) + "\n"
+                            : "\n";
             // In two chunks: a line may be split anywhere.
             int half = text.length() / 2;
             for (String part : List.of(text.substring(0, half), text.substring(half))) {
@@ -255,10 +258,11 @@
     }
 
     void servePlatform(DataInputStream in, DataOutputStream out) throws Exception {
-        String says = readLine(in);
-        platform.received.add(says);
-        out.writeBytes((says.equals("NOTIFY") ? "OK\r\n" + progressLine : ballotResponse) + "\r\n");
-        while (says.equals("NOTIFY")) {
+        String request = readLine(in);
+        platform.received.add(request);
+        out.writeBytes(
+                (request.equals("NOTIFY") ? "OK\r\n" + progressLine : ballotResponse) + "\r\n");
+        while (request.equals("NOTIFY")) {
             Thread.sleep(100);
             out.writeBytes(watchesSilent ? "" : "*\r\n");
         }
@@ -275,45 +279,53 @@
         return text.toString().trim();
     }
 
-    String podJson(int i, int build, String state) {
+    String podJson(int podIndex, int build, String lifecycle) {
         return String.format(
                 "{\"instanceId\":\"p%d\",\"hostPort\":\"%s\",\"zone\":\"%s\",\"machineType\":\"m\","
                         + "\"cell\":0,\"lifecycle\":\"%s\",\"weight\":1.0,\"startedAtMs\":0,\"build\":%d}",
-                i, pods.get(i).hostPort(), i % 2 == 0 ? "a" : "b", state, build);
+                podIndex,
+                pods.get(podIndex).hostPort(),
+                podIndex % 2 == 0 ? "a" : "b",
+                lifecycle,
+                build);
     }
 
-    String podListJson(long version, boolean whole, String... entries) {
+    String podListJson(long generation, boolean reset, String... entries) {
         return "{\"generation\":"
-                + version
+                + generation
                 + ",\"reset\":"
-                + whole
+                + reset
                 + ",\"instances\":["
                 + String.join(",", entries)
                 + "]}";
     }
 
-    static String routeJson(String name, String repeat) {
+    static String routeJson(String name, String retrySafety) {
         return "{\"name\":\""
                 + name
                 + "\",\"aimNs\":500000000,\"deadlineNs\":1500000000,\"worth\":1.0,\"repeat\":\""
-                + repeat
+                + retrySafety
                 + "\",\"keyScope\":\"zone\",\"windowNs\":400000000,\"lateWorth\":0.2}";
     }
 
     static String configJson(
-            String listen, String discovery, String platform, String known, int sockets) {
+            String listenAddress,
+            String discoveryAddress,
+            String platformAddress,
+            String knownListJson,
+            int maxSockets) {
         return "{\"name\":\"n0\",\"listen\":\""
-                + listen
+                + listenAddress
                 + "\",\"discovery\":\""
-                + discovery
+                + discoveryAddress
                 + "\",\"seed\":\"8c1f30d27a5be964\",\"limits\":{\"sockets\":"
-                + sockets
+                + maxSockets
                 + "},"
                 + "\"release_api\":{\"address\":\""
-                + platform
+                + platformAddress
                 + "\",\"news\":{\"build\":1,\"stage\":2,"
                 + "\"phase\":\"live\",\"cap\":1.0,\"age_ms\":9000}},\"known\":"
-                + known
+                + knownListJson
                 + ",\"settings\":{"
                 + "\"rank\":0,\"balancers\":1,\"zone\":\"a\",\"zones\":[\"a\",\"b\"],\"discovery\":\"subscribe\","
                 + "\"stepNs\":5000000,\"grades\":["
@@ -335,7 +347,7 @@
         startSidecar(256);
     }
 
-    Path writeConfig(int sockets) throws IOException {
+    Path writeConfig(int maxSockets) throws IOException {
         String[] entries = new String[pods.size()];
         Arrays.setAll(entries, i -> podJson(i, 1, "ready"));
         return Files.writeString(
@@ -345,7 +357,7 @@
                                 discovery.hostPort(),
                                 platform.hostPort(),
                                 podListJson(7, true, entries),
-                                sockets)
+                                maxSockets)
                         .replace(
                                 "\"discovery\":\"subscribe\"",
                                 "\"discovery\":\"" + discoveryMode + "\""));
@@ -364,11 +376,12 @@
                 0, new ProcessBuilder("sh", "-c", "kill -HUP " + process.pid()).start().waitFor());
     }
 
-    void startSidecar(int sockets) throws Exception {
-        try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            port = free.getLocalPort();
+    void startSidecar(int maxSockets) throws Exception {
+        try (ServerSocket portReservation =
+                new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+            port = portReservation.getLocalPort();
         }
-        Path file = writeConfig(sockets);
+        Path file = writeConfig(maxSockets);
         // From another class path and with other flags, where these properties are set.
         List<String> command =
                 new ArrayList<>(
@@ -378,7 +391,7 @@
                                 System.getProperty(
                                         "sidecar.classpath",
                                         extraArguments.isEmpty()
-                                                ? lean()
+                                                ? minimalClassPath()
                                                 : System.getProperty("java.class.path"))));
         String flags = System.getProperty("sidecar.flags", "-Xmx40m -XX:MaxDirectMemorySize=40m");
         command.addAll(List.of(flags.split(" ")));
@@ -390,10 +403,12 @@
                     0,
                     List.of("sh", "-c", "ulimit -n " + descriptorLimit + " && exec \"$@\"", "sh"));
         }
-        var b = new ProcessBuilder(command);
-        b.environment().put("LB_CONFIG", file.toString());
+        var builder = new ProcessBuilder(command);
+        builder.environment().put("LB_CONFIG", file.toString());
         process =
-                b.redirectErrorStream(true).redirectOutput(folder.resolve("log").toFile()).start();
+                builder.redirectErrorStream(true)
+                        .redirectOutput(folder.resolve("log").toFile())
+                        .start();
         Process started = process;
         Runtime.getRuntime().addShutdownHook(new Thread(started::destroyForcibly));
         awaitTrue(
@@ -411,7 +426,7 @@
      * The class path without what is loaded only where switched on: each jar on it would take a
      * descriptor.
      */
-    private static String lean() {
+    private static String minimalClassPath() {
         return Arrays.stream(System.getProperty("java.class.path").split(File.pathSeparator))
                 .filter(
                         e ->
@@ -420,10 +435,10 @@
                 .collect(Collectors.joining(File.pathSeparator));
     }
 
-    static void awaitTrue(BooleanSupplier holds) throws InterruptedException {
-        long end = System.nanoTime() + 20_000_000_000L;
-        while (!holds.getAsBoolean()) {
-            assertTrue(System.nanoTime() < end, "waited in vain");
+    static void awaitTrue(BooleanSupplier condition) throws InterruptedException {
+        long deadlineNs = System.nanoTime() + 20_000_000_000L;
+        while (!condition.getAsBoolean()) {
+            assertTrue(System.nanoTime() < deadlineNs, "waited in vain");
             Thread.sleep(10);
         }
     }
@@ -441,8 +456,8 @@
     }
 
     /** Ends all open connections of a stand-in. */
-    static void closeConnections(FakeServer listener) throws IOException {
-        for (Socket s : listener.openSockets) {
+    static void closeConnections(FakeServer server) throws IOException {
+        for (Socket s : server.openSockets) {
             s.close();
         }
     }
@@ -459,10 +474,10 @@
             this(true);
         }
 
-        Client(boolean greets) throws IOException {
+        Client(boolean sendsStartup) throws IOException {
             socket.setTcpNoDelay(true);
             socket.setSoTimeout(10_000);
-            if (greets) {
+            if (sendsStartup) {
                 socket.getOutputStream().write(startupMessage());
                 while (!readMessage().equals("Z")) {}
             }
@@ -488,11 +503,11 @@
 
         /** The whole answer to one command. */
         String readResponse() throws IOException {
-            var s = new StringBuilder();
-            for (String m = readMessage(); !m.equals("Z"); m = readMessage()) {
-                s.append(m);
+            var messages = new StringBuilder();
+            for (String message = readMessage(); !message.equals("Z"); message = readMessage()) {
+                messages.append(message);
             }
-            return s.toString();
+            return messages.toString();
         }
 
         String execute(String text) throws IOException {
@@ -515,11 +530,11 @@
     }
 
     static byte[] startupMessage() throws IOException {
-        byte[] words =
+        byte[] parameters =
                 "\0\3\0\0user\0web\0database\0orders\0\0".getBytes(StandardCharsets.US_ASCII);
         var out = new ByteArrayOutputStream();
-        new DataOutputStream(out).writeInt(4 + words.length);
-        out.write(words);
+        new DataOutputStream(out).writeInt(4 + parameters.length);
+        out.write(parameters);
         return out.toByteArray();
     }
 
@@ -529,16 +544,16 @@
 
     int lastReqId;
 
-    String selectSql(String ref, int waitsMs) {
+    String selectSql(String ref, int timeoutMs) {
         return String.format(
                 "SELECT payload FROM entries WHERE ref = '%s' /* id=%016x,c=get,t=acme,d=%d */",
-                ref, ++lastReqId, waitsMs);
+                ref, ++lastReqId, timeoutMs);
     }
 
-    String insertSql(String value, int waitsMs) {
+    String insertSql(String value, int timeoutMs) {
         return String.format(
                 "INSERT INTO entries (ref, payload) VALUES ('7f', '%s') RETURNING payload"
                         + " /* id=%016x,c=put,t=acme,d=%d,k=5c0f */",
-                value, ++lastReqId, waitsMs);
+                value, ++lastReqId, timeoutMs);
     }
 }
