--- a/sidecar/src/main/java/mulleinlever/sidecar/AcceptFailureHandler.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/AcceptFailureHandler.java
@@ -6,14 +6,14 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Keeps a listener accepting after a failed accept. It pauses for a moment, since the loop would
- * spin while descriptors are short and clients wait in the machine's queue; Netty alone would pause
- * for a second.
+ * Keeps a listening channel accepting connections after a failed accept. While the process is out
+ * of file descriptors and clients wait in the listen backlog, the event loop would spin on failing
+ * accepts, so accepting pauses for a moment. Netty by itself would pause for a second.
  */
 final class AcceptFailureHandler extends ChannelInboundHandlerAdapter {
     private static final long ACCEPT_PAUSE_MS = 20;
 
-    /** From one line of the log to the next. */
+    /** The minimum time between two log lines. */
     private static final long LOG_INTERVAL_NS = 1_000_000_000L;
 
     private final RateLimitedLog log;
--- a/sidecar/src/main/java/mulleinlever/sidecar/InProcessTransport.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/InProcessTransport.java
@@ -14,8 +14,8 @@
 import java.util.function.Supplier;
 
 /**
- * A loop of its own whose connections stay within the process: no socket is opened, whatever the
- * address.
+ * An event loop of its own whose connections stay within the process: no socket is opened, whatever
+ * the address.
  */
 final class InProcessTransport extends NettyTransport {
     private final Map<InetSocketAddress, LocalAddress> localAddresses = new HashMap<>();
@@ -25,8 +25,8 @@
     }
 
     /**
-     * Another one than any other loop's for the same address: the process keeps one register of
-     * them all.
+     * Returns the in-process address that stands for a socket address. It is unique to this
+     * transport, since the process has a single registry of in-process addresses.
      */
     private LocalAddress localAddress(InetSocketAddress address) {
         return localAddresses.computeIfAbsent(
--- a/sidecar/src/main/java/mulleinlever/sidecar/NettyLogHandler.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/NettyLogHandler.java
@@ -6,12 +6,12 @@
 import java.util.logging.Logger;
 
 /**
- * Passes what Netty warns of to our log. The JDK's own handlers open files for their first line,
- * and their failure, when there are no descriptors left, ends the event loop that had only meant to
- * warn of a failed accept.
+ * Passes Netty's warnings to the sidecar's log. The JDK's own handlers open files when they log for
+ * the first time; when no file descriptors are left, that fails and ends the event loop, which only
+ * meant to warn of a failed accept.
  */
 final class NettyLogHandler extends Handler {
-    /** Held here, since the JDK itself holds loggers weakly. */
+    /** A strong reference, since the JDK holds loggers weakly. */
     private static final Logger NETTY_LOGGER = Logger.getLogger("io.netty");
 
     private final RateLimitedLog log;
@@ -21,7 +21,7 @@
         setLevel(Level.WARNING);
     }
 
-    /** From now on, instead of the handlers that the process started with. */
+    /** Installs this handler for Netty's loggers in place of all others. */
     static void install(RateLimitedLog log) {
         NETTY_LOGGER.setUseParentHandlers(false);
         for (Handler handler : NETTY_LOGGER.getHandlers()) {
--- a/sidecar/src/main/java/mulleinlever/sidecar/NettyTransport.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/NettyTransport.java
@@ -23,12 +23,18 @@
 import java.util.function.Consumer;
 import java.util.function.Supplier;
 
-/** The one event loop, on which everything happens, and how connections are made on it. */
+/**
+ * The event loop, on which all work on reqs and connections is done, and the connections and
+ * listeners that run on it.
+ */
 class NettyTransport {
     private static final int ACCEPT_BACKLOG = 1024;
     private static final int PAGE_SIZE_BYTES = 8192;
 
-    /** Chunks of 256 KiB: a process this small would waste most of the usual 4 MiB. */
+    /**
+     * Chunks of 256 KiB (the page size shifted by this): in a process this small the usual 4 MiB
+     * would mostly be wasted.
+     */
     private static final int CHUNK_ORDER = 5;
 
     private final ByteBufAllocator allocator =
@@ -55,22 +61,30 @@
         this.eventLoop = group.next();
     }
 
-    /** Not within the call that asks for it: the module is not to be called while it decides. */
+    /**
+     * Runs a task on the event loop, but never within this call: the policy must not be called back
+     * while it decides.
+     */
     void execute(Runnable task) {
         eventLoop.execute(loggingExceptions(task));
     }
 
+    /** Runs a task on the event loop after a delay; a negative one counts as 0. */
     Future<?> schedule(long delayNs, Runnable task) {
         return eventLoop.schedule(
                 loggingExceptions(task), Math.max(0, delayNs), TimeUnit.NANOSECONDS);
     }
 
+    /** Runs a task on the event loop repeatedly, for the first time after one period. */
     void scheduleAtFixedRate(long periodNs, Runnable task) {
         eventLoop.scheduleAtFixedRate(
                 loggingExceptions(task), periodNs, periodNs, TimeUnit.NANOSECONDS);
     }
 
-    /** A fault in one task must neither pass unseen nor end those that repeat. */
+    /**
+     * Wraps a task so that an exception is logged, and does not end the repetition of a repeated
+     * task.
+     */
     private Runnable loggingExceptions(Runnable task) {
         return () -> {
             try {
@@ -84,8 +98,10 @@
     /**
      * Opens a connection.
      *
-     * @param onFailure told on the loop, and never within this call, where it does not come up
-     * @return its channel, or null where not even a socket could be had
+     * @param handler handles the events of the new channel
+     * @param onFailure called on the event loop, and never within this call, if the connection
+     *     fails to open
+     * @return the channel, or null if not even a socket could be created
      */
     final Channel connect(
             InetSocketAddress address,
@@ -93,8 +109,8 @@
             ChannelHandler handler,
             Consumer<Throwable> onFailure) {
         ChannelFuture connectFuture = startConnect(address, timeoutNs, handler);
-        // Without a socket Netty tells of it on a thread of its own, and closing that channel
-        // throws.
+        // If no socket could be created, Netty notifies listeners on a thread other than the event
+        // loop, and closing the channel throws.
         if (connectFuture.isDone()
                 && !connectFuture.isSuccess()
                 && !connectFuture.channel().isRegistered()) {
@@ -110,7 +126,7 @@
         return connectFuture.channel();
     }
 
-    /** Begins to connect. */
+    /** Begins to open a connection; the future is done once it has opened or failed. */
     ChannelFuture startConnect(InetSocketAddress address, long timeoutNs, ChannelHandler handler) {
         return new Bootstrap()
                 .group(eventLoop)
@@ -125,6 +141,11 @@
                 .connect(address);
     }
 
+    /**
+     * Listens at an address.
+     *
+     * @param handlerSupplier supplies the handler of each accepted connection
+     */
     ChannelFuture bind(InetSocketAddress address, Supplier<ChannelHandler> handlerSupplier) {
         return new ServerBootstrap()
                 .group(eventLoop, eventLoop)
@@ -139,6 +160,7 @@
                 .bind(address);
     }
 
+    /** Returns a handler that adds a supplied one to each new channel. */
     static ChannelHandler channelInitializer(Supplier<ChannelHandler> handlerSupplier) {
         return new ChannelInitializer<Channel>() {
             @Override
@@ -152,6 +174,7 @@
         return new AdaptiveRecvByteBufAllocator(512, 1024, 32_768);
     }
 
+    /** Closes all channels and ends the event loop, without waiting for that. */
     void close() {
         group.shutdownGracefully(0, 200, TimeUnit.MILLISECONDS);
     }
--- a/sidecar/src/main/java/mulleinlever/sidecar/PodConnection.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/PodConnection.java
@@ -11,18 +11,23 @@
 import mulleinlever.TryOutcome;
 import mulleinlever.settings.InvalidInputException;
 
-/** One connection to a pod: opening, then idle, resting or carrying one try. */
+/**
+ * One connection to a pod. It opens and completes the PostgreSQL handshake, then carries one try at
+ * a time and is idle in between, where each response is followed by a cooldown. Called on the event
+ * loop only.
+ */
 final class PodConnection extends ChannelInboundHandlerAdapter {
     /**
-     * A pod in trouble sends an answer twice, the copy up to a millisecond behind: read after the
-     * next req was written, it would be taken for that one's answer.
+     * The time after a response during which no req is written. A failing pod may send a response
+     * twice, the copy up to 1 ms after the first: read after the next req was written, the copy
+     * would be taken for the response to that req.
      */
     private static final long REUSE_COOLDOWN_NS = 3_000_000L;
 
     final String podId;
     final InetSocketAddress address;
 
-    /** When it began to open. */
+    /** The time at which the connection began to open. */
     final long connectStartNs;
 
     private final PodConnectionPool connectionPool;
@@ -32,19 +37,28 @@
     private final RateLimitedLog log;
     private Channel channel;
     private PostgresMessageDecoder decoder;
+
+    /** The task that ends an attempt to connect; null until {@link #setConnecting}. */
     private Future<?> connectTimeoutTask;
 
-    /** The try that waits for this connection to open or to have rested, or is carried by it. */
+    /**
+     * The try that this connection carries, or that waits for it to open or for the end of its
+     * cooldown; null without one.
+     */
     private UpstreamTry currentTry;
 
     private boolean handshakeComplete;
+
+    /** Whether the req of the current try is being or was written. */
     private boolean tryActive;
 
-    /** Whether the pod has said so since the last try. */
+    /** Whether the pod has sent ReadyForQuery since the last req was written. */
     private boolean podReady;
 
     private boolean closed;
     final PodResponseHandler.PartialResponse response = new PodResponseHandler.PartialResponse();
+
+    /** The time at which the connection last became idle; the cooldown counts from here. */
     long idleSinceNs;
 
     PodConnection(
@@ -65,14 +79,17 @@
         this.connectStartNs = clock.nowNs();
     }
 
+    /** Returns the channel; null if no socket could be created. */
     Channel channel() {
         return channel;
     }
 
+    /** Sets the try that waits for this connection to become usable. */
     void setWaitingTry(UpstreamTry upstreamTry) {
         currentTry = upstreamTry;
     }
 
+    /** Sets the try whose req is about to be written. */
     void setActiveTry(UpstreamTry upstreamTry) {
         currentTry = upstreamTry;
         tryActive = true;
@@ -80,12 +97,18 @@
         response.clear();
     }
 
-    /** How long it is not to be written to yet. */
+    /**
+     * Returns the time until a req may be written again, in nanoseconds; 0 or less if it may be
+     * written now.
+     */
     long remainingCooldownNs(long nowNs) {
         return idleSinceNs + REUSE_COOLDOWN_NS - nowNs;
     }
 
-    /** After its rest the try is written, unless the connection is given up before. */
+    /**
+     * Writes the try that waited for the end of the cooldown, unless the connection was closed or
+     * the try ended before.
+     */
     void cooldownEnded(UpstreamTry upstreamTry) {
         if (currentTry == upstreamTry && !tryActive && !closed) {
             connectionPool.removePending(this);
@@ -93,12 +116,16 @@
         }
     }
 
-    /** Null where no socket could be had, of which {@link #connectFailed} tells. */
+    /**
+     * Sets the channel and the task that ends the attempt to connect. The channel is null if no
+     * socket could be created; {@link #connectFailed} is called in that case.
+     */
     void setConnecting(Channel connectingChannel, Future<?> timeoutTask) {
         channel = connectingChannel;
         connectTimeoutTask = timeoutTask;
     }
 
+    /** Ends a connection that the network could not establish. */
     void connectFailed(Throwable cause) {
         if (cause instanceof ConnectTimeoutException) {
             connectTimedOut();
@@ -108,7 +135,7 @@
         }
     }
 
-    /** It had its time. */
+    /** Ends a connection that was not ready within its timeout. */
     void connectTimedOut() {
         if (!handshakeComplete && !closed) {
             connectionPool.recordConnectTimeout();
@@ -116,30 +143,39 @@
         closeUnlessCarrying();
     }
 
-    /** Its pod is not to be sent to any more: a try that waits here goes elsewhere. */
+    /**
+     * Closes the connection unless it carries a try. A try that waits for it fails to connect, and
+     * the policy may send another elsewhere. Called when the connection takes too long to open and
+     * when the pod must not receive new reqs.
+     */
     void closeUnlessCarrying() {
         if (!tryActive) {
             closeAndResetTry();
         }
     }
 
-    /** What it was for is not sent: it waits for another. */
+    /** Returns the connection to the pool without having written the req that it was taken for. */
     void releaseUnused() {
         currentTry = null;
         idleSinceNs = clock.nowNs();
         connectionPool.release(this);
     }
 
+    /** Returns whether the connection is idle and open. */
     boolean isReusable() {
         return podReady && !closed && channel.isActive() && currentTry == null;
     }
 
-    /** Its try is no longer waited for: the connection must not carry another behind it. */
+    /**
+     * Closes the connection because its try is no longer waited for: the response may still come
+     * and would be taken for that of a later try.
+     */
     void abandonTry() {
         currentTry = null;
         close();
     }
 
+    /** Closes the connection, without ending its try. */
     void close() {
         if (!closed) {
             closed = true;
@@ -154,7 +190,10 @@
         }
     }
 
-    /** It broke, ended, or never came up. */
+    /**
+     * Closes the connection after a failure; its try ends as {@link TryOutcome#RESET}, or as {@link
+     * TryOutcome#CONNECT_FAILED} if the req was not written completely.
+     */
     private void closeAndResetTry() {
         UpstreamTry upstreamTry = currentTry;
         currentTry = null;
@@ -166,7 +205,8 @@
     }
 
     /**
-     * Something came that nobody asked for: a try that waits for the rest to end goes over another.
+     * Closes an idle connection that failed or received unexpected data. A try that waits for the
+     * end of its cooldown moves to a new connection.
      */
     private void closeAndMoveTry() {
         UpstreamTry upstreamTry = currentTry;
@@ -201,8 +241,8 @@
                 } else if (tryActive) {
                     responseHandler.handleMessage(this, currentTry, decoder);
                 } else if (decoder.messageType != 'S' && decoder.messageType != 'N') {
-                    // Nothing was asked: a copy, noise, or the pod says that it is about to end the
-                    // connection.
+                    // No response is due: this is a duplicate, invalid data, or an announcement
+                    // by the pod that it is about to close the connection.
                     closeAndMoveTry();
                 }
             }
@@ -218,7 +258,10 @@
         }
     }
 
-    /** A pod that turns the connection away never saw the req. */
+    /**
+     * Handles a message of the handshake. A pod that refuses the connection has not received the
+     * req.
+     */
     private void handleStartupMessage() {
         if (decoder.messageType == 'E') {
             connectionPool.recordRefused();
@@ -234,16 +277,24 @@
         }
     }
 
-    /** The try's end was told; until the pod is ready nothing else may go over this connection. */
+    /**
+     * Detaches the current try, whose outcome is about to be reported. Until the pod sends
+     * ReadyForQuery the connection is not used for another.
+     */
     void detachTry() {
         currentTry.connection = null;
         currentTry = null;
         tryActive = false;
     }
 
+    /**
+     * Returns the connection to the pool.
+     *
+     * @throws InvalidInputException if the response to the current try is not complete
+     */
     private void handleReadyForQuery() {
         if (tryActive) {
-            throw new InvalidInputException("ready without an answer");
+            throw new InvalidInputException("ReadyForQuery before the end of the response");
         }
         podReady = true;
         idleSinceNs = clock.nowNs();
--- a/sidecar/src/main/java/mulleinlever/sidecar/PodConnectionPool.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/PodConnectionPool.java
@@ -12,18 +12,31 @@
 import mulleinlever.PodEntry;
 import mulleinlever.Settings;
 
-/** Where the pods listen, and the connections to them that wait for work. */
+/**
+ * Keeps the pods' addresses, opens connections to them and holds the idle ones for reuse. Called on
+ * the event loop only.
+ */
 final class PodConnectionPool {
     /**
-     * Idle connections go before the pods' own limit: a req written to a closed one would be lost.
+     * The fraction of the pods' idle timeout after which idle connections are closed: a req written
+     * to a connection that the pod has closed meanwhile would be lost.
      */
     private static final double IDLE_TIMEOUT_FRACTION = 0.85;
 
+    /** One pod's address and the connections to it. */
     private static final class PodEndpoint {
+        /** Null while the pod list has given no valid address. */
         InetSocketAddress address;
+
+        /** Ordered by the time of last use, the most recent last. */
         final ArrayDeque<PodConnection> idleConnections = new ArrayDeque<>();
+
+        /** Connections that open or wait for the end of their cooldown, each with a try. */
         final Set<PodConnection> pendingConnections = new LinkedHashSet<>();
+
         int connectionCount;
+
+        /** Whether the pod has left the list; removed once its last connection is closed. */
         boolean gone;
     }
 
@@ -61,7 +74,10 @@
                         : Long.MAX_VALUE;
     }
 
-    /** Before the module hears of the list, so that it can use all that stands on it. */
+    /**
+     * Takes over the addresses of a pod list. Called before the policy receives the list, so that
+     * the policy can use every pod on it.
+     */
     void updateAddresses(PodList list) {
         for (PodEntry entry : list.entries()) {
             PodEndpoint endpoint =
@@ -77,9 +93,10 @@
     }
 
     /**
-     * After the module has heard: what waits for a connection to a pod that leaves would be sent
-     * there late, past the time in which that is allowed, so it has failed to connect and the
-     * module decides anew.
+     * Closes the idle and the pending connections to pods that are no longer ready. Called after
+     * the policy has received the list. A try that waits for a connection to such a pod could be
+     * written after the time within which sending to it must stop; it fails to connect instead, and
+     * the policy decides anew.
      */
     void closeToLeavingPods(PodList list) {
         Set<String> leavingPodIds =
@@ -107,7 +124,7 @@
         endpoint.idleConnections.clear();
     }
 
-    /** Where a pod listens, as address and port; null where that is not known. */
+    /** Returns a pod's address and port as text, or null if they are unknown. */
     String podAddress(String podId) {
         PodEndpoint endpoint = endpointsByPodId.get(podId);
         return endpoint == null || endpoint.address == null
@@ -116,8 +133,10 @@
     }
 
     /**
-     * The one used last of those that have rested: those not needed grow old and are closed. Where
-     * none has rested, the one that will have first, since to open another costs the pod more.
+     * Removes an idle connection to a pod from the pool and returns it, or null if there is none.
+     * Of those past their cooldown it is the most recently used, so that surplus connections reach
+     * the idle timeout. If all are in their cooldown, it is the one whose cooldown ends first,
+     * since opening another costs the pod more.
      */
     PodConnection acquireIdle(String podId) {
         PodEndpoint endpoint = endpointsByPodId.get(podId);
@@ -142,7 +161,10 @@
         return candidate;
     }
 
-    /** Lets a try wait until the connection has rested; it is given up like one that opens. */
+    /**
+     * Lets a try wait for the end of a connection's cooldown. Like a connection that is opening, it
+     * is closed if the pod leaves.
+     */
     void awaitCooldown(UpstreamTry upstreamTry, PodConnection connection, long delayNs) {
         metrics.increment(SidecarMetrics.Event.RESTED);
         upstreamTry.connection = connection;
@@ -151,6 +173,9 @@
         transport.schedule(delayNs, () -> connection.cooldownEnded(upstreamTry));
     }
 
+    /**
+     * Puts a connection back among the idle ones, or closes it if the pod's address has changed.
+     */
     void release(PodConnection connection) {
         PodEndpoint endpoint = endpointsByPodId.get(connection.podId);
         if (connection.address.equals(endpoint.address)) {
@@ -160,6 +185,7 @@
         }
     }
 
+    /** Forgets a closed connection. Called once for each connection, by the connection itself. */
     void connectionClosed(PodConnection connection) {
         connectionCount--;
         endpointsByPodId.get(connection.podId).connectionCount--;
@@ -167,30 +193,37 @@
         endpointsByPodId.get(connection.podId).pendingConnections.remove(connection);
     }
 
+    /** Counts a connection that was refused, by the network or by the pod. */
     void recordRefused() {
         metrics.increment(SidecarMetrics.Event.REFUSED);
     }
 
+    /** Returns the number of connections to all pods, including those that are opening. */
     int connectionCount() {
         return connectionCount;
     }
 
+    /** Notes that a connection no longer opens or waits for the end of its cooldown. */
     void removePending(PodConnection connection) {
         endpointsByPodId.get(connection.podId).pendingConnections.remove(connection);
     }
 
-    /** It is ready for its first try. */
+    /** Notes that a connection has completed its handshake and is ready for its first try. */
     void connectionReady(PodConnection connection) {
         connectTimeout.recordSuccess(clock.nowNs(), clock.nowNs() - connection.connectStartNs);
         removePending(connection);
     }
 
+    /** Counts a connection that was not ready within its timeout. */
     void recordConnectTimeout() {
         metrics.increment(SidecarMetrics.Event.TOO_LATE);
         connectTimeout.recordTimeout(clock.nowNs());
     }
 
-    /** Opens a connection for a try; false where none may be. */
+    /**
+     * Opens a connection for a try. Returns false if the pod's address is unknown, or if the
+     * maximum number of connections is reached and no connection to any pod is idle.
+     */
     boolean openConnection(UpstreamTry upstreamTry, TryDispatcher dispatcher) {
         PodEndpoint endpoint = endpointsByPodId.get(upstreamTry.podId);
         if (endpoint == null
@@ -222,6 +255,10 @@
         return true;
     }
 
+    /**
+     * Closes the connection that has been idle longest, to whichever pod; returns false if none is
+     * idle.
+     */
     private boolean closeOldestIdle() {
         PodConnection oldest = null;
         for (PodEndpoint endpoint : endpointsByPodId.values()) {
@@ -239,7 +276,10 @@
         return oldest != null;
     }
 
-    /** Pods that came and went would else pile up with each release. */
+    /**
+     * Closes the connections past the idle timeout, and removes the pods that are gone and have no
+     * connection left: without that they would accumulate with each release.
+     */
     void evictExpired(long nowNs) {
         endpointsByPodId
                 .values()
--- a/sidecar/src/main/java/mulleinlever/sidecar/PodResponseHandler.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/PodResponseHandler.java
@@ -7,8 +7,9 @@
 import mulleinlever.settings.InvalidInputException;
 
 /**
- * Fifth stage: what a pod answers. A row is passed on as the pod gave it, and only once it is
- * whole: a pod that dies within one costs a try, not an answer.
+ * Reads a pod's response to a req and reports the outcome of the try. A response is forwarded
+ * unchanged, and only once it is complete: a pod that fails during its response fails the try, not
+ * the req. Called on the event loop only.
  */
 final class PodResponseHandler {
     private final ReqRegistry reqRegistry;
@@ -17,7 +18,7 @@
         this.reqRegistry = reqRegistry;
     }
 
-    /** The parts of an answer that have come so far. */
+    /** The part of a response received so far. */
     static final class PartialResponse {
         private CompositeByteBuf parts;
         private boolean hasRowDescription;
@@ -30,6 +31,7 @@
             parts.addComponent(true, part);
         }
 
+        /** Releases what has been received. */
         void clear() {
             if (parts != null) {
                 parts.release();
@@ -39,6 +41,7 @@
             rowCount = 0;
         }
 
+        /** Returns the response with ReadyForQuery added; the caller releases it. */
         private ByteBuf takeResponse() {
             ByteBuf response = parts.addComponent(true, PostgresMessages.readyForQuery());
             parts = null;
@@ -47,6 +50,12 @@
         }
     }
 
+    /**
+     * Handles the message at which the decoder stands, which belongs to the response to a try.
+     *
+     * @throws InvalidInputException if a DataRow has no RowDescription before it or is not the only
+     *     one
+     */
     void handleMessage(
             PodConnection connection, UpstreamTry upstreamTry, PostgresMessageDecoder decoder) {
         PartialResponse response = connection.response;
@@ -57,7 +66,8 @@
             }
             case 'D' -> {
                 if (!response.hasRowDescription || ++response.rowCount > 1) {
-                    throw new InvalidInputException("a row too many");
+                    throw new InvalidInputException(
+                            "DataRow without RowDescription, or a second DataRow");
                 }
                 response.add(decoder.retainMessage());
             }
@@ -67,7 +77,7 @@
                     response.add(decoder.retainMessage());
                     reqRegistry.onTryEnded(upstreamTry, TryOutcome.OK, response.takeResponse());
                 } else {
-                    // No row, no value: it ran, but there is nothing to pass on.
+                    // The req ran but returned no row, so there is nothing to forward.
                     reqRegistry.onTryEnded(upstreamTry, TryOutcome.ERROR, null);
                 }
             }
@@ -79,11 +89,15 @@
                 reqRegistry.onTryEnded(
                         upstreamTry, tooManyConnections ? TryOutcome.FULL : TryOutcome.ERROR, null);
             }
-            // Notices and settings change nothing.
+            // NoticeResponse, ParameterStatus and the like have no effect.
             default -> {}
         }
     }
 
+    /**
+     * Returns the SQLSTATE of the ErrorResponse at which the decoder stands, or the empty string if
+     * it has none.
+     */
     private static String errorCode(PostgresMessageDecoder decoder) {
         ByteBuf buffer = decoder.buffer();
         int bodyEnd = decoder.bodyIndex + decoder.bodyLength;
--- a/sidecar/src/main/java/mulleinlever/sidecar/SocketAddresses.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/SocketAddresses.java
@@ -5,18 +5,24 @@
 import java.net.UnknownHostException;
 
 /**
- * Reads address:port. Names are refused: looking one up would stall the event loop, and there is no
- * DNS.
+ * Parses and formats socket addresses of the form {@code address:port}. Host names are refused: a
+ * lookup would block the event loop, and there is no DNS.
  */
 final class SocketAddresses {
     private SocketAddresses() {}
 
-    /** The same form for the same address, however it was written. */
+    /**
+     * Returns the address as text: the same text for the same address, however it was written when
+     * parsed.
+     */
     static String format(InetSocketAddress address) {
         return address.getAddress().getHostAddress() + ":" + address.getPort();
     }
 
-    /** Null where the text is none. */
+    /**
+     * Returns the address that the text names, an IPv6 address with or without brackets; null if
+     * the text is not an IP address and a port.
+     */
     static InetSocketAddress parse(String text) {
         int colon = text.lastIndexOf(':');
         String host = colon < 0 ? "" : text.substring(0, colon).replaceAll("^\\[(.*)]$", "$1");
--- a/sidecar/src/main/java/mulleinlever/sidecar/TryDispatcher.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/TryDispatcher.java
@@ -6,8 +6,15 @@
 import io.netty.channel.ChannelFuture;
 import mulleinlever.TryOutcome;
 
-/** Fourth stage: puts an upstream try on a connection to its pod, and abandons it. */
+/**
+ * Assigns each upstream try to a connection to its pod, writes its req there, and ends tries that
+ * time out or are cancelled. Called on the event loop only; the outcome of a try goes to the {@link
+ * ReqRegistry}.
+ */
 final class TryDispatcher {
+    /**
+     * The type and the length of a PostgreSQL message; the length counts itself but not the type.
+     */
     private static final int HEADER_BYTES = 5;
 
     private final NettyTransport transport;
@@ -26,6 +33,13 @@
         this.connectionPool = connectionPool;
     }
 
+    /**
+     * Starts the next upstream try of a req. A req that already has its outcome, or no time left,
+     * gets a try that ends as {@link TryOutcome#MOOT}.
+     *
+     * @param writeWithinNs the time within which the req is written, else the try fails to connect
+     * @param timeoutNs the time after which the try ends at the latest
+     */
     void startTry(PendingCommand command, String podId, long writeWithinNs, long timeoutNs) {
         long nowNs = clock.nowNs();
         UpstreamTry upstreamTry =
@@ -54,6 +68,7 @@
         }
     }
 
+    /** Opens a new connection for a try; where none can be opened, the try fails to connect. */
     void openConnection(UpstreamTry upstreamTry) {
         if (!connectionPool.openConnection(upstreamTry, this)) {
             transport.execute(
@@ -61,7 +76,9 @@
         }
     }
 
-    /** Closing is what tells the pod to stop. */
+    /**
+     * Cancels a try, unless it has ended. Its connection is closed, which tells the pod to stop.
+     */
     void cancelTry(UpstreamTry upstreamTry) {
         if (!upstreamTry.hasEnded()) {
             abandon(upstreamTry);
@@ -70,13 +87,17 @@
         }
     }
 
-    /** What was not written whole has not run, however it ended. */
+    /**
+     * Ends a try and closes its connection. A req that was not written completely has not run, so
+     * its try ends as {@link TryOutcome#CONNECT_FAILED} whatever the given outcome.
+     */
     void endTry(UpstreamTry upstreamTry, TryOutcome outcome) {
         abandon(upstreamTry);
         reqRegistry.onTryEnded(
                 upstreamTry, upstreamTry.fullyWritten ? outcome : TryOutcome.CONNECT_FAILED, null);
     }
 
+    /** Detaches a try from its connection, if it has one, and closes the connection. */
     private static void abandon(UpstreamTry upstreamTry) {
         if (upstreamTry.connection != null) {
             PodConnection connection = upstreamTry.connection;
@@ -86,8 +107,10 @@
     }
 
     /**
-     * The text goes on as it was read but for the time that is left: a new head, then the parts
-     * around it.
+     * Writes the req of a try to a connection, or ends the try as {@link TryOutcome#CONNECT_FAILED}
+     * once its write deadline has passed. The client's text is forwarded as received, except that
+     * the value of the client's timeout, where there is one, becomes the time in milliseconds that
+     * remains until the try's deadline; the parts before and after that value are not copied.
      */
     void writeReq(UpstreamTry upstreamTry, PodConnection connection) {
         if (clock.nowNs() > upstreamTry.writeDeadlineNs) {
@@ -127,6 +150,10 @@
         channel.flush();
     }
 
+    /**
+     * Returns the header of a Query message whose text, including the terminating zero, has the
+     * given length.
+     */
     private static ByteBuf queryHeader(Channel channel, int textBytes) {
         return channel.alloc()
                 .buffer(HEADER_BYTES)
--- a/sidecar/src/main/java/mulleinlever/sidecar/WarmUp.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/WarmUp.java
@@ -17,20 +17,25 @@
 import mulleinlever.Settings;
 
 /**
- * Before the first client comes, reqs of our own pass all stages, on connections that stay within
- * the process and among parts that are thrown away. Code runs many times slower until it is
- * compiled: at a part of a core the reqs of the first seconds, and the compiling that they set off,
- * would come late by seconds.
+ * Sends generated reqs through the components of a sidecar before the real ones serve clients. The
+ * components are discarded afterwards and their connections stay within the process. Until it is
+ * compiled, code runs many times slower: with a fraction of a CPU core, the reqs of the first
+ * seconds would be answered seconds late, because of the slow code and of the compilation that it
+ * triggers.
  */
 final class WarmUp {
     /**
-     * Enough for what each req passes to be loaded and mostly compiled; no longer, since others
-     * wait for us.
+     * The number of reqs: enough to load and mostly compile the code that each req runs through,
+     * but no more, since others wait for the sidecar to start.
      */
     static final int REQ_COUNT = 400;
 
+    /** The time after which the warm-up ends even if not all reqs are answered. */
     private static final long MAX_DURATION_NS = 1_500_000_000L;
+
     private static final int CLIENT_COUNT = 8;
+
+    /** The complete response of the {@link StubPod} to any req. */
     private static final byte[] ROW_RESPONSE = rowResponse();
 
     private final SidecarConfig config;
@@ -50,13 +55,18 @@
         this.onFinished = onFinished;
     }
 
-    /** Calls back once, on a thread of its own. */
+    /**
+     * Runs the warm-up.
+     *
+     * @param onFinished called once, on the warm-up's own thread
+     */
     static void run(SidecarConfig config, Consumer<WarmUp> onFinished) {
         WarmUp warmUp = new WarmUp(config, onFinished);
         warmUp.transport.schedule(MAX_DURATION_NS, warmUp::finish);
         warmUp.transport.execute(warmUp::start);
     }
 
+    /** Returns the number of reqs that were answered with a row. */
     int completedReqCount() {
         return completedReqCount;
     }
@@ -64,7 +74,7 @@
     @Override
     public String toString() {
         return completedReqCount
-                + " reqs rehearsed in "
+                + " warm-up reqs completed in "
                 + (clock.nowNs() - startNs) / 1_000_000
                 + " ms";
     }
@@ -101,9 +111,11 @@
         }
     }
 
-    /** Asks again as soon as it has its answer. */
+    /** A client that sends a req as soon as the one before is answered. */
     private final class WarmUpClient extends ChannelInboundHandlerAdapter {
         private PostgresMessageDecoder decoder;
+
+        /** Whether a req was sent, so that ReadyForQuery ends a response and not the handshake. */
         private boolean reqSent;
 
         @Override
@@ -159,14 +171,14 @@
     }
 
     /**
-     * Within the process a write is read within the call that writes it, where a socket's is read
-     * later.
+     * Writes a message from a separate task on the event loop. A write within the process is read
+     * within the call that writes it, whereas one to a socket is read later.
      */
     private static void writeLater(ChannelHandlerContext ctx, Supplier<ByteBuf> message) {
         ctx.executor().execute(() -> ctx.writeAndFlush(message.get()));
     }
 
-    /** Answers at once. */
+    /** A pod that answers each req at once with the same row. */
     private static final class StubPod extends ChannelInboundHandlerAdapter {
         private PostgresMessageDecoder decoder;
         private boolean startupReceived;
@@ -208,6 +220,7 @@
         return response.toByteArray();
     }
 
+    /** Appends a PostgreSQL message of the given type. */
     private static void appendMessage(ByteArrayOutputStream out, char type, byte[] body) {
         out.write(type);
         out.writeBytes(ByteBuffer.allocate(4).putInt(4 + body.length).array());
--- a/sidecar/src/test/java/mulleinlever/sidecar/AdaptiveConnectTimeoutTest.java
+++ b/sidecar/src/test/java/mulleinlever/sidecar/AdaptiveConnectTimeoutTest.java
@@ -8,17 +8,15 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** Of the class that decides how long to wait by what was seen of late. */
+/** Compares the connect timeout with a reference model that keeps every sample. */
 class AdaptiveConnectTimeoutTest {
     private static final long NS_PER_MS = 1_000_000L;
     private static final long MAX_TIMEOUT_NS = 250 * NS_PER_MS;
 
+    /** An attempt to connect; its duration is 0 if it timed out. */
     private record ConnectAttempt(long endedNs, long durationNs) {}
 
-    /**
-     * Slow and plain: from all that was ever seen, each part faded by its age. A failure took
-     * nothing.
-     */
+    /** Computes the timeout from all attempts, each decayed by its age. */
     private static long referenceTimeoutNs(List<ConnectAttempt> attempts, long nowNs) {
         double slowestNs = 0;
         double successes = 0;
--- a/sidecar/src/test/java/mulleinlever/sidecar/DescriptorExhaustionTest.java
+++ b/sidecar/src/test/java/mulleinlever/sidecar/DescriptorExhaustionTest.java
@@ -11,14 +11,14 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** The program while system calls fail for want of descriptors, and after. */
+/** Tests the sidecar while system calls fail for lack of file descriptors, and afterwards. */
 @Timeout(90)
 class DescriptorExhaustionTest extends SidecarTestBase {
     private static final int DESCRIPTOR_LIMIT = 80;
 
     DescriptorExhaustionTest() throws IOException {}
 
-    /** Connections that say nothing, more than the process has descriptors for. */
+    /** Opens more connections than the process has file descriptors, which send nothing. */
     private List<Socket> exhaustDescriptors() throws Exception {
         List<Socket> sockets = new ArrayList<>();
         for (int i = 0; i < 2 * DESCRIPTOR_LIMIT; i++) {
@@ -34,8 +34,8 @@
         }
     }
 
-    // A watch for which no socket could be had threw within its own end, and was never opened
-    // again.
+    // A watch whose socket could not be created threw while its end was handled, and was never
+    // opened again.
     @Test
     void reopensWatchAfterSocketCreationFailed() throws Exception {
         startPod((q, out) -> sendRow(out, "v"));
@@ -44,14 +44,15 @@
         awaitTrue(() -> discovery.received.size() == 1);
         List<Socket> heldSockets = exhaustDescriptors();
         closeConnections(discovery);
-        // Its own descriptor is taken by the next client in line before it is opened anew.
+        // A client in the listen backlog takes the descriptor of the closed watch before the watch
+        // is opened again.
         awaitTrue(() -> logText().contains("watch 2 has ended"));
         close(heldSockets);
         awaitTrue(() -> discovery.received.size() == 2);
     }
 
-    // An attempt for which no socket could be had was told of it by another thread, or waited for
-    // its time limit.
+    // When no socket could be created for a try, the failure was reported on a thread other than
+    // the event loop, or the try waited for its timeout.
     @Test
     void failsTryFastWhenSocketCreationFails() throws Exception {
         startPod((q, out) -> sendRow(out, "v"));
@@ -68,7 +69,7 @@
         }
     }
 
-    // After one failed accept nobody was accepted for a second.
+    // After a failed accept no client was accepted for a second.
     @Test
     void resumesAcceptingAfterAcceptFailure() throws Exception {
         startPod((q, out) -> sendRow(out, "v"));
--- a/sidecar/src/test/java/mulleinlever/sidecar/ProcessPauseTest.java
+++ b/sidecar/src/test/java/mulleinlever/sidecar/ProcessPauseTest.java
@@ -16,14 +16,14 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * The program held up between reading its clock and writing, and attempts that wait before they are
- * written.
+ * Tests the sidecar while its process is suspended between reading its clock and writing, and with
+ * tries that wait before they are written.
  */
 @Timeout(90)
 class ProcessPauseTest extends SidecarTestBase {
     private static final Pattern REQ_ID = Pattern.compile("id=([0-9a-f]+)");
 
-    /** {@code windowNs} of the tests' configuration. */
+    /** The setting {@code windowNs} of {@link SidecarTestBase#configJson}. */
     private static final long DEDUP_WINDOW_MS = 400;
 
     ProcessPauseTest() throws IOException {}
@@ -42,7 +42,7 @@
         return matcher.group(1);
     }
 
-    /** A server that takes so long to let a connection in. */
+    /** Starts a pod that delays the end of each handshake. */
     private FakeServer startSlowHandshakePod(long handshakeDelayMs, PodBehavior behavior)
             throws IOException {
         FakeServer pod =
@@ -63,8 +63,8 @@
         return pod;
     }
 
-    // A repeat that waited for its connection was written after the servers may have forgotten the
-    // first attempt.
+    // A retry that waited for its connection was written after the dedup window, when the pods may
+    // have forgotten the first try.
     @Test
     void retryIsSentWithinIdempotencyWindowOrNotAtAll() throws Exception {
         Map<String, Long> firstWriteMsByReqId = new ConcurrentHashMap<>();
@@ -77,7 +77,8 @@
                 };
         startPod(failsAfterDelay);
         startPod((q, out) -> sendRow(out, "v"));
-        // Idle connections are closed after a second: each repeat opens one of its own.
+        // The pod closes its connections after a response, and the sidecar closes those that are
+        // idle for a second, so each retry opens a new one.
         startSlowHandshakePod(
                 200,
                 (q, out) -> {
@@ -101,11 +102,11 @@
                 ms ->
                         assertTrue(
                                 ms <= DEDUP_WINDOW_MS,
-                                "written " + ms + " ms after the first attempt"));
+                                "written " + ms + " ms after the first try"));
     }
 
-    // Held up for 0.15 s again and again: what is due meanwhile is answered within half a second of
-    // its time.
+    // The process is suspended for 0.15 s again and again. A req that times out meanwhile must be
+    // answered within half a second of its deadline.
     @Test
     void timeoutsAreMetWhileProcessIsRepeatedlySuspended() throws Exception {
         startPod(
@@ -129,7 +130,7 @@
                 long startNs = System.nanoTime();
                 client.execute(selectSql("1", 600 + 10 * i));
                 long lateMs = (System.nanoTime() - startNs) / 1_000_000 - 600 - 10 * i;
-                assertTrue(lateMs < 500, "answered " + lateMs + " ms after its time");
+                assertTrue(lateMs < 500, "answered " + lateMs + " ms after its deadline");
             }
         } finally {
             finished.set(true);
--- a/sidecar/src/test/java/mulleinlever/sidecar/ReconnectBackoffTest.java
+++ b/sidecar/src/test/java/mulleinlever/sidecar/ReconnectBackoffTest.java
@@ -7,15 +7,18 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
+/** Tests the delays before a single sidecar reconnects and the rate at which a fleet does. */
 class ReconnectBackoffTest {
     private static final long NS_PER_MS = 1_000_000L;
     private static final long NS_PER_S = 1_000 * NS_PER_MS;
 
+    /** An attempt of one sidecar of the fleet to connect. */
     private record ConnectAttempt(long atNs, int sidecar) {}
 
     /**
-     * The most calls in any second once the waits have grown, while a peer that all lost at once
-     * stays down.
+     * Returns the maximum number of attempts in any second, once the delays have grown to their
+     * maximum, while a peer that all sidecars lost at the same moment stays down. Each attempt
+     * fails after {@code failsAfterNs}.
      */
     private static int maxAttemptsPerSecond(
             int sidecars, double callsPerSecond, long failsAfterNs) {
@@ -54,20 +57,21 @@
     void jitterSpreadsReconnectsOfFleet() {
         assertTrue(
                 maxAttemptsPerSecond(14, 16, NS_PER_MS) <= 16,
-                maxAttemptsPerSecond(14, 16, NS_PER_MS) + " refused at once");
-        // Waits of 6 to 12 s spread a hundred that began in step too little for each second to stay
-        // under 16.
+                maxAttemptsPerSecond(14, 16, NS_PER_MS) + " attempts in a second, peer refuses");
+        // A hundred sidecars begin at the same time. Delays of 6 to 12 s do not spread them enough
+        // for each second to stay below 16.
         assertTrue(
                 maxAttemptsPerSecond(100, 16, NS_PER_MS) <= 24,
-                maxAttemptsPerSecond(100, 16, NS_PER_MS) + " refused at once");
+                maxAttemptsPerSecond(100, 16, NS_PER_MS) + " attempts in a second, peer refuses");
         assertTrue(
                 maxAttemptsPerSecond(100, 100, NS_PER_MS) <= 100,
-                maxAttemptsPerSecond(100, 100, NS_PER_MS) + " refused at once");
-        // A silent one is given up after 2 s: without chance all would come within the same moment
-        // for ever.
+                maxAttemptsPerSecond(100, 100, NS_PER_MS) + " attempts in a second, peer refuses");
+        // A connection to an unresponsive peer is given up after 2 s. Without jitter, all sidecars
+        // would reconnect at the same moment forever.
         assertTrue(
                 maxAttemptsPerSecond(14, 16, 2 * NS_PER_S) <= 10,
-                maxAttemptsPerSecond(14, 16, 2 * NS_PER_S) + " after silence");
+                maxAttemptsPerSecond(14, 16, 2 * NS_PER_S)
+                        + " attempts in a second, peer unresponsive");
     }
 
     @Test
--- a/sidecar/src/test/java/mulleinlever/sidecar/SidecarTestBase.java
+++ b/sidecar/src/test/java/mulleinlever/sidecar/SidecarTestBase.java
@@ -27,16 +27,16 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * The program in a process of its own, among stand-ins for pods, discovery, the platform and
- * clients.
+ * Runs the sidecar in a process of its own, with fake pods, a fake discovery service, a fake
+ * release platform and test clients.
  */
 abstract class SidecarTestBase {
-    /** What serves one connection of a stand-in. */
+    /** Serves one connection of a fake server. */
     interface ConnectionHandler {
         void handle(DataInputStream in, DataOutputStream out) throws Exception;
     }
 
-    /** A stand-in that listens; it keeps what it was told, and its open connections. */
+    /** A server that records the requests it receives and its open connections. */
     final class FakeServer implements Closeable {
         volatile ServerSocket serverSocket =
                 new ServerSocket(0, 100, InetAddress.getLoopbackAddress());
@@ -73,7 +73,7 @@
                     });
         }
 
-        /** Listens again where it did before it was closed, as a process that starts anew. */
+        /** Listens again at the same address after it was closed, like a process that restarts. */
         void listenAgain() throws IOException {
             var listener = new ServerSocket();
             listener.setReuseAddress(true);
@@ -82,7 +82,7 @@
             accept(listener);
         }
 
-        /** Where it listens, or did before it was closed. */
+        /** Returns the address at which it listens, or listened before it was closed. */
         SocketAddress localSocketAddress() {
             return serverSocket.getLocalSocketAddress();
         }
@@ -111,14 +111,14 @@
                             try {
                                 work.run();
                             } catch (Exception e) {
-                                // The other side has gone: so does this one.
+                                // The peer has closed the connection, so the thread ends.
                             }
                         });
         thread.setDaemon(true);
         thread.start();
     }
 
-    /** How a pod answers a query; false ends the connection. */
+    /** Answers a query as a pod; returns false to close the connection. */
     interface PodBehavior {
         boolean respond(String query, DataOutputStream out) throws Exception;
     }
@@ -126,26 +126,32 @@
     final List<Closeable> closeables = new ArrayList<>();
     final List<FakeServer> pods = new ArrayList<>();
     final List<String> discoveryLines = new CopyOnWriteArrayList<>();
-    // Which those are may change within a test, as it may for the program.
+    // Volatile, since a test may replace the server to which the sidecar connects.
     volatile FakeServer discovery = new FakeServer(this::serveDiscovery);
     volatile FakeServer platform = new FakeServer(this::servePlatform);
+
+    /** Whether discovery and the platform send nothing more on open connections. */
     volatile boolean watchesSilent;
+
     volatile String ballotResponse = "OK 1 2 live 1 5000";
     volatile String progressLine = "* progress 1 2 live 1 5000";
 
     /**
-     * The configuration's word on discovery: subscribe, or automatic where it tells changes
-     * unasked.
+     * The value of {@code discovery} in the settings: {@code subscribe}, or {@code automatic} for a
+     * discovery service that sends changes without a subscription.
      */
     String discoveryMode = "subscribe";
 
     /**
-     * Descriptors the process may hold, set as the hard limit of the system; 0 for what the machine
-     * gives.
+     * The hard limit of file descriptors of the sidecar's process; 0 for the limit of the test's
+     * own process.
      */
     int descriptorLimit;
 
-    /** What the program is started with besides. */
+    /**
+     * Command-line arguments after {@code serve}; if there are any, the class path includes the
+     * jars of optional features.
+     */
     final List<String> extraArguments = new ArrayList<>();
 
     Process process;
@@ -164,6 +170,10 @@
         }
     }
 
+    /**
+     * Starts a fake pod that completes the handshake of each connection and records the queries it
+     * receives.
+     */
     FakeServer startPod(PodBehavior behavior) throws IOException {
         FakeServer[] self = new FakeServer[1];
         self[0] =
@@ -207,7 +217,7 @@
         0, 1, 'p', 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 17, -1, -1, -1, -1, -1, -1, 0, 1
     };
 
-    /** Row, CommandComplete, ReadyForQuery. */
+    /** Returns RowDescription, DataRow, CommandComplete and ReadyForQuery. */
     static byte[] rowResponse(byte[] value) throws IOException {
         byte[] header = {
             0, 1, 0, (byte) (value.length >> 16), (byte) (value.length >> 8), (byte) value.length
@@ -244,7 +254,7 @@
                     sentLineCount < discoveryLines.size()
                             ? discoveryLines.get(sentLineCount++) + "\n"
                             : "\n";
-            // In two chunks: a line may be split anywhere.
+            // In two chunks, since a line may be split anywhere.
             int half = text.length() / 2;
             for (String part : List.of(text.substring(0, half), text.substring(half))) {
                 out.writeBytes(
@@ -371,18 +381,20 @@
         }
     }
 
+    /** Sends SIGHUP, on which the sidecar reloads its configuration. */
     void sendHangup() throws Exception {
         assertEquals(
                 0, new ProcessBuilder("sh", "-c", "kill -HUP " + process.pid()).start().waitFor());
     }
 
+    /** Starts the sidecar and waits until it serves clients. */
     void startSidecar(int maxSockets) throws Exception {
         try (ServerSocket portReservation =
                 new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             port = portReservation.getLocalPort();
         }
         Path file = writeConfig(maxSockets);
-        // From another class path and with other flags, where these properties are set.
+        // System properties may replace the class path, the JVM flags and the main class.
         List<String> command =
                 new ArrayList<>(
                         List.of(
@@ -423,8 +435,8 @@
     }
 
     /**
-     * The class path without what is loaded only where switched on: each jar on it would take a
-     * descriptor.
+     * Returns the class path without the jars that optional features need: the process would hold a
+     * file descriptor for each of them.
      */
     private static String minimalClassPath() {
         return Arrays.stream(System.getProperty("java.class.path").split(File.pathSeparator))
@@ -438,12 +450,12 @@
     static void awaitTrue(BooleanSupplier condition) throws InterruptedException {
         long deadlineNs = System.nanoTime() + 20_000_000_000L;
         while (!condition.getAsBoolean()) {
-            assertTrue(System.nanoTime() < deadlineNs, "waited in vain");
+            assertTrue(System.nanoTime() < deadlineNs, "condition not met within 20 s");
             Thread.sleep(10);
         }
     }
 
-    /** Asks again until a row comes. */
+    /** Repeats a query until the response is a row. */
     void awaitServed(Client client) throws InterruptedException {
         awaitTrue(
                 () -> {
@@ -455,7 +467,7 @@
                 });
     }
 
-    /** Ends all open connections of a stand-in. */
+    /** Closes all open connections of a fake server. */
     static void closeConnections(FakeServer server) throws IOException {
         for (Socket s : server.openSockets) {
             s.close();
@@ -463,8 +475,9 @@
     }
 
     /**
-     * A client's connection; an answer reads as its type, a row with its value, an error with its
-     * code.
+     * A client's connection to the sidecar. A message reads as its type letter, a DataRow with its
+     * value, an ErrorResponse with its SQLSTATE and, if it carries a retry delay, {@code with
+     * advice}.
      */
     final class Client implements Closeable {
         final Socket socket = new Socket(InetAddress.getLoopbackAddress(), port);
@@ -501,7 +514,7 @@
             };
         }
 
-        /** The whole answer to one command. */
+        /** Reads the response to one command and returns its messages up to ReadyForQuery. */
         String readResponse() throws IOException {
             var messages = new StringBuilder();
             for (String message = readMessage(); !message.equals("Z"); message = readMessage()) {
@@ -544,12 +557,14 @@
 
     int lastReqId;
 
+    /** Returns a read with a new req id, whose client waits for the given time. */
     String selectSql(String ref, int timeoutMs) {
         return String.format(
                 "SELECT payload FROM entries WHERE ref = '%s' /* id=%016x,c=get,t=acme,d=%d */",
                 ref, ++lastReqId, timeoutMs);
     }
 
+    /** Returns an idempotent write with a new req id, whose client waits for the given time. */
     String insertSql(String value, int timeoutMs) {
         return String.format(
                 "INSERT INTO entries (ref, payload) VALUES ('7f', '%s') RETURNING payload"
--- a/sidecar/src/test/java/mulleinlever/sidecar/WarmUpTest.java
+++ b/sidecar/src/test/java/mulleinlever/sidecar/WarmUpTest.java
@@ -9,7 +9,9 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-/** What passes all stages before the first client comes. */
+/**
+ * Tests the reqs that the warm-up sends through all components before the sidecar serves clients.
+ */
 class WarmUpTest {
     private static final String POD_JSON =
             "{\"instanceId\":\"p0\",\"hostPort\":\"127.0.0.9:6543\",\"zone\":\"a\","
@@ -17,7 +19,7 @@
 
     private static BlockingQueue<WarmUp> startWarmUp(String podsJson) {
         String knownListJson = "{\"generation\":7,\"reset\":true,\"instances\":[" + podsJson + "]}";
-        // Addresses at which nothing listens: whatever goes out of the process fails.
+        // Nothing listens at these addresses: a connection that leaves the process fails.
         String config =
                 SidecarTestBase.configJson(
                         "127.0.0.9:1", "127.0.0.9:2", "127.0.0.9:3", knownListJson, 256);
