--- a/sidecar/src/main/java/mulleinlever/sidecar/InProcessTransport.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/InProcessTransport.java
@@ -14,39 +14,40 @@
 import java.util.function.Supplier;
 
 /**
- * A loop of its own whose connections stay within the process: no socket is opened, whatever the
- * address.
+ * An event loop of its own whose connections stay within the process: no socket is opened, whatever
+ * the address.
  */
 final class InProcessTransport extends NettyTransport {
-    private final Map<InetSocketAddress, LocalAddress> addresses = new HashMap<>();
+    private final Map<InetSocketAddress, LocalAddress> localAddresses = new HashMap<>();
 
     InProcessTransport(RateLimitedLog log) {
         super(log, LocalIoHandler.newFactory());
     }
 
     /**
-     * Another one than any other loop's for the same address: the process keeps one register of
-     * them all.
+     * Returns the in-process address that stands for a socket address. It is unique to this
+     * transport, since the process has a single registry of in-process addresses.
      */
-    private LocalAddress inner(InetSocketAddress at) {
-        return addresses.computeIfAbsent(at, a -> new LocalAddress(InProcessTransport.class));
+    private LocalAddress localAddress(InetSocketAddress address) {
+        return localAddresses.computeIfAbsent(
+                address, a -> new LocalAddress(InProcessTransport.class));
     }
 
     @Override
-    ChannelFuture startConnect(InetSocketAddress to, long withinNs, ChannelHandler handler) {
+    ChannelFuture startConnect(InetSocketAddress address, long timeoutNs, ChannelHandler handler) {
         return new Bootstrap()
                 .group(eventLoop)
                 .channel(LocalChannel.class)
                 .handler(handler)
-                .connect(inner(to));
+                .connect(localAddress(address));
     }
 
     @Override
-    ChannelFuture bind(InetSocketAddress at, Supplier<ChannelHandler> handlers) {
+    ChannelFuture bind(InetSocketAddress address, Supplier<ChannelHandler> handlerSupplier) {
         return new ServerBootstrap()
                 .group(eventLoop, eventLoop)
                 .channel(LocalServerChannel.class)
-                .childHandler(channelInitializer(handlers))
-                .bind(inner(at));
+                .childHandler(channelInitializer(handlerSupplier))
+                .bind(localAddress(address));
     }
 }
--- a/sidecar/src/main/java/mulleinlever/sidecar/NettyLogHandler.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/NettyLogHandler.java
@@ -6,13 +6,13 @@
 import java.util.logging.Logger;
 
 /**
- * Passes what Netty warns of to our log. The JDK's own handlers open files for their first line,
- * and their failure, when there are no descriptors left, ends the event loop that had only meant to
- * warn of a failed accept.
+ * Passes Netty's warnings to the sidecar's log. The JDK's own handlers open files when they log for
+ * the first time; when no file descriptors are left, that fails and ends the event loop, which only
+ * meant to warn of a failed accept.
  */
 final class NettyLogHandler extends Handler {
-    /** Held here, since the JDK itself holds loggers weakly. */
-    private static final Logger NETTY = Logger.getLogger("io.netty");
+    /** A strong reference, since the JDK holds loggers weakly. */
+    private static final Logger NETTY_LOGGER = Logger.getLogger("io.netty");
 
     private final RateLimitedLog log;
 
@@ -21,21 +21,22 @@
         setLevel(Level.WARNING);
     }
 
-    /** From now on, instead of the handlers that the process started with. */
+    /** Installs this handler for Netty's loggers in place of all others. */
     static void install(RateLimitedLog log) {
-        NETTY.setUseParentHandlers(false);
-        for (Handler before : NETTY.getHandlers()) {
-            NETTY.removeHandler(before);
+        NETTY_LOGGER.setUseParentHandlers(false);
+        for (Handler handler : NETTY_LOGGER.getHandlers()) {
+            NETTY_LOGGER.removeHandler(handler);
         }
-        NETTY.addHandler(new NettyLogHandler(log));
+        NETTY_LOGGER.addHandler(new NettyLogHandler(log));
     }
 
     @Override
-    public void publish(LogRecord told) {
-        if (isLoggable(told)) {
+    public void publish(LogRecord record) {
+        if (isLoggable(record)) {
             log.info(
                     "netty",
-                    told.getMessage() + (told.getThrown() == null ? "" : " " + told.getThrown()));
+                    record.getMessage()
+                            + (record.getThrown() == null ? "" : " " + record.getThrown()));
         }
     }
 
--- a/sidecar/src/main/java/mulleinlever/sidecar/PodConnection.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/PodConnection.java
@@ -11,177 +11,217 @@
 import mulleinlever.TryOutcome;
 import mulleinlever.settings.InvalidInputException;
 
-/** One connection to a pod: opening, then idle, resting or carrying one try. */
+/**
+ * One connection to a pod. It opens and completes the PostgreSQL handshake, then carries one try at
+ * a time and is idle in between, where each response is followed by a cooldown. Called on the event
+ * loop only.
+ */
 final class PodConnection extends ChannelInboundHandlerAdapter {
     /**
-     * A pod in trouble sends an answer twice, the copy up to a millisecond behind: read after the
-     * next req was written, it would be taken for that one's answer.
+     * The time after a response during which no req is written. A failing pod may send a response
+     * twice, the copy up to 1 ms after the first: read after the next req was written, the copy
+     * would be taken for the response to that req.
      */
-    private static final long REST_NS = 3_000_000L;
+    private static final long REUSE_COOLDOWN_NS = 3_000_000L;
 
     final String podId;
     final InetSocketAddress address;
 
-    /** When it began to open. */
+    /** The time at which the connection began to open. */
     final long connectStartNs;
 
-    private final PodConnectionPool pods;
-    private final PodResponseHandler relay;
-    private final TryDispatcher send;
+    private final PodConnectionPool connectionPool;
+    private final PodResponseHandler responseHandler;
+    private final TryDispatcher dispatcher;
     private final Clock clock;
     private final RateLimitedLog log;
     private Channel channel;
-    private PostgresMessageDecoder frames;
-    private Future<?> openLimit;
+    private PostgresMessageDecoder decoder;
 
-    /** The try that waits for this connection to open or to have rested, or is carried by it. */
-    private UpstreamTry at;
+    /** The task that ends an attempt to connect; null until {@link #setConnecting}. */
+    private Future<?> connectTimeoutTask;
 
-    private boolean up;
-    private boolean carries;
+    /**
+     * The try that this connection carries, or that waits for it to open or for the end of its
+     * cooldown; null without one.
+     */
+    private UpstreamTry currentTry;
+
+    private boolean handshakeComplete;
 
-    /** Whether the pod has said so since the last try. */
-    private boolean ready;
+    /** Whether the req of the current try is being or was written. */
+    private boolean tryActive;
+
+    /** Whether the pod has sent ReadyForQuery since the last req was written. */
+    private boolean podReady;
 
     private boolean closed;
     final PodResponseHandler.PartialResponse response = new PodResponseHandler.PartialResponse();
+
+    /** The time at which the connection last became idle; the cooldown counts from here. */
     long idleSinceNs;
 
     PodConnection(
-            String pod,
+            String podId,
             InetSocketAddress address,
-            PodConnectionPool pods,
-            PodResponseHandler relay,
-            TryDispatcher send,
+            PodConnectionPool connectionPool,
+            PodResponseHandler responseHandler,
+            TryDispatcher dispatcher,
             Clock clock,
             RateLimitedLog log) {
-        this.podId = pod;
+        this.podId = podId;
         this.address = address;
-        this.pods = pods;
-        this.relay = relay;
-        this.send = send;
+        this.connectionPool = connectionPool;
+        this.responseHandler = responseHandler;
+        this.dispatcher = dispatcher;
         this.clock = clock;
         this.log = log;
         this.connectStartNs = clock.nowNs();
     }
 
+    /** Returns the channel; null if no socket could be created. */
     Channel channel() {
         return channel;
     }
 
-    void setWaitingTry(UpstreamTry t) {
-        at = t;
+    /** Sets the try that waits for this connection to become usable. */
+    void setWaitingTry(UpstreamTry upstreamTry) {
+        currentTry = upstreamTry;
     }
 
-    void setActiveTry(UpstreamTry t) {
-        at = t;
-        carries = true;
-        ready = false;
+    /** Sets the try whose req is about to be written. */
+    void setActiveTry(UpstreamTry upstreamTry) {
+        currentTry = upstreamTry;
+        tryActive = true;
+        podReady = false;
         response.clear();
     }
 
-    /** How long it is not to be written to yet. */
-    long remainingCooldownNs(long now) {
-        return idleSinceNs + REST_NS - now;
+    /**
+     * Returns the time until a req may be written again, in nanoseconds; 0 or less if it may be
+     * written now.
+     */
+    long remainingCooldownNs(long nowNs) {
+        return idleSinceNs + REUSE_COOLDOWN_NS - nowNs;
     }
 
-    /** After its rest the try is written, unless the connection is given up before. */
-    void cooldownEnded(UpstreamTry t) {
-        if (at == t && !carries && !closed) {
-            pods.removePending(this);
-            send.writeReq(t, this);
+    /**
+     * Writes the try that waited for the end of the cooldown, unless the connection was closed or
+     * the try ended before.
+     */
+    void cooldownEnded(UpstreamTry upstreamTry) {
+        if (currentTry == upstreamTry && !tryActive && !closed) {
+            connectionPool.removePending(this);
+            dispatcher.writeReq(upstreamTry, this);
         }
     }
 
-    /** Null where no socket could be had, of which {@link #connectFailed} tells. */
-    void setConnecting(Channel connecting, Future<?> limit) {
-        channel = connecting;
-        openLimit = limit;
+    /**
+     * Sets the channel and the task that ends the attempt to connect. The channel is null if no
+     * socket could be created; {@link #connectFailed} is called in that case.
+     */
+    void setConnecting(Channel connectingChannel, Future<?> timeoutTask) {
+        channel = connectingChannel;
+        connectTimeoutTask = timeoutTask;
     }
 
+    /** Ends a connection that the network could not establish. */
     void connectFailed(Throwable cause) {
         if (cause instanceof ConnectTimeoutException) {
             connectTimedOut();
         } else if (!closed) {
-            pods.recordRefused();
-            lost();
+            connectionPool.recordRefused();
+            closeAndResetTry();
         }
     }
 
-    /** It had its time. */
+    /** Ends a connection that was not ready within its timeout. */
     void connectTimedOut() {
-        if (!up && !closed) {
-            pods.recordConnectTimeout();
+        if (!handshakeComplete && !closed) {
+            connectionPool.recordConnectTimeout();
         }
         closeUnlessCarrying();
     }
 
-    /** Its pod is not to be sent to any more: a try that waits here goes elsewhere. */
+    /**
+     * Closes the connection unless it carries a try. A try that waits for it fails to connect, and
+     * the policy may send another elsewhere. Called when the connection takes too long to open and
+     * when the pod must not receive new reqs.
+     */
     void closeUnlessCarrying() {
-        if (!carries) {
-            lost();
+        if (!tryActive) {
+            closeAndResetTry();
         }
     }
 
-    /** What it was for is not sent: it waits for another. */
+    /** Returns the connection to the pool without having written the req that it was taken for. */
     void releaseUnused() {
-        at = null;
+        currentTry = null;
         idleSinceNs = clock.nowNs();
-        pods.release(this);
+        connectionPool.release(this);
     }
 
+    /** Returns whether the connection is idle and open. */
     boolean isReusable() {
-        return ready && !closed && channel.isActive() && at == null;
+        return podReady && !closed && channel.isActive() && currentTry == null;
     }
 
-    /** Its try is no longer waited for: the connection must not carry another behind it. */
+    /**
+     * Closes the connection because its try is no longer waited for: the response may still come
+     * and would be taken for that of a later try.
+     */
     void abandonTry() {
-        at = null;
+        currentTry = null;
         close();
     }
 
+    /** Closes the connection, without ending its try. */
     void close() {
         if (!closed) {
             closed = true;
-            if (openLimit != null) {
-                openLimit.cancel(false);
+            if (connectTimeoutTask != null) {
+                connectTimeoutTask.cancel(false);
             }
             response.clear();
-            pods.connectionClosed(this);
+            connectionPool.connectionClosed(this);
             if (channel != null) {
                 channel.close();
             }
         }
     }
 
-    /** It broke, ended, or never came up. */
-    private void lost() {
-        UpstreamTry t = at;
-        at = null;
+    /**
+     * Closes the connection after a failure; its try ends as {@link TryOutcome#RESET}, or as {@link
+     * TryOutcome#CONNECT_FAILED} if the req was not written completely.
+     */
+    private void closeAndResetTry() {
+        UpstreamTry upstreamTry = currentTry;
+        currentTry = null;
         close();
-        if (t != null) {
-            t.connection = null;
-            send.endTry(t, TryOutcome.RESET);
+        if (upstreamTry != null) {
+            upstreamTry.connection = null;
+            dispatcher.endTry(upstreamTry, TryOutcome.RESET);
         }
     }
 
     /**
-     * Something came that nobody asked for: a try that waits for the rest to end goes over another.
+     * Closes an idle connection that failed or received unexpected data. A try that waits for the
+     * end of its cooldown moves to a new connection.
      */
-    private void stray() {
-        UpstreamTry t = at;
-        at = null;
+    private void closeAndMoveTry() {
+        UpstreamTry upstreamTry = currentTry;
+        currentTry = null;
         close();
-        if (t != null) {
-            t.connection = null;
-            send.openConnection(t);
+        if (upstreamTry != null) {
+            upstreamTry.connection = null;
+            dispatcher.openConnection(upstreamTry);
         }
     }
 
     @Override
     public void channelActive(ChannelHandlerContext ctx) {
         channel = ctx.channel();
-        frames = new PostgresMessageDecoder(ctx.alloc());
+        decoder = new PostgresMessageDecoder(ctx.alloc());
         ctx.writeAndFlush(PostgresMessages.startupMessage());
     }
 
@@ -191,74 +231,85 @@
             ((ByteBuf) msg).release();
             return;
         }
-        frames.addBytes((ByteBuf) msg);
+        decoder.addBytes((ByteBuf) msg);
         try {
-            while (!closed && frames.nextMessage(true)) {
-                if (!up) {
-                    opened();
-                } else if (frames.messageType == 'Z' && !ready) {
-                    free();
-                } else if (carries) {
-                    relay.handleMessage(this, at, frames);
-                } else if (frames.messageType != 'S' && frames.messageType != 'N') {
-                    // Nothing was asked: a copy, noise, or the pod says that it is about to end the
-                    // connection.
-                    stray();
+            while (!closed && decoder.nextMessage(true)) {
+                if (!handshakeComplete) {
+                    handleStartupMessage();
+                } else if (decoder.messageType == 'Z' && !podReady) {
+                    handleReadyForQuery();
+                } else if (tryActive) {
+                    responseHandler.handleMessage(this, currentTry, decoder);
+                } else if (decoder.messageType != 'S' && decoder.messageType != 'N') {
+                    // No response is due: this is a duplicate, invalid data, or an announcement
+                    // by the pod that it is about to close the connection.
+                    closeAndMoveTry();
                 }
             }
-            if (ready && frames.hasUnreadBytes()) {
-                stray();
+            if (podReady && decoder.hasUnreadBytes()) {
+                closeAndMoveTry();
             }
         } catch (InvalidInputException e) {
-            if (ready) {
-                stray();
+            if (podReady) {
+                closeAndMoveTry();
             } else {
-                lost();
+                closeAndResetTry();
             }
         }
     }
 
-    /** A pod that turns the connection away never saw the req. */
-    private void opened() {
-        if (frames.messageType == 'E') {
-            pods.recordRefused();
-            lost();
-        } else if (frames.messageType == 'Z') {
-            up = true;
-            ready = true;
-            pods.connectionReady(this);
-            openLimit.cancel(false);
-            if (at != null) {
-                send.writeReq(at, this);
+    /**
+     * Handles a message of the handshake. A pod that refuses the connection has not received the
+     * req.
+     */
+    private void handleStartupMessage() {
+        if (decoder.messageType == 'E') {
+            connectionPool.recordRefused();
+            closeAndResetTry();
+        } else if (decoder.messageType == 'Z') {
+            handshakeComplete = true;
+            podReady = true;
+            connectionPool.connectionReady(this);
+            connectTimeoutTask.cancel(false);
+            if (currentTry != null) {
+                dispatcher.writeReq(currentTry, this);
             }
         }
     }
 
-    /** The try's end was told; until the pod is ready nothing else may go over this connection. */
+    /**
+     * Detaches the current try, whose outcome is about to be reported. Until the pod sends
+     * ReadyForQuery the connection is not used for another.
+     */
     void detachTry() {
-        at.connection = null;
-        at = null;
-        carries = false;
+        currentTry.connection = null;
+        currentTry = null;
+        tryActive = false;
     }
 
-    private void free() {
-        if (carries) {
-            throw new InvalidInputException("ready without an answer");
+    /**
+     * Returns the connection to the pool.
+     *
+     * @throws InvalidInputException if the response to the current try is not complete
+     */
+    private void handleReadyForQuery() {
+        if (tryActive) {
+            throw new InvalidInputException("ReadyForQuery before the end of the response");
         }
-        ready = true;
+        podReady = true;
         idleSinceNs = clock.nowNs();
-        pods.release(this);
+        connectionPool.release(this);
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
-        if (ready) {
-            stray();
+        if (podReady) {
+            closeAndMoveTry();
         } else {
-            lost();
+            closeAndResetTry();
         }
-        if (frames != null) {
-            frames.release();
+        if (decoder != null) {
+            decoder.release();
         }
     }
 
@@ -267,6 +318,6 @@
         if (!(cause instanceof IOException)) {
             log.internalError("pod " + podId, cause);
         }
-        lost();
+        closeAndResetTry();
     }
 }
--- a/sidecar/src/test/java/mulleinlever/sidecar/SidecarTestBase.java
+++ b/sidecar/src/test/java/mulleinlever/sidecar/SidecarTestBase.java
@@ -27,45 +27,45 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * The program in a process of its own, among stand-ins for pods, discovery, the platform and
- * clients.
+ * Runs the sidecar in a process of its own, with fake pods, a fake discovery service, a fake
+ * release platform and test clients.
  */
 abstract class SidecarTestBase {
-    /** What serves one connection of a stand-in. */
+    /** Serves one connection of a fake server. */
     interface ConnectionHandler {
         void handle(DataInputStream in, DataOutputStream out) throws Exception;
     }
 
-    /** A stand-in that listens; it keeps what it was told, and its open connections. */
+    /** A server that records the requests it receives and its open connections. */
     final class FakeServer implements Closeable {
         volatile ServerSocket serverSocket =
                 new ServerSocket(0, 100, InetAddress.getLoopbackAddress());
-        private final ConnectionHandler serving;
+        private final ConnectionHandler handler;
         final List<String> received = new CopyOnWriteArrayList<>();
         final List<Socket> openSockets = new CopyOnWriteArrayList<>();
         volatile int closedCount;
 
-        FakeServer(ConnectionHandler serving) throws IOException {
-            this.serving = serving;
+        FakeServer(ConnectionHandler handler) throws IOException {
+            this.handler = handler;
             accept(serverSocket);
             closeables.add(this);
         }
 
-        private void accept(ServerSocket from) {
+        private void accept(ServerSocket listener) {
             startDaemonThread(
                     () -> {
                         while (true) {
-                            Socket s = from.accept();
-                            s.setTcpNoDelay(true);
-                            openSockets.add(s);
+                            Socket socket = listener.accept();
+                            socket.setTcpNoDelay(true);
+                            openSockets.add(socket);
                             startDaemonThread(
                                     () -> {
-                                        try (s) {
-                                            serving.handle(
-                                                    new DataInputStream(s.getInputStream()),
-                                                    new DataOutputStream(s.getOutputStream()));
+                                        try (socket) {
+                                            handler.handle(
+                                                    new DataInputStream(socket.getInputStream()),
+                                                    new DataOutputStream(socket.getOutputStream()));
                                         } finally {
-                                            openSockets.remove(s);
+                                            openSockets.remove(socket);
                                             closedCount++;
                                         }
                                     });
@@ -73,16 +73,16 @@
                     });
         }
 
-        /** Listens again where it did before it was closed, as a process that starts anew. */
+        /** Listens again at the same address after it was closed, like a process that restarts. */
         void listenAgain() throws IOException {
-            var again = new ServerSocket();
-            again.setReuseAddress(true);
-            again.bind(serverSocket.getLocalSocketAddress());
-            serverSocket = again;
-            accept(again);
+            var listener = new ServerSocket();
+            listener.setReuseAddress(true);
+            listener.bind(serverSocket.getLocalSocketAddress());
+            serverSocket = listener;
+            accept(listener);
         }
 
-        /** Where it listens, or did before it was closed. */
+        /** Returns the address at which it listens, or listened before it was closed. */
         SocketAddress localSocketAddress() {
             return serverSocket.getLocalSocketAddress();
         }
@@ -94,8 +94,8 @@
         @Override
         public void close() throws IOException {
             serverSocket.close();
-            for (Socket s : openSockets) {
-                s.close();
+            for (Socket socket : openSockets) {
+                socket.close();
             }
         }
     }
@@ -105,20 +105,20 @@
     }
 
     static void startDaemonThread(ThrowingRunnable work) {
-        Thread t =
+        Thread thread =
                 new Thread(
                         () -> {
                             try {
                                 work.run();
                             } catch (Exception e) {
-                                // The other side has gone: so does this one.
+                                // The peer has closed the connection, so the thread ends.
                             }
                         });
-        t.setDaemon(true);
-        t.start();
+        thread.setDaemon(true);
+        thread.start();
     }
 
-    /** How a pod answers a query; false ends the connection. */
+    /** Answers a query as a pod; returns false to close the connection. */
     interface PodBehavior {
         boolean respond(String query, DataOutputStream out) throws Exception;
     }
@@ -126,26 +126,32 @@
     final List<Closeable> closeables = new ArrayList<>();
     final List<FakeServer> pods = new ArrayList<>();
     final List<String> discoveryLines = new CopyOnWriteArrayList<>();
-    // Which those are may change within a test, as it may for the program.
+    // Volatile, since a test may replace the server to which the sidecar connects.
     volatile FakeServer discovery = new FakeServer(this::serveDiscovery);
     volatile FakeServer platform = new FakeServer(this::servePlatform);
+
+    /** Whether discovery and the platform send nothing more on open connections. */
     volatile boolean watchesSilent;
+
     volatile String ballotResponse = "OK 1 2 live 1 5000";
     volatile String progressLine = "* progress 1 2 live 1 5000";
 
     /**
-     * The configuration's word on discovery: subscribe, or automatic where it tells changes
-     * unasked.
+     * The value of {@code discovery} in the settings: {@code subscribe}, or {@code automatic} for a
+     * discovery service that sends changes without a subscription.
      */
     String discoveryMode = "subscribe";
 
     /**
-     * Descriptors the process may hold, set as the hard limit of the system; 0 for what the machine
-     * gives.
+     * The hard limit of file descriptors of the sidecar's process; 0 for the limit of the test's
+     * own process.
      */
     int descriptorLimit;
 
-    /** What the program is started with besides. */
+    /**
+     * Command-line arguments after {@code serve}; if there are any, the class path includes the
+     * jars of optional features.
+     */
     final List<String> extraArguments = new ArrayList<>();
 
     Process process;
@@ -164,7 +170,11 @@
         }
     }
 
-    FakeServer startPod(PodBehavior answers) throws IOException {
+    /**
+     * Starts a fake pod that completes the handshake of each connection and records the queries it
+     * receives.
+     */
+    FakeServer startPod(PodBehavior behavior) throws IOException {
         FakeServer[] self = new FakeServer[1];
         self[0] =
                 new FakeServer(
@@ -181,7 +191,7 @@
                                         new String(
                                                 text, 0, text.length - 1, StandardCharsets.UTF_8);
                                 self[0].received.add(query);
-                                if (!answers.respond(query, out)) {
+                                if (!behavior.respond(query, out)) {
                                     return;
                                 }
                             }
@@ -192,8 +202,8 @@
 
     static byte[] encodeMessage(char type, byte[]... parts) throws IOException {
         var body = new ByteArrayOutputStream();
-        for (byte[] p : parts) {
-            body.write(p);
+        for (byte[] part : parts) {
+            body.write(part);
         }
         var out = new ByteArrayOutputStream();
         var data = new DataOutputStream(out);
@@ -207,14 +217,14 @@
         0, 1, 'p', 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 17, -1, -1, -1, -1, -1, -1, 0, 1
     };
 
-    /** Row, CommandComplete, ReadyForQuery. */
+    /** Returns RowDescription, DataRow, CommandComplete and ReadyForQuery. */
     static byte[] rowResponse(byte[] value) throws IOException {
-        byte[] head = {
+        byte[] header = {
             0, 1, 0, (byte) (value.length >> 16), (byte) (value.length >> 8), (byte) value.length
         };
         var out = new ByteArrayOutputStream();
         out.write(encodeMessage('T', ROW_DESCRIPTION_BODY));
-        out.write(encodeMessage('D', head, value));
+        out.write(encodeMessage('D', header, value));
         out.write(encodeMessage('C', "SELECT 1\0".getBytes(StandardCharsets.US_ASCII)));
         out.write(encodeMessage('Z', new byte[] {'I'}));
         return out.toByteArray();
@@ -238,10 +248,13 @@
         discovery.received.add(readLine(in));
         while (!readLine(in).isEmpty()) {}
         out.writeBytes("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-        int said = 0;
+        int sentLineCount = 0;
         while (!watchesSilent) {
-            String text = said < discoveryLines.size() ? discoveryLines.get(said++) + "\n" : "\n";
-            // In two chunks: a line may be split anywhere.
+            String text =
+                    sentLineCount < discoveryLines.size()
+                            ? discoveryLines.get(sentLineCount++) + "\n"
+                            : "\n";
+            // In two chunks, since a line may be split anywhere.
             int half = text.length() / 2;
             for (String part : List.of(text.substring(0, half), text.substring(half))) {
                 out.writeBytes(
@@ -255,10 +268,11 @@
     }
 
     void servePlatform(DataInputStream in, DataOutputStream out) throws Exception {
-        String says = readLine(in);
-        platform.received.add(says);
-        out.writeBytes((says.equals("NOTIFY") ? "OK\r\n" + progressLine : ballotResponse) + "\r\n");
-        while (says.equals("NOTIFY")) {
+        String request = readLine(in);
+        platform.received.add(request);
+        out.writeBytes(
+                (request.equals("NOTIFY") ? "OK\r\n" + progressLine : ballotResponse) + "\r\n");
+        while (request.equals("NOTIFY")) {
             Thread.sleep(100);
             out.writeBytes(watchesSilent ? "" : "*\r\n");
         }
@@ -275,45 +289,53 @@
         return text.toString().trim();
     }
 
-    String podJson(int i, int build, String state) {
+    String podJson(int podIndex, int build, String lifecycle) {
         return String.format(
                 "{\"instanceId\":\"p%d\",\"hostPort\":\"%s\",\"zone\":\"%s\",\"machineType\":\"m\","
                         + "\"cell\":0,\"lifecycle\":\"%s\",\"weight\":1.0,\"startedAtMs\":0,\"build\":%d}",
-                i, pods.get(i).hostPort(), i % 2 == 0 ? "a" : "b", state, build);
+                podIndex,
+                pods.get(podIndex).hostPort(),
+                podIndex % 2 == 0 ? "a" : "b",
+                lifecycle,
+                build);
     }
 
-    String podListJson(long version, boolean whole, String... entries) {
+    String podListJson(long generation, boolean reset, String... entries) {
         return "{\"generation\":"
-                + version
+                + generation
                 + ",\"reset\":"
-                + whole
+                + reset
                 + ",\"instances\":["
                 + String.join(",", entries)
                 + "]}";
     }
 
-    static String routeJson(String name, String repeat) {
+    static String routeJson(String name, String retrySafety) {
         return "{\"name\":\""
                 + name
                 + "\",\"aimNs\":500000000,\"deadlineNs\":1500000000,\"worth\":1.0,\"repeat\":\""
-                + repeat
+                + retrySafety
                 + "\",\"keyScope\":\"zone\",\"windowNs\":400000000,\"lateWorth\":0.2}";
     }
 
     static String configJson(
-            String listen, String discovery, String platform, String known, int sockets) {
+            String listenAddress,
+            String discoveryAddress,
+            String platformAddress,
+            String knownListJson,
+            int maxSockets) {
         return "{\"name\":\"n0\",\"listen\":\""
-                + listen
+                + listenAddress
                 + "\",\"discovery\":\""
-                + discovery
+                + discoveryAddress
                 + "\",\"seed\":\"8c1f30d27a5be964\",\"limits\":{\"sockets\":"
-                + sockets
+                + maxSockets
                 + "},"
                 + "\"release_api\":{\"address\":\""
-                + platform
+                + platformAddress
                 + "\",\"news\":{\"build\":1,\"stage\":2,"
                 + "\"phase\":\"live\",\"cap\":1.0,\"age_ms\":9000}},\"known\":"
-                + known
+                + knownListJson
                 + ",\"settings\":{"
                 + "\"rank\":0,\"balancers\":1,\"zone\":\"a\",\"zones\":[\"a\",\"b\"],\"discovery\":\"subscribe\","
                 + "\"stepNs\":5000000,\"grades\":["
@@ -335,7 +357,7 @@
         startSidecar(256);
     }
 
-    Path writeConfig(int sockets) throws IOException {
+    Path writeConfig(int maxSockets) throws IOException {
         String[] entries = new String[pods.size()];
         Arrays.setAll(entries, i -> podJson(i, 1, "ready"));
         return Files.writeString(
@@ -345,7 +367,7 @@
                                 discovery.hostPort(),
                                 platform.hostPort(),
                                 podListJson(7, true, entries),
-                                sockets)
+                                maxSockets)
                         .replace(
                                 "\"discovery\":\"subscribe\"",
                                 "\"discovery\":\"" + discoveryMode + "\""));
@@ -359,17 +381,20 @@
         }
     }
 
+    /** Sends SIGHUP, on which the sidecar reloads its configuration. */
     void sendHangup() throws Exception {
         assertEquals(
                 0, new ProcessBuilder("sh", "-c", "kill -HUP " + process.pid()).start().waitFor());
     }
 
-    void startSidecar(int sockets) throws Exception {
-        try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            port = free.getLocalPort();
+    /** Starts the sidecar and waits until it serves clients. */
+    void startSidecar(int maxSockets) throws Exception {
+        try (ServerSocket portReservation =
+                new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+            port = portReservation.getLocalPort();
         }
-        Path file = writeConfig(sockets);
-        // From another class path and with other flags, where these properties are set.
+        Path file = writeConfig(maxSockets);
+        // System properties may replace the class path, the JVM flags and the main class.
         List<String> command =
                 new ArrayList<>(
                         List.of(
@@ -378,7 +403,7 @@
                                 System.getProperty(
                                         "sidecar.classpath",
                                         extraArguments.isEmpty()
-                                                ? lean()
+                                                ? minimalClassPath()
                                                 : System.getProperty("java.class.path"))));
         String flags = System.getProperty("sidecar.flags", "-Xmx40m -XX:MaxDirectMemorySize=40m");
         command.addAll(List.of(flags.split(" ")));
@@ -390,10 +415,12 @@
                     0,
                     List.of("sh", "-c", "ulimit -n " + descriptorLimit + " && exec \"$@\"", "sh"));
         }
-        var b = new ProcessBuilder(command);
-        b.environment().put("LB_CONFIG", file.toString());
+        var builder = new ProcessBuilder(command);
+        builder.environment().put("LB_CONFIG", file.toString());
         process =
-                b.redirectErrorStream(true).redirectOutput(folder.resolve("log").toFile()).start();
+                builder.redirectErrorStream(true)
+                        .redirectOutput(folder.resolve("log").toFile())
+                        .start();
         Process started = process;
         Runtime.getRuntime().addShutdownHook(new Thread(started::destroyForcibly));
         awaitTrue(
@@ -408,10 +435,10 @@
     }
 
     /**
-     * The class path without what is loaded only where switched on: each jar on it would take a
-     * descriptor.
+     * Returns the class path without the jars that optional features need: the process would hold a
+     * file descriptor for each of them.
      */
-    private static String lean() {
+    private static String minimalClassPath() {
         return Arrays.stream(System.getProperty("java.class.path").split(File.pathSeparator))
                 .filter(
                         e ->
@@ -420,15 +447,15 @@
                 .collect(Collectors.joining(File.pathSeparator));
     }
 
-    static void awaitTrue(BooleanSupplier holds) throws InterruptedException {
-        long end = System.nanoTime() + 20_000_000_000L;
-        while (!holds.getAsBoolean()) {
-            assertTrue(System.nanoTime() < end, "waited in vain");
+    static void awaitTrue(BooleanSupplier condition) throws InterruptedException {
+        long deadlineNs = System.nanoTime() + 20_000_000_000L;
+        while (!condition.getAsBoolean()) {
+            assertTrue(System.nanoTime() < deadlineNs, "condition not met within 20 s");
             Thread.sleep(10);
         }
     }
 
-    /** Asks again until a row comes. */
+    /** Repeats a query until the response is a row. */
     void awaitServed(Client client) throws InterruptedException {
         awaitTrue(
                 () -> {
@@ -440,16 +467,17 @@
                 });
     }
 
-    /** Ends all open connections of a stand-in. */
-    static void closeConnections(FakeServer listener) throws IOException {
-        for (Socket s : listener.openSockets) {
+    /** Closes all open connections of a fake server. */
+    static void closeConnections(FakeServer server) throws IOException {
+        for (Socket s : server.openSockets) {
             s.close();
         }
     }
 
     /**
-     * A client's connection; an answer reads as its type, a row with its value, an error with its
-     * code.
+     * A client's connection to the sidecar. A message reads as its type letter, a DataRow with its
+     * value, an ErrorResponse with its SQLSTATE and, if it carries a retry delay, {@code with
+     * advice}.
      */
     final class Client implements Closeable {
         final Socket socket = new Socket(InetAddress.getLoopbackAddress(), port);
@@ -459,10 +487,10 @@
             this(true);
         }
 
-        Client(boolean greets) throws IOException {
+        Client(boolean sendsStartup) throws IOException {
             socket.setTcpNoDelay(true);
             socket.setSoTimeout(10_000);
-            if (greets) {
+            if (sendsStartup) {
                 socket.getOutputStream().write(startupMessage());
                 while (!readMessage().equals("Z")) {}
             }
@@ -486,13 +514,13 @@
             };
         }
 
-        /** The whole answer to one command. */
+        /** Reads the response to one command and returns its messages up to ReadyForQuery. */
         String readResponse() throws IOException {
-            var s = new StringBuilder();
-            for (String m = readMessage(); !m.equals("Z"); m = readMessage()) {
-                s.append(m);
+            var messages = new StringBuilder();
+            for (String message = readMessage(); !message.equals("Z"); message = readMessage()) {
+                messages.append(message);
             }
-            return s.toString();
+            return messages.toString();
         }
 
         String execute(String text) throws IOException {
@@ -515,11 +543,11 @@
     }
 
     static byte[] startupMessage() throws IOException {
-        byte[] words =
+        byte[] parameters =
                 "\0\3\0\0user\0web\0database\0orders\0\0".getBytes(StandardCharsets.US_ASCII);
         var out = new ByteArrayOutputStream();
-        new DataOutputStream(out).writeInt(4 + words.length);
-        out.write(words);
+        new DataOutputStream(out).writeInt(4 + parameters.length);
+        out.write(parameters);
         return out.toByteArray();
     }
 
@@ -529,16 +557,18 @@
 
     int lastReqId;
 
-    String selectSql(String ref, int waitsMs) {
+    /** Returns a read with a new req id, whose client waits for the given time. */
+    String selectSql(String ref, int timeoutMs) {
         return String.format(
                 "SELECT payload FROM entries WHERE ref = '%s' /* id=%016x,c=get,t=acme,d=%d */",
-                ref, ++lastReqId, waitsMs);
+                ref, ++lastReqId, timeoutMs);
     }
 
-    String insertSql(String value, int waitsMs) {
+    /** Returns an idempotent write with a new req id, whose client waits for the given time. */
+    String insertSql(String value, int timeoutMs) {
         return String.format(
                 "INSERT INTO entries (ref, payload) VALUES ('7f', '%s') RETURNING payload"
                         + " /* id=%016x,c=put,t=acme,d=%d,k=5c0f */",
-                value, ++lastReqId, waitsMs);
+                value, ++lastReqId, timeoutMs);
     }
 }
