--- a/core/src/main/java/mulleinlever/Policy.java
+++ b/core/src/main/java/mulleinlever/Policy.java
@@ -19,160 +19,160 @@
  * mechanism and when each exception to it acts.
  */
 public final class Policy {
-    private static final long MS = 1_000_000L;
-    private static final long SECOND = 1_000 * MS;
+    private static final long MILLISECOND_NS = 1_000_000L;
+    private static final long SECOND_NS = 1_000 * MILLISECOND_NS;
 
     // The design's own figures.
-    private static final double SUSPECT_AT = 2.5;
-    private static final double ALARM_AT = 4.5;
-    private static final double ALARM_CLEARS_AT = 0.5;
-    private static final double DEVIATION_FLOOR = 0.02;
-    private static final int OUTCOME_FLOOR = 20;
-    private static final int VOTERS = 3;
+    private static final double SUSPECT_DEVIATIONS = 2.5;
+    private static final double ALARM_DEVIATIONS = 4.5;
+    private static final double ALARM_CLEAR_DEVIATIONS = 0.5;
+    private static final double MIN_DEVIATION = 0.02;
+    private static final int MIN_OUTCOME_COUNT = 20;
+    private static final int SINGLE_CONTROL_VOTER_COUNT = 3;
 
     /**
      * Low enough that a trial's first seconds hardly move it, high enough to be learned early in a
      * day.
      */
-    private static final double LONG_WEIGHT = 0.02;
+    private static final double LONG_TERM_WEIGHT = 0.02;
 
     /**
      * The sample is itself a sum over some seconds, so that one second of thin traffic raises no
      * alarm.
      */
-    private static final double SHORT_WEIGHT = 0.5;
+    private static final double SHORT_TERM_WEIGHT = 0.5;
 
-    private static final long SAMPLE_HALF_LIFE = 10 * SECOND;
+    private static final long SAMPLE_HALF_LIFE_NS = 10 * SECOND_NS;
 
     /**
      * A try is late above this quantile, which lies at so many mean times if these fall off evenly.
      */
     private static final double LATE_QUANTILE = 0.8;
 
-    private static final double LATE_MEANS = -Math.log(1 - LATE_QUANTILE);
-    private static final double REFERENCE_FLOOR = 5;
+    private static final double LATE_THRESHOLD_MEANS = -Math.log(1 - LATE_QUANTILE);
+    private static final double MIN_BASELINE_OUTCOME_COUNT = 5;
 
     /** The part of the pods that may be in trouble of its own: more hides builds that slow all. */
-    private static final double MINOR = 0.25;
+    private static final double MAX_FAULTY_POD_SHARE = 0.25;
 
     /**
      * The part of the longest warming time in which outcomes tell of a pod's cold, not of its
      * build.
      */
-    private static final double FRESH_PART = 0.7;
+    private static final double UNJUDGED_SLOW_START_SHARE = 0.7;
 
     /**
      * Warm outcomes that the last 'on' waits for, and for how long: more finds milder faults, and
      * delays.
      */
-    private static final int PROOF = 80;
+    private static final int APPROVAL_OUTCOME_COUNT = 80;
 
     /** Those who have to agree see so many together: each needs fewer the more they are. */
-    private static final int PROOF_VOTERS = 2;
+    private static final int APPROVAL_OUTCOME_VOTERS = 2;
 
-    private static final long PROOF_WAIT = 10 * SECOND;
+    private static final long MAX_APPROVAL_DELAY_NS = 10 * SECOND_NS;
 
     /**
      * Reports are rare and late, so they are kept for longer; so few may be mistaken, and alarm
      * nobody.
      */
-    private static final double FEW_FLAGS = 2.5;
+    private static final double MAX_IGNORED_COMPLAINTS = 2.5;
 
-    private static final long FLAG_HALF_LIFE = 30 * SECOND;
+    private static final long COMPLAINT_HALF_LIFE_NS = 30 * SECOND_NS;
 
     /**
      * How long a later-ranked sidecar waits for each voter before it: harm is dearer than delay.
      */
-    private static final long STAND_IN_ON = 2 * SECOND;
+    private static final long APPROVE_STAND_IN_DELAY_NS = 2 * SECOND_NS;
 
-    private static final long STAND_IN_BACK = SECOND / 2;
-    private static final double STAND_INS = 2;
+    private static final long ROLLBACK_STAND_IN_DELAY_NS = SECOND_NS / 2;
+    private static final double MAX_ROLLBACK_STAND_IN_STEPS = 2;
 
     /**
      * Of the calls a second that the platform takes from all sidecars, the part for those who stand
      * in.
      */
-    private static final double CALLS_PART = 0.5;
+    private static final double STAND_IN_CALL_SHARE = 0.5;
 
-    private static final long MEASURE_HALF_LIFE = 5 * SECOND;
+    private static final long STATS_HALF_LIFE_NS = 5 * SECOND_NS;
 
     /** What a route's tries are taken to need before any is seen, in shares of its objective. */
-    private static final double FIRST_MEAN = 0.25;
+    private static final double INITIAL_TRY_TIME_SHARE = 0.25;
 
-    private static final long SICK_FOR = 500 * MS;
-    private static final int SICK_STRIKES = 3;
-    private static final int MOST_STRIKES = 6;
-    private static final int DRAWS = 16;
+    private static final long BASE_EJECTION_NS = 500 * MILLISECOND_NS;
+    private static final int EJECTION_SCORE = 3;
+    private static final int MAX_FAILURE_SCORE = 6;
+    private static final int MAX_RANDOM_DRAWS = 16;
 
     /**
      * A req errored by so many pods will be by others: its tries would crowd out what they can do.
      */
-    private static final int OWN_FAULT = 2;
+    private static final int MAX_ERRORS_PER_REQ = 2;
 
     /** Share of new connections refused above which only pods that were heard lately are used. */
-    private static final double SCARCE = 0.25;
+    private static final double MAX_REFUSED_SHARE = 0.25;
 
-    private static final double PANIC_PART = 0.5;
+    private static final double PANIC_HEALTHY_SHARE = 0.5;
 
     /**
      * So many pods of a zone that gave nothing, with nothing heard from it in between, make it
      * dark.
      */
-    private static final int DARK_PODS = 3;
+    private static final int UNREACHABLE_ZONE_POD_COUNT = 3;
 
     /** How often the pause between tries into a dark zone doubles. */
-    private static final int DARK_GROWTH = 3;
+    private static final int ZONE_PROBE_DOUBLINGS = 3;
 
     /** Long past any report on it: pods that came and went would else pile up with each release. */
-    private static final long FORGET_AFTER = 60 * SECOND;
+    private static final long GONE_POD_RETENTION_NS = 60 * SECOND_NS;
 
     /**
      * A pod that owes answers and gave none for so many mean times of the slowest route is silent.
      */
-    private static final double SILENCE_MEANS = 4;
+    private static final double UNRESPONSIVE_MEANS = 4;
 
     /**
      * What waits in line longer, in shares of its latency objective, would come late from a
      * strained pod.
      */
-    private static final double LINE_WAIT = 0.35;
+    private static final double MAX_QUEUE_WAIT_SHARE = 0.35;
 
     /**
      * How many times sooner than a usual req a cheap one is shed, by its earnings for the time
      * taken.
      */
-    private static final double CHEAPEST = 4;
+    private static final double MAX_SHED_FACTOR = 4;
 
-    private static final double FAR_LOAD = 1.5;
+    private static final double CROSS_ZONE_LOAD_FACTOR = 1.5;
 
     /**
      * The part of the cap that keys which can't go back may take: their later reqs need room too.
      */
-    private static final double ONE_WAY_PART = 0.7;
+    private static final double MAX_ONE_WAY_KEY_SHARE = 0.7;
 
     /**
      * What the earlier build keeps to compare with, and what a trial in doubt gets: less delays
      * verdicts.
      */
-    private static final double KEPT = 0.08;
+    private static final double EARLIER_BUILD_SHARE = 0.08;
 
-    private static final double IN_DOUBT = 0.15;
+    private static final double SUSPECT_TRIAL_SHARE = 0.15;
 
     /**
      * Second copies: while this part of tries goes unanswered, after so many mean times, leaving so
      * many.
      */
-    private static final double LOST = 0.02;
+    private static final double HEDGE_UNANSWERED_SHARE = 0.02;
 
-    private static final double COPY_AFTER = 1.5;
-    private static final double COPY_LEAVES = 2;
-    private static final long TICK = 50 * MS;
+    private static final double HEDGE_DELAY_MEANS = 1.5;
+    private static final double HEDGE_REMAINING_MEANS = 2;
+    private static final long TICK_NS = 50 * MILLISECOND_NS;
 
     /** The process may be held up for so long between reading its clock and writing. */
-    private static final long HELD_UP = 150 * MS;
+    private static final long MAX_SUSPENSION_NS = 150 * MILLISECOND_NS;
 
     /** What was remembered counts for so many outcomes at most: a few fresh ones prove it wrong. */
-    private static final double PRIOR = 4;
+    private static final double MAX_RESTORED_WEIGHT = 4;
 
     enum DetectorState {
         NORMAL,
@@ -188,146 +188,165 @@
             super(mean, samples);
         }
 
-        void evaluate(double sample, double n, boolean sure) {
-            updateShortTerm(sample, SHORT_WEIGHT);
-            double above =
+        void evaluate(double sample, double outcomeCount, boolean conclusive) {
+            updateShortTerm(sample, SHORT_TERM_WEIGHT);
+            double deviations =
                     deviationsAboveMean(
-                            Math.max(DEVIATION_FLOOR, Math.sqrt(sample * (1 - sample) / n)));
-            boolean held = state == DetectorState.ALARM && above >= ALARM_CLEARS_AT;
-            DetectorState open = above > SUSPECT_AT ? DetectorState.SUSPECT : DetectorState.NORMAL;
-            state = above > ALARM_AT && sure || held ? DetectorState.ALARM : open;
+                            Math.max(
+                                    MIN_DEVIATION,
+                                    Math.sqrt(sample * (1 - sample) / outcomeCount)));
+            boolean staysInAlarm =
+                    state == DetectorState.ALARM && deviations >= ALARM_CLEAR_DEVIATIONS;
+            DetectorState nonAlarmState =
+                    deviations > SUSPECT_DEVIATIONS ? DetectorState.SUSPECT : DetectorState.NORMAL;
+            state =
+                    deviations > ALARM_DEVIATIONS && conclusive || staysInAlarm
+                            ? DetectorState.ALARM
+                            : nonAlarmState;
         }
     }
 
-    private final Settings set;
+    private final Settings settings;
     private final Settings.RolloutSettings rollout;
-    private final PolicyActions host;
+    private final PolicyActions actions;
     private final SplittableRandom random;
-    private final Map<String, RouteState> rows = new LinkedHashMap<>();
+    private final Map<String, RouteState> routes = new LinkedHashMap<>();
 
     /** By their place in the table; the last stands for all together. */
-    private final List<String> routes = new ArrayList<>();
+    private final List<String> routeNames = new ArrayList<>();
 
     private final Map<String, Pod> pods = new LinkedHashMap<>();
     private final Map<String, ZoneReachability> zones = new HashMap<>();
     private final PodListLease lease;
-    private final PodStartEstimator starts = new PodStartEstimator();
+    private final PodStartEstimator startEstimator = new PodStartEstimator();
     // Surveyed at each change and tick, so that no req costs more on a larger fleet.
-    private PodSet listed = new PodSet(List.of(), "");
+    private PodSet readyPods = new PodSet(List.of(), "");
 
     /** Those of the listed that may be sent to: all while discovery confirms the list. */
-    private PodSet whole = listed;
-
-    private PodSet onTrial = whole;
-    private PodSet notOnTrial = whole;
-    private int places;
-    private double trialPods;
-    private long shakenUntilNs;
-    private final OpenTryLatenessDetector doubt = new OpenTryLatenessDetector(MEASURE_HALF_LIFE);
-    private double silentAfterNs;
-    private boolean panic;
-    private boolean linksScarce;
-    private final DecayingMean lost = new DecayingMean(4 * MEASURE_HALF_LIFE);
-    private final DecayingMean refused = new DecayingMean(2 * MEASURE_HALF_LIFE);
-
-    private final Map<String, ReqState> held = new LinkedHashMap<>();
-    private final ArrayDeque<ReqState> firstTries = new ArrayDeque<>();
-    private final ArrayDeque<ReqState> furtherTries = new ArrayDeque<>();
-    private final ConcurrencyLimiter room;
-    private final DecayingSum taken = new DecayingSum(MEASURE_HALF_LIFE);
-    private final DecayingSum completed = new DecayingSum(MEASURE_HALF_LIFE);
-
-    private boolean watching;
+    private PodSet leasedPods = readyPods;
+
+    private PodSet trialPods = leasedPods;
+    private PodSet earlierPods = leasedPods;
+    private int earlierPodCount;
+    private double trialCapacityShare;
+    private long latenessUnreliableUntilNs;
+    private final OpenTryLatenessDetector openTryLateness =
+            new OpenTryLatenessDetector(STATS_HALF_LIFE_NS);
+    private double unresponsiveAfterNs;
+    private boolean panicMode;
+    private boolean connectionsScarce;
+    private final DecayingMean unansweredShare = new DecayingMean(4 * STATS_HALF_LIFE_NS);
+    private final DecayingMean refusedShare = new DecayingMean(2 * STATS_HALF_LIFE_NS);
+
+    private final Map<String, ReqState> openReqs = new LinkedHashMap<>();
+    private final ArrayDeque<ReqState> firstTryQueue = new ArrayDeque<>();
+    private final ArrayDeque<ReqState> retryQueue = new ArrayDeque<>();
+    private final ConcurrencyLimiter limiter;
+    private final DecayingSum arrivals = new DecayingSum(STATS_HALF_LIFE_NS);
+    private final DecayingSum completions = new DecayingSum(STATS_HALF_LIFE_NS);
+
+    private boolean watchOpen;
 
     /**
      * Whether discovery was asked and has neither answered nor failed: asking again would give up
      * the place in line.
      */
-    private boolean asking;
+    private boolean watchPending;
 
-    private long askAgainNs;
-    private int asksFailed;
+    private long watchRetryAtNs;
+    private int watchFailureCount;
 
-    private final ExposureBudget exposure;
-    private final BuildByKey answeredBy = new BuildByKey();
+    private final ExposureBudget exposureBudget;
+    private final BuildByKey buildByKey = new BuildByKey();
 
-    private boolean told;
-    private RolloutStatus news = new RolloutStatus(0, 0, RolloutStatus.Phase.RELEASED, 1, 0);
-    private long stageSinceNs;
-    private double everBefore;
-    private BuildOutcomes earlier;
-    private BuildOutcomes trial;
+    private boolean statusReceived;
+    private RolloutStatus rolloutStatus =
+            new RolloutStatus(0, 0, RolloutStatus.Phase.RELEASED, 1, 0);
+    private long stageStartedNs;
+    private double outcomeCountAtStageStart;
+    private BuildOutcomes earlierOutcomes;
+    private BuildOutcomes trialOutcomes;
     private final DegradationDetector[] detectors;
-    private DetectorState state = DetectorState.NORMAL;
+    private DetectorState detectorState = DetectorState.NORMAL;
 
-    private final VoteTracker ballot = new VoteTracker();
+    private final VoteTracker voteTracker = new VoteTracker();
 
-    public Policy(Settings set, long seed, long now, PolicyActions host) {
-        this.set = set;
-        this.rollout = set.rollout();
-        this.host = host;
+    public Policy(Settings settings, long seed, long nowNs, PolicyActions actions) {
+        this.settings = settings;
+        this.rollout = settings.rollout();
+        this.actions = actions;
         this.random = new SplittableRandom(seed);
-        this.room = new ConcurrencyLimiter(set.sidecarCount());
+        this.limiter = new ConcurrencyLimiter(settings.sidecarCount());
         this.lease =
                 new PodListLease(
-                        set.contract().listRefreshWithinNs(),
-                        set.contract().drainGraceNs(),
-                        set.policyLimits().connectTimeoutNs());
-        this.exposure = new ExposureBudget(rollout, set.routes().size());
-        for (Settings.RouteSettings r : set.routes()) {
-            rows.put(r.name(), new RouteState(r, rows.size(), 2 * MEASURE_HALF_LIFE, FIRST_MEAN));
+                        settings.contract().listRefreshWithinNs(),
+                        settings.contract().drainGraceNs(),
+                        settings.policyLimits().connectTimeoutNs());
+        this.exposureBudget = new ExposureBudget(rollout, settings.routes().size());
+        for (Settings.RouteSettings routeSettings : settings.routes()) {
+            routes.put(
+                    routeSettings.name(),
+                    new RouteState(
+                            routeSettings,
+                            routes.size(),
+                            2 * STATS_HALF_LIFE_NS,
+                            INITIAL_TRY_TIME_SHARE));
         }
-        routes.addAll(rows.keySet());
-        routes.add("");
-        earlier = new BuildOutcomes(rows.size(), SAMPLE_HALF_LIFE, FLAG_HALF_LIFE);
-        trial = new BuildOutcomes(rows.size(), SAMPLE_HALF_LIFE, FLAG_HALF_LIFE);
-        detectors = new DegradationDetector[2 * rows.size() + 2];
+        routeNames.addAll(routes.keySet());
+        routeNames.add("");
+        earlierOutcomes =
+                new BuildOutcomes(routes.size(), SAMPLE_HALF_LIFE_NS, COMPLAINT_HALF_LIFE_NS);
+        trialOutcomes =
+                new BuildOutcomes(routes.size(), SAMPLE_HALF_LIFE_NS, COMPLAINT_HALF_LIFE_NS);
+        detectors = new DegradationDetector[2 * routes.size() + 2];
         // What is late is so defined that the earlier build's share is known before any is seen.
         Arrays.setAll(
                 detectors,
                 i ->
                         i % 2 == 0
                                 ? new DegradationDetector(0, 0)
-                                : new DegradationDetector(1 - LATE_QUANTILE, 1 / LONG_WEIGHT));
-        host.scheduleTimer(now + SECOND, "sample");
-        host.scheduleTimer(now + TICK, "tick");
-        if (set.requiresListWatch()) {
-            askForList();
+                                : new DegradationDetector(1 - LATE_QUANTILE, 1 / LONG_TERM_WEIGHT));
+        actions.scheduleTimer(nowNs + SECOND_NS, "sample");
+        actions.scheduleTimer(nowNs + TICK_NS, "tick");
+        if (settings.requiresListWatch()) {
+            watchPodList();
         }
     }
 
     // ---- The list of pods.
 
-    public void onPodListReplaced(long now, List<PodEntry> entries) {
+    public void onPodListReplaced(long nowNs, List<PodEntry> entries) {
         Map<String, Pod> missing = new HashMap<>(pods);
         entries.forEach(e -> missing.remove(e.id()));
         missing.values().forEach(p -> p.listEntry = p.listEntry.withStateGone());
-        onPodListUpdated(now, entries);
+        onPodListUpdated(nowNs, entries);
     }
 
-    public void onPodListUpdated(long now, List<PodEntry> entries) {
-        long beforeNs = lease.lastConfirmedNs();
-        onPodListConfirmed(now);
-        for (PodEntry e : entries) {
-            ZoneReachability in = zones.computeIfAbsent(e.zone(), z -> new ZoneReachability());
-            Pod p = pods.computeIfAbsent(e.id(), id -> new Pod(e, MEASURE_HALF_LIFE));
-            p.update(e, in, starts, beforeNs, now);
+    public void onPodListUpdated(long nowNs, List<PodEntry> entries) {
+        long lastConfirmedNs = lease.lastConfirmedNs();
+        onPodListConfirmed(nowNs);
+        for (PodEntry entry : entries) {
+            ZoneReachability zoneReachability =
+                    zones.computeIfAbsent(entry.zone(), z -> new ZoneReachability());
+            Pod pod = pods.computeIfAbsent(entry.id(), id -> new Pod(entry, STATS_HALF_LIFE_NS));
+            pod.update(entry, zoneReachability, startEstimator, lastConfirmedNs, nowNs);
         }
-        if (!told) {
+        if (!statusReceived) {
             // Until there is news, all but the lowest build counts as on trial.
-            int lowest = pods.values().stream().mapToInt(p -> p.listEntry.build()).min().orElse(0);
-            news = new RolloutStatus(lowest, 0, RolloutStatus.Phase.RELEASED, 1, 0);
+            int lowestBuild =
+                    pods.values().stream().mapToInt(pod -> pod.listEntry.build()).min().orElse(0);
+            rolloutStatus = new RolloutStatus(lowestBuild, 0, RolloutStatus.Phase.RELEASED, 1, 0);
         }
-        survey(now);
-        serveLines(now);
+        updatePodSets(nowNs);
+        serveQueues(nowNs);
     }
 
     /** A watch stands and has nothing new to tell. */
-    public void onPodListConfirmed(long now) {
-        watching = true;
-        asking = false;
-        asksFailed = 0;
-        lease.onConfirmed(now);
+    public void onPodListConfirmed(long nowNs) {
+        watchOpen = true;
+        watchPending = false;
+        watchFailureCount = 0;
+        lease.onConfirmed(nowNs);
     }
 
     /**
@@ -344,81 +363,90 @@
     }
 
     /** A call to discovery has ended, and did reach it or found nobody there. */
-    public void onDiscoveryCallEnded(long now, boolean reached) {
-        lease.onDiscoveryCall(reached, now);
+    public void onDiscoveryCallEnded(long nowNs, boolean reached) {
+        lease.onDiscoveryCall(reached, nowNs);
     }
 
     /** Another discovery is being asked from now on. */
     public void onDiscoveryChanged() {
-        watching = false;
-        asking = true;
+        watchOpen = false;
+        watchPending = true;
         lease.onDiscoveryChanged();
     }
 
     /** The wall clock by which the list tells starts of servers was stepped. */
     public void onWallClockStepped() {
-        starts.onWallClockStepped();
-    }
-
-    private void survey(long now) {
-        pods.values().removeIf(p -> p.idleSinceGoneNs(now) > FORGET_AFTER);
-        listed = new PodSet(pods.values().stream().filter(Pod::isReady).toList(), set.zone());
-        whole = listed.filter(p -> lease.allows(now, p));
-        onTrial = whole.filter(p -> news.isBuildOnTrial(p.listEntry.build()));
-        notOnTrial = whole.filter(p -> !news.isBuildOnTrial(p.listEntry.build()));
-        onTrial.all().forEach(p -> exposure.tokensOf(p.listEntry.build()));
-        places = onTrial.all().isEmpty() ? 0 : Math.max(places, notOnTrial.all().size());
-        double slowest =
-                rows.values().stream().mapToDouble(r -> r.meanTryTimeNs(now)).max().orElse(0);
-        silentAfterNs = SILENCE_MEANS * slowest;
-        room.initializeLimit(now, listed.all().size());
+        startEstimator.onWallClockStepped();
+    }
+
+    private void updatePodSets(long nowNs) {
+        pods.values().removeIf(p -> p.idleSinceGoneNs(nowNs) > GONE_POD_RETENTION_NS);
+        readyPods =
+                new PodSet(pods.values().stream().filter(Pod::isReady).toList(), settings.zone());
+        leasedPods = readyPods.filter(p -> lease.allows(nowNs, p));
+        trialPods = leasedPods.filter(p -> rolloutStatus.isBuildOnTrial(p.listEntry.build()));
+        earlierPods = leasedPods.filter(p -> !rolloutStatus.isBuildOnTrial(p.listEntry.build()));
+        trialPods.all().forEach(p -> exposureBudget.tokensOf(p.listEntry.build()));
+        earlierPodCount =
+                trialPods.all().isEmpty() ? 0 : Math.max(earlierPodCount, earlierPods.all().size());
+        double slowestMeanNs =
+                routes.values().stream().mapToDouble(r -> r.meanTryTimeNs(nowNs)).max().orElse(0);
+        unresponsiveAfterNs = UNRESPONSIVE_MEANS * slowestMeanNs;
+        limiter.initializeLimit(nowNs, readyPods.all().size());
         // Pods that take no more connections look like dead ones; either way what answered lately
         // serves.
-        linksScarce =
-                refused.meanAt(now, 0, 4) > SCARCE
-                        && whole.count(p -> linked(now, p)) > room.openTryCount();
+        connectionsScarce =
+                refusedShare.meanAt(nowNs, 0, 4) > MAX_REFUSED_SHARE
+                        && leasedPods.count(p -> isConnected(nowNs, p)) > limiter.openTryCount();
         // Pods that can't be reached would not help those that can.
-        long lit = whole.count(p -> !dark(p));
-        panic = whole.count(p -> fit(now, p)) < PANIC_PART * lit;
-        trialPods =
+        long reachableCount = leasedPods.count(p -> !isUnreachable(p));
+        panicMode =
+                leasedPods.count(p -> isHealthy(nowNs, p)) < PANIC_HEALTHY_SHARE * reachableCount;
+        trialCapacityShare =
                 Math.min(
                         1,
-                        onTrial.count(p -> !cold(now, p) && fit(now, p)) / Math.max(1.0, places));
+                        trialPods.count(p -> !isInSlowStart(nowNs, p) && isHealthy(nowNs, p))
+                                / Math.max(1.0, earlierPodCount));
         // What the loss of a major part did to the rest must have faded before it can tell of a
         // build.
-        shakenUntilNs =
-                lit < (1 - MINOR) * whole.all().size() ? now + 2 * SAMPLE_HALF_LIFE : shakenUntilNs;
+        latenessUnreliableUntilNs =
+                reachableCount < (1 - MAX_FAULTY_POD_SHARE) * leasedPods.all().size()
+                        ? nowNs + 2 * SAMPLE_HALF_LIFE_NS
+                        : latenessUnreliableUntilNs;
     }
 
     /**
      * Whether a watch still stands can't be told from this, so it is asked for again, ever more
      * rarely.
      */
-    public void onPodListWatchFailed(long now) {
-        watching = false;
-        asking = false;
-        long most = Math.max(SECOND, set.contract().listRefreshWithinNs() / 3);
-        long wait = Math.min(SECOND << Math.min(++asksFailed, 4), most);
-        askAgainNs = now + wait / 2 + random.nextLong(wait / 2 + 1);
+    public void onPodListWatchFailed(long nowNs) {
+        watchOpen = false;
+        watchPending = false;
+        long maxDelayNs = Math.max(SECOND_NS, settings.contract().listRefreshWithinNs() / 3);
+        long delayNs = Math.min(SECOND_NS << Math.min(++watchFailureCount, 4), maxDelayNs);
+        watchRetryAtNs = nowNs + delayNs / 2 + random.nextLong(delayNs / 2 + 1);
     }
 
-    private void askForList() {
-        asking = true;
-        host.watchPodList();
+    private void watchPodList() {
+        watchPending = true;
+        actions.watchPodList();
     }
 
     // ---- Reqs.
 
-    public void onReq(long now, Req req) {
-        ReqState rq = new ReqState(req, rows.get(req.route()), now);
-        held.put(req.id(), rq);
-        taken.add(now, 1);
-        room.recordDemand(now, rq.route.meanTryTimeNs(now), rq.route.settings.latencyObjectiveNs());
-        exposure.accrue(news, rq.route.index);
-        if (random.nextDouble() < shedChance(now, rq)) {
-            giveUp(now, rq);
+    public void onReq(long nowNs, Req req) {
+        ReqState reqState = new ReqState(req, routes.get(req.route()), nowNs);
+        openReqs.put(req.id(), reqState);
+        arrivals.add(nowNs, 1);
+        limiter.recordDemand(
+                nowNs,
+                reqState.route.meanTryTimeNs(nowNs),
+                reqState.route.settings.latencyObjectiveNs());
+        exposureBudget.accrue(rolloutStatus, reqState.route.index);
+        if (random.nextDouble() < shedProbability(nowNs, reqState)) {
+            shedOrFail(nowNs, reqState);
         } else {
-            join(now, rq);
+            sendOrEnqueue(nowNs, reqState);
         }
     }
 
@@ -426,171 +454,197 @@
      * By chance, the cheaper the more often: a full line would turn away the dear ones just as
      * well.
      */
-    private double shedChance(long now, ReqState rq) {
-        double waitNs =
-                room.estimatedQueueWaitNs(
-                        firstTries.size(),
-                        completed.ratePerSecond(now),
-                        rq.route.meanTryTimeNs(now));
-        double pressure = waitNs / rq.route.settings.latencyObjectiveNs() / LINE_WAIT - 0.25;
-        double mean =
-                rows.values().stream().mapToDouble(r -> r.valuePerNs(now)).average().orElse(0);
+    private double shedProbability(long nowNs, ReqState reqState) {
+        double queueWaitNs =
+                limiter.estimatedQueueWaitNs(
+                        firstTryQueue.size(),
+                        completions.ratePerSecond(nowNs),
+                        reqState.route.meanTryTimeNs(nowNs));
+        double pressure =
+                queueWaitNs / reqState.route.settings.latencyObjectiveNs() / MAX_QUEUE_WAIT_SHARE
+                        - 0.25;
+        double meanValuePerNs =
+                routes.values().stream().mapToDouble(r -> r.valuePerNs(nowNs)).average().orElse(0);
         return Math.min(
-                0.95, pressure * Math.min(CHEAPEST, Math.pow(mean / rq.route.valuePerNs(now), 2)));
-    }
-
-    private void join(long now, ReqState rq) {
-        if (now >= lastChance(now, rq) && !send(now, rq)) {
-            giveUp(now, rq);
-        } else if (now < lastChance(now, rq) && !send(now, rq)) {
-            (rq.tries.isEmpty() ? firstTries : furtherTries).add(rq);
+                0.95,
+                pressure
+                        * Math.min(
+                                MAX_SHED_FACTOR,
+                                Math.pow(meanValuePerNs / reqState.route.valuePerNs(nowNs), 2)));
+    }
+
+    private void sendOrEnqueue(long nowNs, ReqState reqState) {
+        if (nowNs >= queueDeadlineNs(nowNs, reqState) && !sendTry(nowNs, reqState)) {
+            shedOrFail(nowNs, reqState);
+        } else if (nowNs < queueDeadlineNs(nowNs, reqState) && !sendTry(nowNs, reqState)) {
+            (reqState.tries.isEmpty() ? firstTryQueue : retryQueue).add(reqState);
         }
     }
 
     /**
      * When waiting stops making sense: the answer would come after the latency objective, or never.
      */
-    private long lastChance(long now, ReqState rq) {
-        double objective = rq.route.settings.latencyObjectiveNs();
-        double wait =
-                rq.tries.isEmpty()
-                        ? LINE_WAIT * objective
-                        : objective - rq.route.meanTryTimeNs(now);
-        return Math.min(rq.arrivedNs + (long) wait, rq.lastSendNs() - TICK - 2 * set.clockStepNs());
+    private long queueDeadlineNs(long nowNs, ReqState reqState) {
+        double objectiveNs = reqState.route.settings.latencyObjectiveNs();
+        double maxWaitNs =
+                reqState.tries.isEmpty()
+                        ? MAX_QUEUE_WAIT_SHARE * objectiveNs
+                        : objectiveNs - reqState.route.meanTryTimeNs(nowNs);
+        return Math.min(
+                reqState.arrivedNs + (long) maxWaitNs,
+                reqState.lastSendNs() - TICK_NS - 2 * settings.clockStepNs());
     }
 
-    private void serveLines(long now) {
-        serve(now, firstTries);
-        serve(now, furtherTries);
+    private void serveQueues(long nowNs) {
+        serveQueue(nowNs, firstTryQueue);
+        serveQueue(nowNs, retryQueue);
     }
 
-    private void serve(long now, ArrayDeque<ReqState> line) {
+    private void serveQueue(long nowNs, ArrayDeque<ReqState> queue) {
         // What finds no pod for one first try finds none for the next of its route: a long line
         // costs little.
-        boolean[] stuck = new boolean[rows.size()];
-        for (ReqState rq : List.copyOf(line)) {
-            if (now >= lastChance(now, rq) && !rq.answered) {
-                giveUp(now, rq);
+        boolean[] blockedRoutes = new boolean[routes.size()];
+        for (ReqState reqState : List.copyOf(queue)) {
+            if (nowNs >= queueDeadlineNs(nowNs, reqState) && !reqState.answered) {
+                shedOrFail(nowNs, reqState);
             }
-            if (rq.answered || !stuck[rq.route.index] && send(now, rq)) {
-                line.remove(rq);
+            if (reqState.answered
+                    || !blockedRoutes[reqState.route.index] && sendTry(nowNs, reqState)) {
+                queue.remove(reqState);
             } else {
-                stuck[rq.route.index] |= rq.tries.isEmpty();
+                blockedRoutes[reqState.route.index] |= reqState.tries.isEmpty();
             }
         }
     }
 
-    private boolean send(long now, ReqState rq) {
-        Pod pod = room.hasCapacity() ? pick(now, rq) : null;
+    private boolean sendTry(long nowNs, ReqState reqState) {
+        Pod pod = limiter.hasCapacity() ? pickPod(nowNs, reqState) : null;
         if (pod == null) {
             return false;
         }
-        boolean fresh = now < pod.startedNs + FRESH_PART * set.contract().slowStartNs();
-        Try t = new Try(pod, now, !fresh, pod.listEntry.build(), linked(now, pod));
+        boolean warmingUp =
+                nowNs
+                        < pod.startedNs
+                                + UNJUDGED_SLOW_START_SHARE * settings.contract().slowStartNs();
+        Try sentTry =
+                new Try(pod, nowNs, !warmingUp, pod.listEntry.build(), isConnected(nowNs, pod));
         // No time-out of our own: one that a busy pod misses is work done twice; silent pods show
         // sooner.
-        long limitNs = rq.deadlineNs - now - set.clockStepNs();
-        long writeWithinNs = rq.isRetryScopeBound() ? rq.lastSendNs() - now - HELD_UP : limitNs;
-        rq.addTry(t);
-        rq.failoverPending = false;
-        pod.unansweredSinceNs = pod.openTryCount++ == 0 ? now : pod.unansweredSinceNs;
-        room.onTryStarted();
-        if (cold(now, pod)) {
+        long timeoutNs = reqState.deadlineNs - nowNs - settings.clockStepNs();
+        long writeWithinNs =
+                reqState.isRetryScopeBound()
+                        ? reqState.lastSendNs() - nowNs - MAX_SUSPENSION_NS
+                        : timeoutNs;
+        reqState.addTry(sentTry);
+        reqState.failoverPending = false;
+        pod.unansweredSinceNs = pod.openTryCount++ == 0 ? nowNs : pod.unansweredSinceNs;
+        limiter.onTryStarted();
+        if (isInSlowStart(nowNs, pod)) {
             pod.slowStartTokens--;
         }
-        if (dark(pod)) {
-            pod.zoneReachability.scheduleNextProbe(now, SICK_FOR, SICK_FOR << DARK_GROWTH, random);
+        if (isUnreachable(pod)) {
+            pod.zoneReachability.scheduleNextProbe(
+                    nowNs, BASE_EJECTION_NS, BASE_EJECTION_NS << ZONE_PROBE_DOUBLINGS, random);
         }
-        if (news.isBuildOnTrial(t.build())) {
-            exposure.consume(t.build(), rq.route.index);
+        if (rolloutStatus.isBuildOnTrial(sentTry.build())) {
+            exposureBudget.consume(sentTry.build(), reqState.route.index);
         }
-        host.startTry(rq.req.id(), pod.id, writeWithinNs, limitNs);
+        actions.startTry(reqState.req.id(), pod.id, writeWithinNs, timeoutNs);
         return true;
     }
 
-    public void onStreamStarted(long now, String id) {
-        ReqState rq = held.get(id);
-        if (rq != null) {
-            rq.streaming = true;
+    public void onStreamStarted(long nowNs, String reqId) {
+        ReqState reqState = openReqs.get(reqId);
+        if (reqState != null) {
+            reqState.streaming = true;
         }
     }
 
     public void onTryEnded(
-            long now, String id, int tryNo, TryOutcome ending, long tookNs, boolean complete) {
-        ReqState rq = held.get(id);
-        if (rq == null || tryNo < 0 || tryNo >= rq.tries.size()) {
+            long nowNs,
+            String reqId,
+            int tryNumber,
+            TryOutcome outcome,
+            long durationNs,
+            boolean complete) {
+        ReqState reqState = openReqs.get(reqId);
+        if (reqState == null || tryNumber < 0 || tryNumber >= reqState.tries.size()) {
             return;
         }
-        Try t = rq.tries.get(tryNo);
+        Try t = reqState.tries.get(tryNumber);
         t.pod().openTryCount--;
-        rq.endTry(tryNo, ending);
-        room.onTryEnded();
-        if (ending != TryOutcome.MOOT) {
-            measure(now, rq.route, t, ending, tookNs);
+        reqState.endTry(tryNumber, outcome);
+        limiter.onTryEnded();
+        if (outcome != TryOutcome.MOOT) {
+            updateStats(nowNs, reqState.route, t, outcome, durationNs);
         }
-        if (ending == TryOutcome.OK) {
+        if (outcome == TryOutcome.OK) {
             lease.onServed(t.pod(), t.sentNs());
-        } else if (ending == TryOutcome.CONNECT_FAILED || ending == TryOutcome.RESET) {
-            lease.onConnectionFailed(t.pod(), now);
+        } else if (outcome == TryOutcome.CONNECT_FAILED || outcome == TryOutcome.RESET) {
+            lease.onConnectionFailed(t.pod(), nowNs);
         }
         // A try called back late was late: else a slow build would hide behind the rescue of its
         // reqs.
-        if (ending != TryOutcome.MOOT
-                && (ending != TryOutcome.CANCELLED || tookNs > rq.route.lateThresholdNs)) {
-            weigh(now, rq.route, t, ending, tookNs);
+        if (outcome != TryOutcome.MOOT
+                && (outcome != TryOutcome.CANCELLED
+                        || durationNs > reqState.route.lateThresholdNs)) {
+            recordEvidence(nowNs, reqState.route, t, outcome, durationNs);
         }
-        if (ending == TryOutcome.OK && rollout.keysAreOneWay() && rq.req.key() >= 0) {
-            answeredBy.recordAnswer(rq.req.key(), t.build());
+        if (outcome == TryOutcome.OK && rollout.keysAreOneWay() && reqState.req.key() >= 0) {
+            buildByKey.recordAnswer(reqState.req.key(), t.build());
         }
-        rq.answered |= complete || rq.streaming;
-        if (!rq.answered && rq.openTryNumbers.isEmpty() && mayGoAgain(now, rq)) {
-            join(now, rq);
-        } else if (!rq.answered && rq.openTryNumbers.isEmpty()) {
-            giveUp(now, rq);
+        reqState.answered |= complete || reqState.streaming;
+        if (!reqState.answered && reqState.openTryNumbers.isEmpty() && canRetry(nowNs, reqState)) {
+            sendOrEnqueue(nowNs, reqState);
+        } else if (!reqState.answered && reqState.openTryNumbers.isEmpty()) {
+            shedOrFail(nowNs, reqState);
         }
-        settle(rq);
-        serveLines(now);
+        finishIfAnswered(reqState);
+        serveQueues(nowNs);
     }
 
-    private boolean mayGoAgain(long now, ReqState rq) {
-        return now < lastChance(now, rq)
-                && rq.tries.size() < set.policyLimits().maxTries()
-                && rq.errorCount < OWN_FAULT
-                && rq.isRetryAllowed();
+    private boolean canRetry(long nowNs, ReqState reqState) {
+        return nowNs < queueDeadlineNs(nowNs, reqState)
+                && reqState.tries.size() < settings.policyLimits().maxTries()
+                && reqState.errorCount < MAX_ERRORS_PER_REQ
+                && reqState.isRetryAllowed();
     }
 
     /**
      * The answer goes out at once: a shed reply where a repeat is harmless, so the client may
      * return.
      */
-    private void giveUp(long now, ReqState rq) {
-        rq.answered = true;
-        if (rq.isSafeToShed()) {
-            long backoff =
+    private void shedOrFail(long nowNs, ReqState reqState) {
+        reqState.answered = true;
+        if (reqState.isSafeToShed()) {
+            long backoffNs =
                     Math.min(
-                            set.policyLimits().maxRetryAfterNs(),
-                            rq.route.settings.latencyObjectiveNs() / 4);
-            host.shedReq(rq.req.id(), set.policyLimits().canAdviseRetryAfter() ? backoff : 0);
+                            settings.policyLimits().maxRetryAfterNs(),
+                            reqState.route.settings.latencyObjectiveNs() / 4);
+            actions.shedReq(
+                    reqState.req.id(),
+                    settings.policyLimits().canAdviseRetryAfter() ? backoffNs : 0);
         } else {
-            host.failReq(rq.req.id());
+            actions.failReq(reqState.req.id());
         }
-        settle(rq);
+        finishIfAnswered(reqState);
     }
 
-    public void onClientDisconnected(long now, String id) {
-        ReqState rq = held.get(id);
-        if (rq != null) {
-            rq.answered = true;
-            settle(rq);
+    public void onClientDisconnected(long nowNs, String reqId) {
+        ReqState reqState = openReqs.get(reqId);
+        if (reqState != null) {
+            reqState.answered = true;
+            finishIfAnswered(reqState);
         }
     }
 
-    private void settle(ReqState rq) {
-        if (rq.answered && set.policyLimits().canCancel() && !rq.streaming) {
-            rq.openTryNumbers.stream().forEach(no -> host.cancelTry(rq.req.id(), no));
+    private void finishIfAnswered(ReqState reqState) {
+        if (reqState.answered && settings.policyLimits().canCancel() && !reqState.streaming) {
+            reqState.openTryNumbers.stream()
+                    .forEach(tryNumber -> actions.cancelTry(reqState.req.id(), tryNumber));
         }
-        if (rq.answered && rq.openTryNumbers.isEmpty()) {
-            held.remove(rq.req.id());
+        if (reqState.answered && reqState.openTryNumbers.isEmpty()) {
+            openReqs.remove(reqState.req.id());
         }
     }
 
@@ -598,15 +652,22 @@
      * Two random choices by load among the pods the req may go to, the first a near one if there is
      * any.
      */
-    private Pod pick(long now, ReqState rq) {
-        double part = trialPart(now);
+    private Pod pickPod(long nowNs, ReqState reqState) {
+        double trialShare = trialShare(nowNs);
         Pod pod =
-                part == 0
+                trialShare == 0
                         ? null
-                        : twoChoices(now, rq, random.nextDouble() < part ? onTrial : notOnTrial);
-        pod = pod == null ? twoChoices(now, rq, whole) : pod;
+                        : pickByTwoChoices(
+                                nowNs,
+                                reqState,
+                                random.nextDouble() < trialShare ? trialPods : earlierPods);
+        pod = pod == null ? pickByTwoChoices(nowNs, reqState, leasedPods) : pod;
         return pod == null
-                ? PodSet.pickRandom(whole.all(), random, DRAWS, p -> allowed(now, rq, p))
+                ? PodSet.pickRandom(
+                        leasedPods.all(),
+                        random,
+                        MAX_RANDOM_DRAWS,
+                        p -> isAllowed(nowNs, reqState, p))
                 : pod;
     }
 
@@ -616,94 +677,102 @@
      * verdicts need. Cold pods and those out of reach don't count: the rest of the trial would
      * carry their load and look slow for it.
      */
-    private double trialPart(long now) {
-        return rollout.keysAreOneWay() && !onTrial.all().isEmpty()
+    private double trialShare(long nowNs) {
+        return rollout.keysAreOneWay() && !trialPods.all().isEmpty()
                 ? 1
                 : Math.min(
-                        trialPods,
-                        state == DetectorState.NORMAL && !doubt.isSuspected(now)
-                                ? 1 - KEPT
-                                : IN_DOUBT);
+                        trialCapacityShare,
+                        detectorState == DetectorState.NORMAL && !openTryLateness.isSuspected(nowNs)
+                                ? 1 - EARLIER_BUILD_SHARE
+                                : SUSPECT_TRIAL_SHARE);
     }
 
-    private Pod twoChoices(long now, ReqState rq, PodSet of) {
-        Predicate<Pod> fits = p -> suits(now, rq, p) && allowed(now, rq, p);
-        Pod a = PodSet.pickRandom(of.local(), random, DRAWS, fits);
-        Pod b = PodSet.pickRandom(of.all(), random, DRAWS, fits);
-        return a == null || b != null && load(now, b) < load(now, a) ? b : a;
+    private Pod pickByTwoChoices(long nowNs, ReqState reqState, PodSet candidates) {
+        Predicate<Pod> isCandidate =
+                p -> isPreferred(nowNs, reqState, p) && isAllowed(nowNs, reqState, p);
+        Pod first = PodSet.pickRandom(candidates.local(), random, MAX_RANDOM_DRAWS, isCandidate);
+        Pod second = PodSet.pickRandom(candidates.all(), random, MAX_RANDOM_DRAWS, isCandidate);
+        return first == null
+                        || second != null
+                                && weightedLoad(nowNs, second) < weightedLoad(nowNs, first)
+                ? second
+                : first;
     }
 
     /**
      * Where most pods fail, resting them would jam the few: then they are no worse than the rest.
      */
-    private boolean suits(long now, ReqState rq, Pod p) {
-        return (panic || fit(now, p))
-                && (!linksScarce || linked(now, p))
-                && rq.tries.stream().noneMatch(t -> t.pod() == p);
+    private boolean isPreferred(long nowNs, ReqState reqState, Pod pod) {
+        return (panicMode || isHealthy(nowNs, pod))
+                && (!connectionsScarce || isConnected(nowNs, pod))
+                && reqState.tries.stream().noneMatch(t -> t.pod() == pod);
     }
 
-    private boolean linked(long now, Pod p) {
-        return p.openTryCount > 0
-                || now < p.lastAnswerNs + set.policyLimits().connectionIdleTimeoutNs();
+    private boolean isConnected(long nowNs, Pod pod) {
+        return pod.openTryCount > 0
+                || nowNs < pod.lastAnswerNs + settings.policyLimits().connectionIdleTimeoutNs();
     }
 
-    private double load(long now, Pod p) {
-        double far =
-                set.prices().crossZone() > 0 && !p.listEntry.zone().equals(set.zone())
-                        ? FAR_LOAD
+    private double weightedLoad(long nowNs, Pod pod) {
+        double zoneFactor =
+                settings.prices().crossZone() > 0 && !pod.listEntry.zone().equals(settings.zone())
+                        ? CROSS_ZONE_LOAD_FACTOR
                         : 1;
-        return far
-                * (p.openTryCount + 1)
-                * p.relativeLatency.meanAt(now, 1, 2)
-                / Math.max(0.01, p.listEntry.weight());
-    }
-
-    private boolean allowed(long now, ReqState rq, Pod p) {
-        return p.isReady()
-                && lease.allows(now, p)
-                && rq.canSendTo(p.listEntry)
-                && exposureRoom(now, rq, p)
-                && coldRoom(now, p);
-    }
-
-    private void measure(long now, RouteState row, Try t, TryOutcome ending, long tookNs) {
-        Pod p = t.pod();
-        boolean unanswered = ending == TryOutcome.TIMEOUT || ending == TryOutcome.CANCELLED;
-        room.recordLatency(now, tookNs / (double) row.settings.latencyObjectiveNs(), unanswered);
-        lost.add(now, unanswered && tookNs > silentAfterNs ? 1 : 0);
-        if (ending == TryOutcome.CANCELLED) {
+        return zoneFactor
+                * (pod.openTryCount + 1)
+                * pod.relativeLatency.meanAt(nowNs, 1, 2)
+                / Math.max(0.01, pod.listEntry.weight());
+    }
+
+    private boolean isAllowed(long nowNs, ReqState reqState, Pod pod) {
+        return pod.isReady()
+                && lease.allows(nowNs, pod)
+                && reqState.canSendTo(pod.listEntry)
+                && isExposureAllowed(nowNs, reqState, pod)
+                && hasSlowStartToken(nowNs, pod);
+    }
+
+    private void updateStats(
+            long nowNs, RouteState route, Try sentTry, TryOutcome outcome, long durationNs) {
+        Pod pod = sentTry.pod();
+        boolean isUnanswered = outcome == TryOutcome.TIMEOUT || outcome == TryOutcome.CANCELLED;
+        limiter.recordLatency(
+                nowNs, durationNs / (double) route.settings.latencyObjectiveNs(), isUnanswered);
+        unansweredShare.add(nowNs, isUnanswered && durationNs > unresponsiveAfterNs ? 1 : 0);
+        if (outcome == TryOutcome.CANCELLED) {
             return;
         }
-        if (!t.wasConnected()) {
-            refused.add(now, ending == TryOutcome.CONNECT_FAILED ? 1 : 0);
+        if (!sentTry.wasConnected()) {
+            refusedShare.add(nowNs, outcome == TryOutcome.CONNECT_FAILED ? 1 : 0);
         }
-        p.onTryEnded(now, unanswered, ending == TryOutcome.CONNECT_FAILED);
-        if (unanswered || ending == TryOutcome.CONNECT_FAILED) {
-            p.zoneReachability.onNoAnswer(now, p, DARK_PODS);
+        pod.onTryEnded(nowNs, isUnanswered, outcome == TryOutcome.CONNECT_FAILED);
+        if (isUnanswered || outcome == TryOutcome.CONNECT_FAILED) {
+            pod.zoneReachability.onNoAnswer(nowNs, pod, UNREACHABLE_ZONE_POD_COUNT);
         } else {
-            p.zoneReachability.onAnswer();
+            pod.zoneReachability.onAnswer();
         }
-        if (ending == TryOutcome.OK || unanswered) {
-            p.relativeLatency.add(now, tookNs / row.meanTryTimeNs(now));
-            row.tryTimes.add(now, tookNs);
+        if (outcome == TryOutcome.OK || isUnanswered) {
+            pod.relativeLatency.add(nowNs, durationNs / route.meanTryTimeNs(nowNs));
+            route.tryTimes.add(nowNs, durationNs);
         }
-        if (ending == TryOutcome.OK) {
-            completed.add(now, 1);
+        if (outcome == TryOutcome.OK) {
+            completions.add(nowNs, 1);
             // A pod that fails half of its tries must not be cleared by one lucky answer.
-            p.failureScore = Math.max(0, p.failureScore - 1);
-        } else if (ending != TryOutcome.FULL) {
-            p.failureScore = Math.min(MOST_STRIKES, p.failureScore + 2);
-            p.ejectedUntilNs = now + (SICK_FOR << p.failureScore - 2);
+            pod.failureScore = Math.max(0, pod.failureScore - 1);
+        } else if (outcome != TryOutcome.FULL) {
+            pod.failureScore = Math.min(MAX_FAILURE_SCORE, pod.failureScore + 2);
+            pod.ejectedUntilNs = nowNs + (BASE_EJECTION_NS << pod.failureScore - 2);
         }
     }
 
     /** A pod that failed lately rests; then one try at a time shows whether it is back. */
-    private boolean fit(long now, Pod p) {
-        boolean rested =
-                p.failureScore < SICK_STRIKES || now >= p.ejectedUntilNs && p.openTryCount == 0;
-        return rested
-                && !p.isUnresponsive(now, silentAfterNs)
-                && (!dark(p) || p.zoneReachability.canProbe(now));
+    private boolean isHealthy(long nowNs, Pod pod) {
+        boolean admitted =
+                pod.failureScore < EJECTION_SCORE
+                        || nowNs >= pod.ejectedUntilNs && pod.openTryCount == 0;
+        return admitted
+                && !pod.isUnresponsive(nowNs, unresponsiveAfterNs)
+                && (!isUnreachable(pod) || pod.zoneReachability.canProbe(nowNs));
     }
 
     /**
@@ -712,30 +781,33 @@
      * zone that gave nothing in a row stand for all; then a try now and then shows whether it is
      * back. What starts anew is left out.
      */
-    private static boolean dark(Pod p) {
-        return p.zoneReachability.isUnreachable(p.startedNs);
+    private static boolean isUnreachable(Pod pod) {
+        return pod.zoneReachability.isUnreachable(pod.startedNs);
     }
 
     /**
      * What lies at silent pods is called back, to go elsewhere; what may be lost on the way goes
      * twice.
      */
-    private void rescue(long now) {
-        for (ReqState rq : held.values()) {
-            if (!rq.isWaitingForSingleTry() || !mayGoAgain(now, rq)) {
+    private void failOverAndHedge(long nowNs) {
+        for (ReqState reqState : openReqs.values()) {
+            if (!reqState.isWaitingForSingleTry() || !canRetry(nowNs, reqState)) {
                 continue;
             }
-            int no = rq.openTryNumbers.nextSetBit(0);
-            Pod at = rq.tries.get(no).pod();
-            double after = dark(at) ? silentAfterNs / SILENCE_MEANS : silentAfterNs;
-            if (set.policyLimits().canCancel() && at.isUnresponsive(now, after)) {
-                rq.failoverPending = true;
-                at.failureScore = MOST_STRIKES;
-                at.ejectedUntilNs = now + SICK_FOR;
-                at.zoneReachability.onNoAnswer(now, at, DARK_PODS);
-                host.cancelTry(rq.req.id(), no);
-            } else if (set.policyLimits().canHedge() && now >= secondCopyAt(now, rq)) {
-                send(now, rq);
+            int tryNumber = reqState.openTryNumbers.nextSetBit(0);
+            Pod pod = reqState.tries.get(tryNumber).pod();
+            double thresholdNs =
+                    isUnreachable(pod)
+                            ? unresponsiveAfterNs / UNRESPONSIVE_MEANS
+                            : unresponsiveAfterNs;
+            if (settings.policyLimits().canCancel() && pod.isUnresponsive(nowNs, thresholdNs)) {
+                reqState.failoverPending = true;
+                pod.failureScore = MAX_FAILURE_SCORE;
+                pod.ejectedUntilNs = nowNs + BASE_EJECTION_NS;
+                pod.zoneReachability.onNoAnswer(nowNs, pod, UNREACHABLE_ZONE_POD_COUNT);
+                actions.cancelTry(reqState.req.id(), tryNumber);
+            } else if (settings.policyLimits().canHedge() && nowNs >= hedgeAtNs(nowNs, reqState)) {
+                sendTry(nowNs, reqState);
             }
         }
     }
@@ -744,16 +816,25 @@
      * When one more try would just come in time: against answers lost on the way and pods that
      * stall.
      */
-    private long secondCopyAt(long now, ReqState rq) {
-        double mean = rq.route.meanTryTimeNs(now);
-        double end = Math.min(rq.arrivedNs + rq.route.settings.latencyObjectiveNs(), rq.deadlineNs);
-        double at = Math.max(rq.lastTry().sentNs() + COPY_AFTER * mean, end - COPY_LEAVES * mean);
-        boolean strained = room.isOverloaded(now) || lost.meanAt(now, 2 * LOST, 10) < LOST;
-        return strained || at + mean > end ? Long.MAX_VALUE : (long) at;
+    private long hedgeAtNs(long nowNs, ReqState reqState) {
+        double meanNs = reqState.route.meanTryTimeNs(nowNs);
+        double endNs =
+                Math.min(
+                        reqState.arrivedNs + reqState.route.settings.latencyObjectiveNs(),
+                        reqState.deadlineNs);
+        double hedgeNs =
+                Math.max(
+                        reqState.lastTry().sentNs() + HEDGE_DELAY_MEANS * meanNs,
+                        endNs - HEDGE_REMAINING_MEANS * meanNs);
+        boolean hedgingOff =
+                limiter.isOverloaded(nowNs)
+                        || unansweredShare.meanAt(nowNs, 2 * HEDGE_UNANSWERED_SHARE, 10)
+                                < HEDGE_UNANSWERED_SHARE;
+        return hedgingOff || hedgeNs + meanNs > endNs ? Long.MAX_VALUE : (long) hedgeNs;
     }
 
-    private boolean cold(long now, Pod p) {
-        return p.startedNs > 0 && now < p.startedNs + set.contract().slowStartNs();
+    private boolean isInSlowStart(long nowNs, Pod pod) {
+        return pod.startedNs > 0 && nowNs < pod.startedNs + settings.contract().slowStartNs();
     }
 
     /**
@@ -761,47 +842,54 @@
      * load, cut to what the pod can do. It starts at random within its first turn: hundreds are
      * told of a pod at once.
      */
-    private boolean coldRoom(long now, Pod p) {
-        if (!cold(now, p)) {
+    private boolean hasSlowStartToken(long nowNs, Pod pod) {
+        if (!isInSlowStart(nowNs, pod)) {
             return true;
         }
-        double age = Math.max(0, now - p.startedNs) / (double) set.contract().slowStartNs();
-        double can =
-                set.contract().coldCapacityShare() + (1 - set.contract().coldCapacityShare()) * age;
+        double elapsedShare =
+                Math.max(0, nowNs - pod.startedNs) / (double) settings.contract().slowStartNs();
+        double capacityShare =
+                settings.contract().coldCapacityShare()
+                        + (1 - settings.contract().coldCapacityShare()) * elapsedShare;
         // What each pod would complete a second from here if all did alike; before any did, what
         // comes in.
-        double all =
-                completed.ratePerSecond(now) > 0
-                        ? completed.ratePerSecond(now)
-                        : taken.ratePerSecond(now);
-        double rate = can * all * p.listEntry.weight() / listed.totalWeight();
-        double most = Math.max(1, rate * set.contract().overloadWindowNs() / SECOND);
-        return p.refillSlowStartTokens(now, rate, most, random) >= 1;
-    }
-
-    private boolean exposureRoom(long now, ReqState rq, Pod p) {
-        int build = p.listEntry.build();
-        if (news.isActive() && build < answeredBy.newestBuildOf(rq.req.key())) {
+        double totalPerSecond =
+                completions.ratePerSecond(nowNs) > 0
+                        ? completions.ratePerSecond(nowNs)
+                        : arrivals.ratePerSecond(nowNs);
+        double podPerSecond =
+                capacityShare * totalPerSecond * pod.listEntry.weight() / readyPods.totalWeight();
+        double maxTokens =
+                Math.max(1, podPerSecond * settings.contract().overloadWindowNs() / SECOND_NS);
+        return pod.refillSlowStartTokens(nowNs, podPerSecond, maxTokens, random) >= 1;
+    }
+
+    private boolean isExposureAllowed(long nowNs, ReqState reqState, Pod pod) {
+        int build = pod.listEntry.build();
+        if (rolloutStatus.isActive() && build < buildByKey.newestBuildOf(reqState.req.key())) {
             return false;
         }
         boolean shielded =
-                news.stageOf(build) < rollout.shieldedStageCount()
-                        && rq.route.settings.retrySafety() != Settings.RetrySafety.IDEMPOTENT;
-        return !news.isBuildOnTrial(build)
-                || news.capOf(build, rollout) > 0
+                rolloutStatus.stageOf(build) < rollout.shieldedStageCount()
+                        && reqState.route.settings.retrySafety() != Settings.RetrySafety.IDEMPOTENT;
+        return !rolloutStatus.isBuildOnTrial(build)
+                || rolloutStatus.capOf(build, rollout) > 0
                         && !shielded
-                        && (!rollout.keysAreOneWay() || oneWayKey(now, rq, build))
-                        && exposure.hasToken(build, rq.route.index);
+                        && (!rollout.keysAreOneWay() || isOneWayKeyAllowed(nowNs, reqState, build))
+                        && exposureBudget.hasToken(build, reqState.route.index);
     }
 
     /**
      * Where a key can't go back, the trial keeps to a part of the keys: their later reqs need room
      * too.
      */
-    private boolean oneWayKey(long now, ReqState rq, int build) {
-        double part = Math.min(ONE_WAY_PART * news.capOf(build, rollout), trialPods);
-        return answeredBy.newestBuildOf(rq.req.key()) == build
-                || new SplittableRandom(rq.req.key()).nextDouble() < part;
+    private boolean isOneWayKeyAllowed(long nowNs, ReqState reqState, int build) {
+        double keyShare =
+                Math.min(
+                        MAX_ONE_WAY_KEY_SHARE * rolloutStatus.capOf(build, rollout),
+                        trialCapacityShare);
+        return buildByKey.newestBuildOf(reqState.req.key()) == build
+                || new SplittableRandom(reqState.req.key()).nextDouble() < keyShare;
     }
 
     // ---- Judging the build.
@@ -809,19 +897,20 @@
     /**
      * An outcome as evidence; pods not yet warm when it was sent, or out of reach, are left out.
      */
-    private void weigh(long now, RouteState row, Try t, TryOutcome ending, long tookNs) {
-        if (!t.wasPodWarm()
-                || t.build() > news.build()
-                || ending == TryOutcome.CONNECT_FAILED
-                || dark(t.pod())) {
+    private void recordEvidence(
+            long nowNs, RouteState route, Try sentTry, TryOutcome outcome, long durationNs) {
+        if (!sentTry.wasPodWarm()
+                || sentTry.build() > rolloutStatus.build()
+                || outcome == TryOutcome.CONNECT_FAILED
+                || isUnreachable(sentTry.pod())) {
             return;
         }
-        boolean late = tookNs > row.lateThresholdNs;
-        boolean failed = ending == TryOutcome.ERROR || ending == TryOutcome.RESET;
-        t.pod().lateShare.add(now, late ? 1 : 0);
-        side(t.build()).recordTry(now, row.index, failed, late);
-        if (ending == TryOutcome.OK) {
-            learnLate(now, row, t.build(), tookNs, 1);
+        boolean isLate = durationNs > route.lateThresholdNs;
+        boolean hasFailed = outcome == TryOutcome.ERROR || outcome == TryOutcome.RESET;
+        sentTry.pod().lateShare.add(nowNs, isLate ? 1 : 0);
+        outcomesOf(sentTry.build()).recordTry(nowNs, route.index, hasFailed, isLate);
+        if (outcome == TryOutcome.OK) {
+            updateLateThreshold(nowNs, route, sentTry.build(), durationNs, 1);
         }
     }
 
@@ -829,10 +918,13 @@
      * Not learned while a trial is on: a build that slows down its neighbours too would be
      * forgiven.
      */
-    private void learnLate(long now, RouteState row, int build, long tookNs, double n) {
-        if (!news.isOnTrial() && (build == news.build()) == news.isReleased()) {
-            row.baselineTryTimes.add(now, tookNs, n);
-            row.lateThresholdNs = LATE_MEANS * row.baselineTryTimes.meanAt(now, 0, 1e-9);
+    private void updateLateThreshold(
+            long nowNs, RouteState route, int build, long durationNs, double weight) {
+        if (!rolloutStatus.isOnTrial()
+                && (build == rolloutStatus.build()) == rolloutStatus.isReleased()) {
+            route.baselineTryTimes.add(nowNs, durationNs, weight);
+            route.lateThresholdNs =
+                    LATE_THRESHOLD_MEANS * route.baselineTryTimes.meanAt(nowNs, 0, 1e-9);
         }
     }
 
@@ -842,33 +934,46 @@
      * such a mean have.
      */
     public void onPlatformTally(
-            long now, String route, int build, double n, double failed, long meanNs, long ageNs) {
-        RouteState row = rows.get(route);
-        if (row == null || build > news.build() || !(n > 0) || meanNs <= 0) {
+            long nowNs,
+            String routeName,
+            int build,
+            double tryCount,
+            double failedCount,
+            long meanNs,
+            long ageNs) {
+        RouteState route = routes.get(routeName);
+        if (route == null || build > rolloutStatus.build() || !(tryCount > 0) || meanNs <= 0) {
             return;
         }
-        double done = Math.max(0, n - failed);
-        long began = now - ageNs - rollout.tallyIntervalNs();
-        boolean fresh =
-                whole.count(
+        double succeededCount = Math.max(0, tryCount - failedCount);
+        long beganNs = nowNs - ageNs - rollout.tallyIntervalNs();
+        boolean warmingUp =
+                leasedPods.count(
                                 p ->
                                         p.listEntry.build() == build
                                                 && p.startedNs > 0
-                                                && began
+                                                && beganNs
                                                         < p.startedNs
-                                                                + FRESH_PART
-                                                                        * set.contract()
+                                                                + UNJUDGED_SLOW_START_SHARE
+                                                                        * settings.contract()
                                                                                 .slowStartNs())
                         > 0;
-        if (!fresh) {
-            learnLate(now, row, build, meanNs, done);
+        if (!warmingUp) {
+            updateLateThreshold(nowNs, route, build, meanNs, succeededCount);
         }
-        double slow = done * Math.exp(-row.lateThresholdNs / meanNs);
-        side(build).recordTally(now, row.index, n, failed, fresh ? 0 : n, slow);
+        double lateCount = succeededCount * Math.exp(-route.lateThresholdNs / meanNs);
+        outcomesOf(build)
+                .recordTally(
+                        nowNs,
+                        route.index,
+                        tryCount,
+                        failedCount,
+                        warmingUp ? 0 : tryCount,
+                        lateCount);
     }
 
-    private BuildOutcomes side(int build) {
-        return build == news.build() ? trial : earlier;
+    private BuildOutcomes outcomesOf(int build) {
+        return build == rolloutStatus.build() ? trialOutcomes : earlierOutcomes;
     }
 
     /**
@@ -876,181 +981,225 @@
      * doing. But where that is late beyond what a minor part of its pods, hung, slow or pausing,
      * can do, it slows all; unless so many pods are out that the rest must be late.
      */
-    private double sample(long now, int place, boolean ofLate, DegradationDetector d) {
-        double share = share(now, trial, place, ofLate);
-        boolean reference = earlier.totalOutcomeCount(place, ofLate) >= OUTCOME_FLOOR;
-        double shift = reference ? share(now, earlier, place, ofLate) - d.longTermMean : 0;
-        double apart = Math.max(0, Math.min(1, share - Math.max(0, shift)));
-        if (!ofLate || place < rows.size() || !reference || now < shakenUntilNs) {
-            return apart;
+    private double detectorSample(
+            long nowNs, int routeIndex, boolean isLateness, DegradationDetector detector) {
+        double trialBadShare = badShare(nowNs, trialOutcomes, routeIndex, isLateness);
+        boolean hasReference =
+                earlierOutcomes.totalOutcomeCount(routeIndex, isLateness) >= MIN_OUTCOME_COUNT;
+        double shift =
+                hasReference
+                        ? badShare(nowNs, earlierOutcomes, routeIndex, isLateness)
+                                - detector.longTermMean
+                        : 0;
+        double excess = Math.max(0, Math.min(1, trialBadShare - Math.max(0, shift)));
+        if (!isLateness
+                || routeIndex < routes.size()
+                || !hasReference
+                || nowNs < latenessUnreliableUntilNs) {
+            return excess;
         }
         return Math.max(
-                apart,
-                Math.max(middleLate(now), (earlier.lateShare(now, place) - MINOR) / (1 - MINOR)));
+                excess,
+                Math.max(
+                        medianPodLateShare(nowNs),
+                        (earlierOutcomes.lateShare(nowNs, routeIndex) - MAX_FAULTY_POD_SHARE)
+                                / (1 - MAX_FAULTY_POD_SHARE)));
     }
 
     /** Of the middle pod, which the lesser part can't tilt at all: where each is seen often. */
-    private double middleLate(long now) {
-        double[] late =
-                whole.all().stream()
-                        .filter(p -> !cold(now, p))
-                        .mapToDouble(p -> p.lateShare.meanAt(now, 1 - LATE_QUANTILE, 2))
+    private double medianPodLateShare(long nowNs) {
+        double[] lateShares =
+                leasedPods.all().stream()
+                        .filter(p -> !isInSlowStart(nowNs, p))
+                        .mapToDouble(p -> p.lateShare.meanAt(nowNs, 1 - LATE_QUANTILE, 2))
                         .sorted()
                         .toArray();
-        return late.length == 0 ? 0 : late[(late.length - 1) / 2];
+        return lateShares.length == 0 ? 0 : lateShares[(lateShares.length - 1) / 2];
     }
 
-    public void onComplaint(long now, String podId, String route) {
-        Pod p = pods.get(podId);
-        RouteState row = rows.get(route);
-        if (p != null && row != null && p.listEntry.build() <= news.build()) {
-            side(p.listEntry.build()).recordComplaint(now, row.index);
+    public void onComplaint(long nowNs, String podId, String routeName) {
+        Pod pod = pods.get(podId);
+        RouteState route = routes.get(routeName);
+        if (pod != null && route != null && pod.listEntry.build() <= rolloutStatus.build()) {
+            outcomesOf(pod.listEntry.build()).recordComplaint(nowNs, route.index);
         }
     }
 
-    private double share(long now, BuildOutcomes side, int place, boolean ofLate) {
-        if (ofLate) {
-            return side.lateShare(now, place);
+    private double badShare(
+            long nowNs, BuildOutcomes outcomes, int routeIndex, boolean isLateness) {
+        if (isLateness) {
+            return outcomes.lateShare(nowNs, routeIndex);
         }
         // After a release nothing is left to compare with: what fails then may be the fleet's
         // doing.
-        double failed = side == earlier || news.isOnTrial() ? side.failedShare(now, place) : 0;
-        return Math.min(1, failed + wrong(now, side, place));
+        double failedShare =
+                outcomes == earlierOutcomes || rolloutStatus.isOnTrial()
+                        ? outcomes.failedShare(nowNs, routeIndex)
+                        : 0;
+        return Math.min(1, failedShare + estimatedWrongShare(nowNs, outcomes, routeIndex));
     }
 
     /** One report stands for all the wrong answers that nobody reported. */
-    private double wrong(long now, BuildOutcomes side, int place) {
-        double flags = side.complaintCount(now, place);
-        return flags == 0
+    private double estimatedWrongShare(long nowNs, BuildOutcomes outcomes, int routeIndex) {
+        double complaintCount = outcomes.complaintCount(nowNs, routeIndex);
+        return complaintCount == 0
                 ? 0
-                : flags / rollout.complaintReportRate() / Math.max(1, side.tryCount(now, place));
+                : complaintCount
+                        / rollout.complaintReportRate()
+                        / Math.max(1, outcomes.tryCount(nowNs, routeIndex));
     }
 
-    private void judge(long now) {
-        DetectorState worst = DetectorState.NORMAL;
-        String why = "";
+    private void updateDetectors(long nowNs) {
+        DetectorState worstState = DetectorState.NORMAL;
+        String cause = "";
         // Below the outcome floor all looks normal, so no trial is learned from: a build that slows
         // its
         // neighbours would be forgiven. Nor a release's: its faults would be their own measure.
-        BuildOutcomes steady =
-                news.isReleased() && earlier.totalOutcomeCount(rows.size(), true) == 0
-                        ? trial
-                        : earlier;
+        BuildOutcomes baselineOutcomes =
+                rolloutStatus.isReleased()
+                                && earlierOutcomes.totalOutcomeCount(routes.size(), true) == 0
+                        ? trialOutcomes
+                        : earlierOutcomes;
         boolean learns =
-                state == DetectorState.NORMAL
-                        && (steady == trial || !news.isOnTrial() && !news.isReleased());
+                detectorState == DetectorState.NORMAL
+                        && (baselineOutcomes == trialOutcomes
+                                || !rolloutStatus.isOnTrial() && !rolloutStatus.isReleased());
         for (int i = 0; i < detectors.length; i++) {
-            DegradationDetector d = detectors[i];
-            int place = i / 2;
-            boolean ofLate = i % 2 == 1;
-            if (learns && steady.outcomeCount(now, place, ofLate) >= REFERENCE_FLOOR) {
-                d.updateLongTerm(share(now, steady, place, ofLate), LONG_WEIGHT);
+            DegradationDetector detector = detectors[i];
+            int routeIndex = i / 2;
+            boolean isLateness = i % 2 == 1;
+            if (learns
+                    && baselineOutcomes.outcomeCount(nowNs, routeIndex, isLateness)
+                            >= MIN_BASELINE_OUTCOME_COUNT) {
+                detector.updateLongTerm(
+                        badShare(nowNs, baselineOutcomes, routeIndex, isLateness),
+                        LONG_TERM_WEIGHT);
             }
-            double n = trial.outcomeCount(now, place, ofLate);
-            double m = earlier.outcomeCount(now, place, ofLate);
+            double trialCount = trialOutcomes.outcomeCount(nowNs, routeIndex, isLateness);
+            double earlierCount = earlierOutcomes.outcomeCount(nowNs, routeIndex, isLateness);
             boolean enough =
-                    trial.totalOutcomeCount(place, ofLate) >= OUTCOME_FLOOR && n >= 1 && m >= 1;
-            if (enough && (!ofLate || news.isOnTrial())) {
-                boolean sure =
-                        ofLate
-                                ? now >= shakenUntilNs
-                                : trial.complaintCount(now, place) > FEW_FLAGS
-                                        || trial.failedShare(now, place)
-                                                >= wrong(now, trial, place);
+                    trialOutcomes.totalOutcomeCount(routeIndex, isLateness) >= MIN_OUTCOME_COUNT
+                            && trialCount >= 1
+                            && earlierCount >= 1;
+            if (enough && (!isLateness || rolloutStatus.isOnTrial())) {
+                boolean conclusive =
+                        isLateness
+                                ? nowNs >= latenessUnreliableUntilNs
+                                : trialOutcomes.complaintCount(nowNs, routeIndex)
+                                                > MAX_IGNORED_COMPLAINTS
+                                        || trialOutcomes.failedShare(nowNs, routeIndex)
+                                                >= estimatedWrongShare(
+                                                        nowNs, trialOutcomes, routeIndex);
                 // What it is compared with was seen in so many cases only: that widens the
                 // deviation too.
-                d.evaluate(sample(now, place, ofLate, d), n * m / (n + m), sure);
+                detector.evaluate(
+                        detectorSample(nowNs, routeIndex, isLateness, detector),
+                        trialCount * earlierCount / (trialCount + earlierCount),
+                        conclusive);
             }
-            if (d.state.ordinal() > worst.ordinal()) {
-                worst = d.state;
-                why =
-                        (ofLate ? ", late" : ", failed or flagged")
+            if (detector.state.ordinal() > worstState.ordinal()) {
+                worstState = detector.state;
+                cause =
+                        (isLateness ? ", late" : ", failed or flagged")
                                 + String.format(
-                                        " %.2f against %.2f", d.shortTermMean, d.longTermMean);
+                                        " %.2f against %.2f",
+                                        detector.shortTermMean, detector.longTermMean);
             }
         }
-        if (worst != state) {
-            host.log(news.label() + ": " + state + " to " + worst + why);
+        if (worstState != detectorState) {
+            actions.log(rolloutStatus.label() + ": " + detectorState + " to " + worstState + cause);
         }
-        state = worst;
+        detectorState = worstState;
     }
 
     // ---- News and votes.
 
-    public void onRolloutStatus(long now, RolloutStatus n) {
-        boolean other = news.build() != n.build();
-        if (other) {
-            earlier = news.isReleased() ? trial : earlier;
-            trial = new BuildOutcomes(rows.size(), SAMPLE_HALF_LIFE, FLAG_HALF_LIFE);
-            state = DetectorState.NORMAL;
-            for (DegradationDetector d : detectors) {
-                d.state = DetectorState.NORMAL;
-                d.shortTermMean = d.longTermMean;
+    public void onRolloutStatus(long nowNs, RolloutStatus newStatus) {
+        boolean buildChanged = rolloutStatus.build() != newStatus.build();
+        if (buildChanged) {
+            earlierOutcomes = rolloutStatus.isReleased() ? trialOutcomes : earlierOutcomes;
+            trialOutcomes =
+                    new BuildOutcomes(routes.size(), SAMPLE_HALF_LIFE_NS, COMPLAINT_HALF_LIFE_NS);
+            detectorState = DetectorState.NORMAL;
+            for (DegradationDetector detector : detectors) {
+                detector.state = DetectorState.NORMAL;
+                detector.shortTermMean = detector.longTermMean;
             }
         }
-        if (other || news.stage() != n.stage() || news.phase() != n.phase()) {
-            host.log(n.label() + " " + n.phase());
-            ballot.reset();
-            everBefore = trial.totalOutcomeCount(rows.size(), true);
+        if (buildChanged
+                || rolloutStatus.stage() != newStatus.stage()
+                || rolloutStatus.phase() != newStatus.phase()) {
+            actions.log(newStatus.label() + " " + newStatus.phase());
+            voteTracker.reset();
+            outcomeCountAtStageStart = trialOutcomes.totalOutcomeCount(routes.size(), true);
         }
-        told = true;
-        news = n;
-        stageSinceNs = now - n.ageNs();
-        survey(now);
-        vote(now);
-        serveLines(now);
+        statusReceived = true;
+        rolloutStatus = newStatus;
+        stageStartedNs = nowNs - newStatus.ageNs();
+        updatePodSets(nowNs);
+        updateVote(nowNs);
+        serveQueues(nowNs);
     }
 
     /**
      * A vote with no good answer may count: it is cast again, after a pause that differs by
      * sidecar.
      */
-    public void onVoteAnswered(long now, boolean counts) {
-        ballot.onAnswer(
-                counts, rollout.voteLifetimeNs(), now + SECOND / 2 + random.nextLong(SECOND));
+    public void onVoteAnswered(long nowNs, boolean counted) {
+        voteTracker.onAnswer(
+                counted,
+                rollout.voteLifetimeNs(),
+                nowNs + SECOND_NS / 2 + random.nextLong(SECOND_NS));
     }
 
-    private RolloutVote verdict(long now) {
-        if (state == DetectorState.ALARM && (news.isOnTrial() || news.isReleased())) {
+    private RolloutVote desiredVote(long nowNs) {
+        if (detectorState == DetectorState.ALARM
+                && (rolloutStatus.isOnTrial() || rolloutStatus.isReleased())) {
             return RolloutVote.BACK;
         }
-        if (!news.isOnTrial() || rollout.control() == Settings.VoteControl.CLOCKED) {
-            return news.isOnTrial() && state == DetectorState.SUSPECT
+        if (!rolloutStatus.isOnTrial() || rollout.control() == Settings.VoteControl.CLOCKED) {
+            return rolloutStatus.isOnTrial() && detectorState == DetectorState.SUSPECT
                     ? RolloutVote.HOLD
                     : RolloutVote.NONE;
         }
-        long age = now - stageSinceNs;
+        long stageAgeNs = nowNs - stageStartedNs;
         // The last 'on' takes the earlier pods away: it waits for what the build shows under all
         // the load.
         boolean proven =
-                news.stage() < rollout.stageShares().size() - 1
-                        || age > rollout.bakeNs() + PROOF_WAIT
-                        || trial.totalOutcomeCount(rows.size(), true) >= everBefore + proof();
-        return state == DetectorState.NORMAL && age >= rollout.bakeNs() && proven
+                rolloutStatus.stage() < rollout.stageShares().size() - 1
+                        || stageAgeNs > rollout.bakeNs() + MAX_APPROVAL_DELAY_NS
+                        || trialOutcomes.totalOutcomeCount(routes.size(), true)
+                                >= outcomeCountAtStageStart + requiredOutcomeCount();
+        return detectorState == DetectorState.NORMAL && stageAgeNs >= rollout.bakeNs() && proven
                 ? RolloutVote.ON
                 : RolloutVote.NONE;
     }
 
-    private double proof() {
+    private double requiredOutcomeCount() {
         return Math.max(
-                OUTCOME_FLOOR,
-                PROOF * Math.min(1.0, (double) PROOF_VOTERS / rollout.approveVoteCount()));
-    }
-
-    private void vote(long now) {
-        RolloutVote v = verdict(now);
-        ballot.setWanted(now, v);
-        boolean waits =
-                ballot.pendingVote != null && now < ballot.sentNs + rollout.voteTimeoutNs() + SECOND
-                        || now < ballot.retryAtNs;
-        boolean stands =
-                ballot.standingVoteAt(now) == v
-                        && ballot.standingVoteAt(now + rollout.voteLifetimeNs() / 4) == v;
-        if (!waits
-                && !stands
-                && (v == RolloutVote.NONE || now >= ballot.wantedSinceNs + standInAfter(now, v))) {
-            ballot.markSent(now);
-            host.castVote(news.build(), news.stage(), v);
+                MIN_OUTCOME_COUNT,
+                APPROVAL_OUTCOME_COUNT
+                        * Math.min(
+                                1.0,
+                                (double) APPROVAL_OUTCOME_VOTERS / rollout.approveVoteCount()));
+    }
+
+    private void updateVote(long nowNs) {
+        RolloutVote vote = desiredVote(nowNs);
+        voteTracker.setWanted(nowNs, vote);
+        boolean isWaiting =
+                voteTracker.pendingVote != null
+                                && nowNs < voteTracker.sentNs + rollout.voteTimeoutNs() + SECOND_NS
+                        || nowNs < voteTracker.retryAtNs;
+        boolean isStanding =
+                voteTracker.standingVoteAt(nowNs) == vote
+                        && voteTracker.standingVoteAt(nowNs + rollout.voteLifetimeNs() / 4) == vote;
+        if (!isWaiting
+                && !isStanding
+                && (vote == RolloutVote.NONE
+                        || nowNs >= voteTracker.wantedSinceNs + standInDelayNs(nowNs, vote))) {
+            voteTracker.markSent(nowNs);
+            actions.castVote(rolloutStatus.build(), rolloutStatus.stage(), vote);
         }
     }
 
@@ -1061,26 +1210,38 @@
      * enough, any one's mistake would count. For 'on' the many would outvote those who doubt: only
      * who saw the trial well comes sooner.
      */
-    private long standInAfter(long now, RolloutVote v) {
-        int needed =
-                v == RolloutVote.ON
+    private long standInDelayNs(long nowNs, RolloutVote vote) {
+        int neededVotes =
+                vote == RolloutVote.ON
                         ? rollout.approveVoteCount()
-                        : v == RolloutVote.HOLD
+                        : vote == RolloutVote.HOLD
                                 ? rollout.holdVoteCount()
                                 : rollout.rollbackVoteCount();
-        int voters = rollout.control() == Settings.VoteControl.SINGLE ? VOTERS : needed;
-        int before = news.voterRank(set.rank(), set.sidecarCount());
-        double seen = trial.tryCount(now, rows.size());
-        double step =
-                v == RolloutVote.BACK ? STAND_IN_BACK : STAND_IN_ON * PROOF / Math.max(PROOF, seen);
-        if (v == RolloutVote.BACK && rollout.control() != Settings.VoteControl.SINGLE) {
-            double least = SECOND / (CALLS_PART * Math.max(1, rollout.votesPerSecond()));
-            step =
+        int firstVoterCount =
+                rollout.control() == Settings.VoteControl.SINGLE
+                        ? SINGLE_CONTROL_VOTER_COUNT
+                        : neededVotes;
+        int voterRank = rolloutStatus.voterRank(settings.rank(), settings.sidecarCount());
+        double trialTryCount = trialOutcomes.tryCount(nowNs, routes.size());
+        double stepNs =
+                vote == RolloutVote.BACK
+                        ? ROLLBACK_STAND_IN_DELAY_NS
+                        : APPROVE_STAND_IN_DELAY_NS
+                                * APPROVAL_OUTCOME_COUNT
+                                / Math.max(APPROVAL_OUTCOME_COUNT, trialTryCount);
+        if (vote == RolloutVote.BACK && rollout.control() != Settings.VoteControl.SINGLE) {
+            double minStepNs =
+                    SECOND_NS / (STAND_IN_CALL_SHARE * Math.max(1, rollout.votesPerSecond()));
+            stepNs =
                     Math.min(
-                            step,
-                            Math.max(least, step * STAND_INS / (set.sidecarCount() - voters)));
+                            stepNs,
+                            Math.max(
+                                    minStepNs,
+                                    stepNs
+                                            * MAX_ROLLBACK_STAND_IN_STEPS
+                                            / (settings.sidecarCount() - firstVoterCount)));
         }
-        return (long) (Math.max(0, before - voters + 1) * step);
+        return (long) (Math.max(0, voterRank - firstVoterCount + 1) * stepNs);
     }
 
     /** What it goes by just now, for a log. */
@@ -1096,18 +1257,18 @@
             long coldPodCount,
             long unreachablePodCount) {}
 
-    public Stats stats(long now) {
+    public Stats stats(long nowNs) {
         return new Stats(
-                room.limit(),
-                room.openTryCount(),
-                firstTries.size(),
-                furtherTries.size(),
-                room.latencyRatio(now),
-                listed.all().size(),
-                whole.all().size(),
-                whole.count(p -> fit(now, p)),
-                whole.count(p -> cold(now, p)),
-                whole.count(Policy::dark));
+                limiter.limit(),
+                limiter.openTryCount(),
+                firstTryQueue.size(),
+                retryQueue.size(),
+                limiter.latencyRatio(nowNs),
+                readyPods.all().size(),
+                leasedPods.all().size(),
+                leasedPods.count(p -> isHealthy(nowNs, p)),
+                leasedPods.count(p -> isInSlowStart(nowNs, p)),
+                leasedPods.count(Policy::isUnreachable));
     }
 
     // ---- What is remembered over a restart.
@@ -1117,69 +1278,82 @@
      * must earn anew is not among it: saved exposure, what cold pods were sent, rates, votes,
      * evidence on the trial.
      */
-    public Iterator<LearnedState> exportLearned(long now) {
-        List<LearnedState> few = new ArrayList<>();
-        few.add(new LearnedState.ConnectionStats(refused.snapshot(now), lost.snapshot(now)));
-        rows.values().forEach(r -> few.add(r.toLearned(now, news.build())));
+    public Iterator<LearnedState> exportLearned(long nowNs) {
+        List<LearnedState> learned = new ArrayList<>();
+        learned.add(
+                new LearnedState.ConnectionStats(
+                        refusedShare.snapshot(nowNs), unansweredShare.snapshot(nowNs)));
+        routes.values().forEach(r -> learned.add(r.toLearned(nowNs, rolloutStatus.build())));
         for (int i = 0; i < detectors.length; i++) {
-            few.add(detectors[i].toBaseline(news.build(), routes.get(i / 2), i % 2 == 1));
+            learned.add(
+                    detectors[i].toBaseline(
+                            rolloutStatus.build(), routeNames.get(i / 2), i % 2 == 1));
         }
-        Stream<LearnedState> ofPods =
-                List.copyOf(pods.values()).stream().map(p -> p.toLearned(now));
-        return Stream.concat(few.stream(), Stream.concat(ofPods, answeredBy.toLearned()))
+        Stream<LearnedState> podStats =
+                List.copyOf(pods.values()).stream().map(p -> p.toLearned(nowNs));
+        return Stream.concat(learned.stream(), Stream.concat(podStats, buildByKey.toLearned()))
                 .iterator();
     }
 
     /** Takes in, after list and news and before the first req, what an earlier start gave out. */
-    public void restoreLearned(long now, LearnedState one) {
-        if (one instanceof LearnedState.ConnectionStats l) {
-            refused.restore(now, l.refused(), PRIOR);
-            lost.restore(now, l.unanswered(), PRIOR);
-        } else if (one instanceof LearnedState.PodStats l) {
-            Pod p = pods.get(l.is().id());
-            if (p != null && p.restore(now, l, PRIOR, SICK_STRIKES)) {
+    public void restoreLearned(long nowNs, LearnedState learned) {
+        if (learned instanceof LearnedState.ConnectionStats stats) {
+            refusedShare.restore(nowNs, stats.refused(), MAX_RESTORED_WEIGHT);
+            unansweredShare.restore(nowNs, stats.unanswered(), MAX_RESTORED_WEIGHT);
+        } else if (learned instanceof LearnedState.PodStats stats) {
+            Pod pod = pods.get(stats.is().id());
+            if (pod != null && pod.restore(nowNs, stats, MAX_RESTORED_WEIGHT, EJECTION_SCORE)) {
                 // The first tries of all the sidecars that started together must not meet at a sick
                 // pod.
-                p.ejectedUntilNs = now + random.nextLong(SICK_FOR << p.failureScore);
+                pod.ejectedUntilNs = nowNs + random.nextLong(BASE_EJECTION_NS << pod.failureScore);
             }
-        } else if (one instanceof LearnedState.RouteStats l && rows.containsKey(l.route())) {
-            RouteState row = rows.get(l.route());
-            row.restore(now, l, PRIOR, standsFor(l.build()) ? LATE_MEANS : 0);
-        } else if (one instanceof LearnedState.DetectorBaseline l
-                && routes.contains(l.route())
-                && standsFor(l.build())) {
-            detectors[2 * routes.indexOf(l.route()) + (l.ofLate() ? 1 : 0)].restore(l, PRIOR);
-        } else if (one instanceof LearnedState.KeyBuild l && rollout.keysAreOneWay()) {
-            answeredBy.recordAnswer(l.key(), l.build());
+        } else if (learned instanceof LearnedState.RouteStats stats
+                && routes.containsKey(stats.route())) {
+            RouteState route = routes.get(stats.route());
+            route.restore(
+                    nowNs,
+                    stats,
+                    MAX_RESTORED_WEIGHT,
+                    isComparableBuild(stats.build()) ? LATE_THRESHOLD_MEANS : 0);
+        } else if (learned instanceof LearnedState.DetectorBaseline stats
+                && routeNames.contains(stats.route())
+                && isComparableBuild(stats.build())) {
+            detectors[2 * routeNames.indexOf(stats.route()) + (stats.ofLate() ? 1 : 0)].restore(
+                    stats, MAX_RESTORED_WEIGHT);
+        } else if (learned instanceof LearnedState.KeyBuild stats && rollout.keysAreOneWay()) {
+            buildByKey.recordAnswer(stats.key(), stats.build());
         }
     }
 
     /**
      * Whether what was learned under that newest build is about what the trial is held against now.
      */
-    private boolean standsFor(int build) {
-        return news.build() == build
-                || notOnTrial.all().stream().anyMatch(p -> p.listEntry.build() == build);
+    private boolean isComparableBuild(int build) {
+        return rolloutStatus.build() == build
+                || earlierPods.all().stream().anyMatch(p -> p.listEntry.build() == build);
     }
 
-    public void onTimer(long now, String token) {
+    public void onTimer(long nowNs, String token) {
         switch (token) {
             case "sample" -> {
-                host.scheduleTimer(now + SECOND, token);
-                judge(now);
-                vote(now);
+                actions.scheduleTimer(nowNs + SECOND_NS, token);
+                updateDetectors(nowNs);
+                updateVote(nowNs);
             }
             case "tick" -> {
-                host.scheduleTimer(now + TICK, token);
-                survey(now);
-                room.adjustLimit(now, listed.all().size());
-                doubt.evaluate(now, held.values(), news);
-                rescue(now);
-                if (!watching && !asking && asksFailed > 0 && now >= askAgainNs) {
-                    askForList();
+                actions.scheduleTimer(nowNs + TICK_NS, token);
+                updatePodSets(nowNs);
+                limiter.adjustLimit(nowNs, readyPods.all().size());
+                openTryLateness.evaluate(nowNs, openReqs.values(), rolloutStatus);
+                failOverAndHedge(nowNs);
+                if (!watchOpen
+                        && !watchPending
+                        && watchFailureCount > 0
+                        && nowNs >= watchRetryAtNs) {
+                    watchPodList();
                 }
             }
         }
-        serveLines(now);
+        serveQueues(nowNs);
     }
 }
--- a/core/src/main/java/mulleinlever/PolicyActions.java
+++ b/core/src/main/java/mulleinlever/PolicyActions.java
@@ -9,20 +9,20 @@
      *
      * @param writeWithinNs it is written within that time or not at all, and has then failed to
      *     connect
-     * @param limitNs it ends after that time at the latest
+     * @param timeoutNs it ends after that time at the latest
      */
-    void startTry(String rq, String pod, long writeWithinNs, long limitNs);
+    void startTry(String reqId, String podId, long writeWithinNs, long timeoutNs);
 
     /** Final answer: turned away, a repeat is harmless; {@code backoffNs} 0 gives no advice. */
-    void shedReq(String rq, long backoffNs);
+    void shedReq(String reqId, long backoffNs);
 
     /** Final answer: errored, with no promise about any effect. */
-    void failReq(String rq);
+    void failReq(String reqId);
 
     /** Stops waiting for one upstream try. */
-    void cancelTry(String rq, int tryNo);
+    void cancelTry(String reqId, int tryNumber);
 
-    void castVote(int build, int stage, RolloutVote verdict);
+    void castVote(int build, int stage, RolloutVote vote);
 
     /** Asks for changes to the list of pods from now on. */
     void watchPodList();
@@ -30,5 +30,5 @@
     /** Asks for {@link Policy#onTimer} at or after a time; timers can't be taken back. */
     void scheduleTimer(long atNs, String token);
 
-    void log(String line);
+    void log(String message);
 }
--- a/core/src/main/java/mulleinlever/RolloutStatus.java
+++ b/core/src/main/java/mulleinlever/RolloutStatus.java
@@ -21,16 +21,16 @@
     }
 
     /** Builds not yet announced are on trial too, in their first stage. */
-    boolean isBuildOnTrial(int other) {
-        return other > build || other == build && !isReleased();
+    boolean isBuildOnTrial(int otherBuild) {
+        return otherBuild > build || otherBuild == build && !isReleased();
     }
 
-    double capOf(int other, Settings.RolloutSettings rollout) {
-        return other == build ? cap : rollout.stageExposureCaps().get(0);
+    double capOf(int otherBuild, Settings.RolloutSettings rollout) {
+        return otherBuild == build ? cap : rollout.stageExposureCaps().get(0);
     }
 
-    int stageOf(int other) {
-        return other == build ? stage : 0;
+    int stageOf(int otherBuild) {
+        return otherBuild == build ? stage : 0;
     }
 
     boolean isActive() {
@@ -38,8 +38,8 @@
     }
 
     /** How many sidecars rank under this one by a hash of build, stage and number. */
-    int voterRank(int rank, int sidecars) {
-        return (int) IntStream.range(0, sidecars).filter(i -> hash(i) < hash(rank)).count();
+    int voterRank(int rank, int sidecarCount) {
+        return (int) IntStream.range(0, sidecarCount).filter(i -> hash(i) < hash(rank)).count();
     }
 
     private long hash(int rank) {
--- a/core/src/main/java/mulleinlever/VoteTracker.java
+++ b/core/src/main/java/mulleinlever/VoteTracker.java
@@ -7,12 +7,12 @@
     RolloutVote pendingVote;
     long sentNs;
     long retryAtNs;
-    private RolloutVote standing = RolloutVote.NONE;
-    private long standsUntilNs;
+    private RolloutVote standingVote = RolloutVote.NONE;
+    private long standingUntilNs;
 
-    void setWanted(long nowNs, RolloutVote verdict) {
-        wantedSinceNs = verdict == wantedVote ? wantedSinceNs : nowNs;
-        wantedVote = verdict;
+    void setWanted(long nowNs, RolloutVote vote) {
+        wantedSinceNs = vote == wantedVote ? wantedSinceNs : nowNs;
+        wantedVote = vote;
     }
 
     void markSent(long nowNs) {
@@ -20,22 +20,22 @@
         sentNs = nowNs;
     }
 
-    void onAnswer(boolean counts, long standsNs, long tryAgainNs) {
-        if (counts && pendingVote != null) {
-            standing = pendingVote;
-            standsUntilNs = sentNs + standsNs;
+    void onAnswer(boolean counted, long lifetimeNs, long nextAttemptNs) {
+        if (counted && pendingVote != null) {
+            standingVote = pendingVote;
+            standingUntilNs = sentNs + lifetimeNs;
         }
-        retryAtNs = counts ? retryAtNs : tryAgainNs;
+        retryAtNs = counted ? retryAtNs : nextAttemptNs;
         pendingVote = null;
     }
 
     /** A vote is for one build and stage: on any other nothing stands. */
     void reset() {
-        standing = RolloutVote.NONE;
+        standingVote = RolloutVote.NONE;
         wantedVote = RolloutVote.NONE;
     }
 
     RolloutVote standingVoteAt(long nowNs) {
-        return nowNs < standsUntilNs ? standing : RolloutVote.NONE;
+        return nowNs < standingUntilNs ? standingVote : RolloutVote.NONE;
     }
 }
--- a/core/src/test/java/mulleinlever/ClockStepTest.java
+++ b/core/src/test/java/mulleinlever/ClockStepTest.java
@@ -9,51 +9,52 @@
 
 /** Starts of servers are told by a wall clock that may be ahead of or behind ours. */
 class ClockStepTest {
-    private static final long MS = PolicyHarness.MILLISECOND_NS;
-    private static final int WARM = 4;
-    private static final PodEntry STARTED = PolicyHarness.podEntry(WARM, 1, 0);
+    private static final long MILLISECOND_NS = PolicyHarness.MILLISECOND_NS;
+    private static final int WARM_POD_COUNT = 4;
+    private static final PodEntry STARTED_POD = PolicyHarness.podEntry(WARM_POD_COUNT, 1, 0);
 
     /**
      * The part of 200 requests a second that goes to the server that has started, for some seconds.
      */
-    private static double part(PolicyHarness b, int seconds) {
-        int before = b.sentTries.size();
+    private static double trafficShare(PolicyHarness harness, int seconds) {
+        int firstIndex = harness.sentTries.size();
         for (int i = 0; i < 200 * seconds; i++) {
-            b.policy.onPodListConfirmed(b.nowNs);
-            String id = "r" + b.sentTries.size();
-            b.sendReq(id, "get", 2 * PolicyHarness.SECOND_NS);
-            b.advance(5 * MS);
-            b.endTry(id, 0, TryOutcome.OK, 5 * MS);
+            harness.policy.onPodListConfirmed(harness.nowNs);
+            String id = "r" + harness.sentTries.size();
+            harness.sendReq(id, "get", 2 * PolicyHarness.SECOND_NS);
+            harness.advance(5 * MILLISECOND_NS);
+            harness.endTry(id, 0, TryOutcome.OK, 5 * MILLISECOND_NS);
         }
-        List<PolicyHarness.SentTry> sent = b.sentTries.subList(before, b.sentTries.size());
-        return sent.stream().filter(s -> s.pod().equals(STARTED.id())).count()
+        List<PolicyHarness.SentTry> sent =
+                harness.sentTries.subList(firstIndex, harness.sentTries.size());
+        return sent.stream().filter(s -> s.pod().equals(STARTED_POD.id())).count()
                 / (double) sent.size();
     }
 
     /** The part that the server gets in its first second, and long after it is warm. */
-    private static double[] parts(long stepMs) {
-        PolicyHarness b =
+    private static double[] trafficShares(long stepMs) {
+        PolicyHarness harness =
                 PolicyHarness.withDefaults(1, false, false, 1)
-                        .addPods(WARM, 1)
+                        .addPods(WARM_POD_COUNT, 1)
                         .setRolloutStatus(1, 2, RolloutStatus.Phase.RELEASED, 1);
-        part(b, 3);
+        trafficShare(harness, 3);
         PodEntry started =
                 new PodEntry(
-                        STARTED.id(),
-                        STARTED.zone(),
-                        STARTED.kind(),
-                        STARTED.cell(),
+                        STARTED_POD.id(),
+                        STARTED_POD.zone(),
+                        STARTED_POD.kind(),
+                        STARTED_POD.cell(),
                         1,
                         PodEntry.State.READY,
                         1,
-                        b.nowNs + (stepMs - 200) * MS);
+                        harness.nowNs + (stepMs - 200) * MILLISECOND_NS);
         if (stepMs != 0) {
-            b.policy.onWallClockStepped();
+            harness.policy.onWallClockStepped();
         }
-        b.policy.onPodListUpdated(b.nowNs, List.of(started));
-        double cold = part(b, 1);
-        part(b, 4);
-        return new double[] {cold, part(b, 2)};
+        harness.policy.onPodListUpdated(harness.nowNs, List.of(started));
+        double coldShare = trafficShare(harness, 1);
+        trafficShare(harness, 4);
+        return new double[] {coldShare, trafficShare(harness, 2)};
     }
 
     // The clock may have been an hour off before the process started, which only the list can show.
@@ -61,21 +62,27 @@
     @ValueSource(longs = {-3_600_000, 5_000, 3_600_000})
     void wrongClockAtStartIsDetectedFromList(long stepMs) {
         var starts = new PodStartEstimator();
-        long nowNs = 10_000_000 * MS;
+        long nowNs = 10_000_000 * MILLISECOND_NS;
         long startedNs =
-                starts.estimateStartNs(nowNs + (stepMs - 200) * MS, nowNs - 100 * MS, nowNs);
+                starts.estimateStartNs(
+                        nowNs + (stepMs - 200) * MILLISECOND_NS,
+                        nowNs - 100 * MILLISECOND_NS,
+                        nowNs);
         assertTrue(
-                nowNs - startedNs <= 100 * MS, "started " + (nowNs - startedNs) / MS + " ms ago");
+                nowNs - startedNs <= 100 * MILLISECOND_NS,
+                "started " + (nowNs - startedNs) / MILLISECOND_NS + " ms ago");
     }
 
     // A step of the wall clock made slow start end at once, or last as long as the step.
     @ParameterizedTest
     @ValueSource(longs = {-3_600_000, -5_000, 5_000, 3_600_000})
     void slowStartLengthIsIndependentOfClockSteps(long stepMs) {
-        double[] right = parts(0);
-        double[] stepped = parts(stepMs);
-        assertTrue(right[0] < 0.75 * right[1], "no slow start: " + right[0] + ", " + right[1]);
-        assertEquals(right[0], stepped[0], 0.03, "while it is cold");
-        assertEquals(right[1], stepped[1], 0.03, "once it is warm");
+        double[] expected = trafficShares(0);
+        double[] stepped = trafficShares(stepMs);
+        assertTrue(
+                expected[0] < 0.75 * expected[1],
+                "no slow start: " + expected[0] + ", " + expected[1]);
+        assertEquals(expected[0], stepped[0], 0.03, "while it is cold");
+        assertEquals(expected[1], stepped[1], 0.03, "once it is warm");
     }
 }
--- a/core/src/test/java/mulleinlever/PolicyHarness.java
+++ b/core/src/test/java/mulleinlever/PolicyHarness.java
@@ -27,14 +27,14 @@
     Policy policy;
 
     static Settings.RouteSettings route(
-            String name, Settings.RetrySafety repeat, Settings.DedupScope scope) {
+            String name, Settings.RetrySafety retrySafety, Settings.DedupScope dedupScope) {
         return new Settings.RouteSettings(
                 name,
                 500 * MILLISECOND_NS,
                 0,
                 2 * SECOND_NS,
-                repeat,
-                scope,
+                retrySafety,
+                dedupScope,
                 250 * MILLISECOND_NS,
                 false,
                 0.2,
@@ -43,21 +43,21 @@
 
     static Settings settings(
             Settings.VoteControl control,
-            boolean byRoute,
-            int shielded,
-            boolean oneWay,
-            boolean ask,
+            boolean exposurePerRoute,
+            int shieldedStageCount,
+            boolean keysAreOneWay,
+            boolean requiresListWatch,
             List<Settings.RouteSettings> routes,
-            int sidecars,
-            boolean copies) {
-        int holds = control == Settings.VoteControl.CLOCKED ? 1 : 0;
+            int sidecarCount,
+            boolean canHedge) {
+        int holdVoteCount = control == Settings.VoteControl.CLOCKED ? 1 : 0;
         var rollout =
                 new Settings.RolloutSettings(
                         control,
                         false,
                         1,
                         1,
-                        holds,
+                        holdVoteCount,
                         SECOND_NS,
                         3 * SECOND_NS,
                         4 * SECOND_NS,
@@ -71,13 +71,13 @@
                         List.of(0.2, 0.7, 1.0),
                         3 * SECOND_NS,
                         2,
-                        byRoute,
-                        shielded,
-                        oneWay,
+                        exposurePerRoute,
+                        shieldedStageCount,
+                        keysAreOneWay,
                         false,
                         0.3,
                         4);
-        var rules =
+        var contract =
                 new Settings.Contract(
                         20 * MILLISECOND_NS,
                         500 * MILLISECOND_NS,
@@ -92,7 +92,7 @@
                         20_000,
                         true,
                         true,
-                        copies,
+                        canHedge,
                         true,
                         SECOND_NS,
                         100,
@@ -100,16 +100,16 @@
                         15 * SECOND_NS);
         return new Settings(
                 0,
-                sidecars,
+                sidecarCount,
                 "a",
                 List.of("a", "b"),
-                ask,
+                requiresListWatch,
                 5 * MILLISECOND_NS,
                 0.2,
                 routes,
                 List.of(),
                 rollout,
-                rules,
+                contract,
                 limits,
                 new Settings.CostWeights(0.02, 0.05, 0.01, 0.05),
                 Settings.ReportSource.OFF,
@@ -120,8 +120,9 @@
      * One of a fleet whose platform wants so many votes; the pods lie in two zones, neither of them
      * its own.
      */
-    static PolicyHarness inFleet(int rank, int sidecars, int onVotes, int backVotes) {
-        Settings s =
+    static PolicyHarness inFleet(
+            int rank, int sidecarCount, int approveVoteCount, int rollbackVoteCount) {
+        Settings defaults =
                 settings(
                         Settings.VoteControl.MAJORITY,
                         false,
@@ -133,78 +134,88 @@
                                         "get",
                                         Settings.RetrySafety.IDEMPOTENT,
                                         Settings.DedupScope.ALL)),
-                        sidecars,
+                        sidecarCount,
                         false);
-        Settings.RolloutSettings r = s.rollout();
+        Settings.RolloutSettings defaultRollout = defaults.rollout();
         var rollout =
                 new Settings.RolloutSettings(
-                        r.control(),
+                        defaultRollout.control(),
                         false,
-                        onVotes,
-                        backVotes,
+                        approveVoteCount,
+                        rollbackVoteCount,
                         0,
-                        r.bakeNs(),
-                        r.advanceDelayNs(),
-                        r.voteLifetimeNs(),
-                        r.voteTimeoutNs(),
+                        defaultRollout.bakeNs(),
+                        defaultRollout.advanceDelayNs(),
+                        defaultRollout.voteLifetimeNs(),
+                        defaultRollout.voteTimeoutNs(),
                         16,
-                        r.statusIntervalNs(),
-                        r.tallyIntervalNs(),
-                        r.tallySampleShare(),
-                        r.complaintReportRate(),
-                        r.stageShares(),
-                        r.stageExposureCaps(),
-                        r.exposureWindowNs(),
-                        r.exposureBurst(),
+                        defaultRollout.statusIntervalNs(),
+                        defaultRollout.tallyIntervalNs(),
+                        defaultRollout.tallySampleShare(),
+                        defaultRollout.complaintReportRate(),
+                        defaultRollout.stageShares(),
+                        defaultRollout.stageExposureCaps(),
+                        defaultRollout.exposureWindowNs(),
+                        defaultRollout.exposureBurst(),
                         false,
                         0,
                         false,
                         false,
-                        r.staleBuildPrice(),
-                        r.damagePrice());
+                        defaultRollout.staleBuildPrice(),
+                        defaultRollout.damagePrice());
         return create(
                 new Settings(
                         rank,
-                        sidecars,
+                        sidecarCount,
                         "c",
-                        s.zones(),
+                        defaults.zones(),
                         false,
-                        s.clockStepNs(),
-                        s.overShareValue(),
-                        s.routes(),
-                        s.tenants(),
+                        defaults.clockStepNs(),
+                        defaults.overShareValue(),
+                        defaults.routes(),
+                        defaults.tenants(),
                         rollout,
-                        s.contract(),
-                        s.policyLimits(),
-                        s.prices(),
-                        s.reportSource(),
+                        defaults.contract(),
+                        defaults.policyLimits(),
+                        defaults.prices(),
+                        defaults.reportSource(),
                         true),
                 rank);
     }
 
-    static PolicyHarness create(Settings s, long seed) {
-        PolicyHarness b = new PolicyHarness();
-        b.policy = new Policy(s, seed, b.nowNs, b);
-        return b;
+    static PolicyHarness create(Settings settings, long seed) {
+        PolicyHarness harness = new PolicyHarness();
+        harness.policy = new Policy(settings, seed, harness.nowNs, harness);
+        return harness;
     }
 
     static PolicyHarness withDefaults() {
         return withDefaults(3, false, false, 1);
     }
 
-    static PolicyHarness withDefaults(int sidecars, boolean copies, boolean oneWay, long seed) {
+    static PolicyHarness withDefaults(
+            int sidecarCount, boolean canHedge, boolean keysAreOneWay, long seed) {
         var get = route("get", Settings.RetrySafety.IDEMPOTENT, Settings.DedupScope.ALL);
         var control = Settings.VoteControl.SINGLE;
         return create(
-                settings(control, false, 0, oneWay, false, List.of(get), sidecars, copies), seed);
+                settings(
+                        control,
+                        false,
+                        0,
+                        keysAreOneWay,
+                        false,
+                        List.of(get),
+                        sidecarCount,
+                        canHedge),
+                seed);
     }
 
-    static PodEntry podEntry(int i, int build, long startedNs) {
+    static PodEntry podEntry(int number, int build, long startedNs) {
         return new PodEntry(
-                "pod" + i,
-                i % 2 == 0 ? "a" : "b",
+                "pod" + number,
+                number % 2 == 0 ? "a" : "b",
                 "k",
-                i % 2,
+                number % 2,
                 build,
                 PodEntry.State.READY,
                 1,
@@ -223,26 +234,26 @@
         return this;
     }
 
-    void sendReq(String id, String route, long expiresInNs) {
-        policy.onReq(nowNs, new Req(id, route, false, false, expiresInNs, 0, -1, null));
+    void sendReq(String reqId, String route, long expiresInNs) {
+        policy.onReq(nowNs, new Req(reqId, route, false, false, expiresInNs, 0, -1, null));
     }
 
-    void endTry(String id, int tryNo, TryOutcome ending, long tookNs) {
-        policy.onTryEnded(nowNs, id, tryNo, ending, tookNs, ending == TryOutcome.OK);
+    void endTry(String reqId, int tryNumber, TryOutcome outcome, long durationNs) {
+        policy.onTryEnded(nowNs, reqId, tryNumber, outcome, durationNs, outcome == TryOutcome.OK);
     }
 
-    void advance(long ns) {
-        long until = nowNs + ns;
-        while (!timers.isEmpty() && timers.firstKey() <= until) {
+    void advance(long durationNs) {
+        long untilNs = nowNs + durationNs;
+        while (!timers.isEmpty() && timers.firstKey() <= untilNs) {
             var due = timers.pollFirstEntry();
             nowNs = Math.max(nowNs, due.getKey());
             due.getValue().forEach(token -> policy.onTimer(nowNs, token));
         }
-        nowNs = until;
+        nowNs = untilNs;
     }
 
-    static int podNumber(String pod) {
-        return Integer.parseInt(pod.substring(3));
+    static int podNumber(String podId) {
+        return Integer.parseInt(podId.substring(3));
     }
 
     SentTry lastSent() {
@@ -250,34 +261,34 @@
     }
 
     @Override
-    public void startTry(String rq, String pod, long writeWithinNs, long limitNs) {
-        sentTries.add(new SentTry(rq, pod, nowNs, limitNs));
+    public void startTry(String reqId, String podId, long writeWithinNs, long timeoutNs) {
+        sentTries.add(new SentTry(reqId, podId, nowNs, timeoutNs));
     }
 
     @Override
-    public void shedReq(String rq, long backoffNs) {
-        answer(rq, "shed");
+    public void shedReq(String reqId, long backoffNs) {
+        putFinalAnswer(reqId, "shed");
     }
 
     @Override
-    public void failReq(String rq) {
-        answer(rq, "error");
+    public void failReq(String reqId) {
+        putFinalAnswer(reqId, "error");
     }
 
-    private void answer(String rq, String what) {
-        if (finalAnswers.put(rq, what) != null) {
-            throw new AssertionError("two answers to " + rq);
+    private void putFinalAnswer(String reqId, String answer) {
+        if (finalAnswers.put(reqId, answer) != null) {
+            throw new AssertionError("two answers to " + reqId);
         }
     }
 
     @Override
-    public void cancelTry(String rq, int tryNo) {
-        cancelledReqs.add(rq);
+    public void cancelTry(String reqId, int tryNumber) {
+        cancelledReqs.add(reqId);
     }
 
     @Override
-    public void castVote(int build, int stage, RolloutVote verdict) {
-        votes.add(new CastVote(nowNs, build, stage, verdict));
+    public void castVote(int build, int stage, RolloutVote vote) {
+        votes.add(new CastVote(nowNs, build, stage, vote));
     }
 
     @Override
@@ -289,5 +300,5 @@
     }
 
     @Override
-    public void log(String line) {}
+    public void log(String message) {}
 }
--- a/core/src/test/java/mulleinlever/PolicyRulesModelTest.java
+++ b/core/src/test/java/mulleinlever/PolicyRulesModelTest.java
@@ -21,30 +21,31 @@
  * A slow, plain model of the five rules beside the module on generated days, by whole histories.
  */
 class PolicyRulesModelTest {
-    private record OpenTry(String rq, int no, int build, long dueNs) {}
+    private record OpenTry(String reqId, int tryNumber, int build, long dueNs) {}
 
     private record ExposedTry(long atNs, int build, String route) {}
 
     private record CapChange(long atNs, double cap) {}
 
-    private final Map<String, PodEntry> list = new HashMap<>();
-    private final Map<String, Long> goneSince = new HashMap<>();
-    private final Map<String, Req> taken = new HashMap<>();
-    private final Map<String, Long> takenAt = new HashMap<>();
-    private final Map<String, List<PolicyHarness.SentTry>> tries = new HashMap<>();
-    private final Map<String, List<TryOutcome>> endings = new HashMap<>();
-    private final Map<String, String> done = new HashMap<>();
-    private final Map<String, List<Long>> toCold = new HashMap<>();
-    private final Map<String, List<Long>> toWarm = new HashMap<>();
-    private long mostToWarm;
-    private final Map<Long, Integer> keyAt = new HashMap<>();
-    private final List<ExposedTry> exposed = new ArrayList<>();
-    private RolloutStatus news = new RolloutStatus(1, 2, RolloutStatus.Phase.RELEASED, 1, 0);
-    private final List<CapChange> caps = new ArrayList<>();
-    private final List<OpenTry> outs = new ArrayList<>();
-    private Settings set;
-    private PolicyHarness bench;
-    private int seen;
+    private final Map<String, PodEntry> entries = new HashMap<>();
+    private final Map<String, Long> goneSinceNs = new HashMap<>();
+    private final Map<String, Req> reqs = new HashMap<>();
+    private final Map<String, Long> arrivedNs = new HashMap<>();
+    private final Map<String, List<PolicyHarness.SentTry>> triesByReq = new HashMap<>();
+    private final Map<String, List<TryOutcome>> outcomesByReq = new HashMap<>();
+    private final Map<String, String> finalAnswers = new HashMap<>();
+    private final Map<String, List<Long>> coldSendTimesNs = new HashMap<>();
+    private final Map<String, List<Long>> warmSendTimesNs = new HashMap<>();
+    private long maxWarmSendsPerSecond;
+    private final Map<Long, Integer> buildByKey = new HashMap<>();
+    private final List<ExposedTry> exposedTries = new ArrayList<>();
+    private RolloutStatus rolloutStatus =
+            new RolloutStatus(1, 2, RolloutStatus.Phase.RELEASED, 1, 0);
+    private final List<CapChange> capChanges = new ArrayList<>();
+    private final List<OpenTry> openTries = new ArrayList<>();
+    private Settings settings;
+    private PolicyHarness harness;
+    private int checkedTryCount;
 
     @ParameterizedTest
     @ValueSource(
@@ -54,7 +55,7 @@
     void policyKeepsRules(long seed) {
         SplittableRandom random = new SplittableRandom(seed);
         DedupScope scope = DedupScope.values()[random.nextInt(3)];
-        set =
+        settings =
                 PolicyHarness.settings(
                         VoteControl.values()[random.nextInt(3)],
                         random.nextBoolean(),
@@ -68,86 +69,88 @@
                                         "n", RetrySafety.NOT_RETRYABLE, DedupScope.ALL)),
                         seed % 2 == 0 ? 3 : 200,
                         seed % 3 == 0);
-        bench = PolicyHarness.create(set, seed);
+        harness = PolicyHarness.create(settings, seed);
         List<PodEntry> first =
                 IntStream.range(0, 8).mapToObj(i -> PolicyHarness.podEntry(i, 1, 0)).toList();
-        bench.policy.onPodListReplaced(bench.nowNs, first);
-        first.forEach(this::entry);
-        tell(news);
+        harness.policy.onPodListReplaced(harness.nowNs, first);
+        first.forEach(this::recordEntry);
+        setRolloutStatus(rolloutStatus);
         if (seed % 2 == 1) {
-            remembered(random).forEach(l -> bench.policy.restoreLearned(bench.nowNs, l));
+            randomLearnedState(random)
+                    .forEach(l -> harness.policy.restoreLearned(harness.nowNs, l));
         }
         for (int step = 0; step < 2_000; step++) {
-            time();
-            happen(random, step);
-            check();
+            advanceTime();
+            randomEvents(random, step);
+            checkNewActions();
         }
         for (int step = 0; step < 400; step++) {
-            time();
+            advanceTime();
         }
         assertTrue(
-                taken.size() > 300 && !exposed.isEmpty(), "the day was too quiet to show anything");
-        taken.keySet().forEach(id -> assertTrue(done.containsKey(id), "no answer to " + id));
+                reqs.size() > 300 && !exposedTries.isEmpty(),
+                "the day was too quiet to show anything");
+        reqs.keySet().forEach(id -> assertTrue(finalAnswers.containsKey(id), "no answer to " + id));
     }
 
     /** Whatever was remembered, true or not, the rules hold as they do for a cold start. */
-    private List<LearnedState> remembered(SplittableRandom random) {
-        List<LearnedState> all = new ArrayList<>();
+    private List<LearnedState> randomLearnedState(SplittableRandom random) {
+        List<LearnedState> learned = new ArrayList<>();
         for (int i = 0; i < 40; i++) {
-            LearnedState.WeightedMean f =
+            LearnedState.WeightedMean share =
                     new LearnedState.WeightedMean(random.nextDouble() * 5, random.nextInt(1_000));
-            LearnedState.WeightedMean ns =
+            LearnedState.WeightedMean times =
                     new LearnedState.WeightedMean(
                             random.nextInt(3_000) * MILLISECOND_NS, random.nextInt(1_000));
             int build = random.nextInt(4);
             String route = List.of("r", "d", "n", "", "other").get(random.nextInt(5));
-            all.add(
+            learned.add(
                     switch (random.nextInt(5)) {
-                        case 0 -> new LearnedState.ConnectionStats(f, f);
+                        case 0 -> new LearnedState.ConnectionStats(share, share);
                         case 1 ->
                                 new LearnedState.PodStats(
                                         PolicyHarness.podEntry(random.nextInt(10), build, 0),
-                                        f,
-                                        f,
+                                        share,
+                                        share,
                                         random.nextInt(9));
-                        case 2 -> new LearnedState.RouteStats(route, build, ns, ns);
+                        case 2 -> new LearnedState.RouteStats(route, build, times, times);
                         case 3 ->
                                 new LearnedState.DetectorBaseline(
                                         build,
                                         route,
                                         random.nextBoolean(),
-                                        f.mean() / 5,
-                                        f.mean() / 9,
+                                        share.mean() / 5,
+                                        share.mean() / 9,
                                         50);
                         default -> new LearnedState.KeyBuild(random.nextInt(60), build);
                     });
         }
-        return all;
+        return learned;
     }
 
-    private void time() {
-        bench.advance(5 * MILLISECOND_NS);
-        check();
-        for (OpenTry o : List.copyOf(outs)) {
-            if (bench.nowNs >= o.dueNs) {
-                outs.remove(o);
-                bench.policy.onTryEnded(
-                        bench.nowNs,
-                        o.rq,
-                        o.no,
+    private void advanceTime() {
+        harness.advance(5 * MILLISECOND_NS);
+        checkNewActions();
+        for (OpenTry openTry : List.copyOf(openTries)) {
+            if (harness.nowNs >= openTry.dueNs) {
+                openTries.remove(openTry);
+                harness.policy.onTryEnded(
+                        harness.nowNs,
+                        openTry.reqId,
+                        openTry.tryNumber,
                         TryOutcome.TIMEOUT,
                         2 * SECOND_NS,
-                        done.containsKey(o.rq));
-                check();
+                        finalAnswers.containsKey(openTry.reqId));
+                checkNewActions();
             }
         }
     }
 
-    private void happen(SplittableRandom random, int step) {
-        int reqs = random.nextInt(step / 400 % 2 == 0 ? 2 : 5);
-        for (int i = 0; i < reqs; i++) {
+    private void randomEvents(SplittableRandom random, int step) {
+        int reqCount = random.nextInt(step / 400 % 2 == 0 ? 2 : 5);
+        for (int i = 0; i < reqCount; i++) {
             String route = List.of("r", "d", "n").get(random.nextInt(3));
-            Req rq =
+            Req req =
                     new Req(
                             step + "." + i,
                             route,
@@ -157,254 +160,283 @@
                             0,
                             random.nextInt(60),
                             null);
-            taken.put(rq.id(), rq);
-            takenAt.put(rq.id(), bench.nowNs);
-            bench.policy.onReq(bench.nowNs, rq);
-            check();
+            reqs.put(req.id(), req);
+            arrivedNs.put(req.id(), harness.nowNs);
+            harness.policy.onReq(harness.nowNs, req);
+            checkNewActions();
         }
-        while (!outs.isEmpty() && (random.nextInt(4) > 0 || outs.size() > 40)) {
-            OpenTry o = outs.remove(random.nextInt(outs.size()));
-            TryOutcome ending =
+        while (!openTries.isEmpty() && (random.nextInt(4) > 0 || openTries.size() > 40)) {
+            OpenTry openTry = openTries.remove(random.nextInt(openTries.size()));
+            TryOutcome outcome =
                     random.nextInt(10) > 2 ? TryOutcome.OK : TryOutcome.values()[random.nextInt(6)];
-            endings.get(o.rq).set(o.no, ending);
-            boolean complete = ending == TryOutcome.OK || done.containsKey(o.rq);
-            if (ending == TryOutcome.OK && !done.containsKey(o.rq)) {
-                done.put(o.rq, "ok");
-                keyAt.merge(taken.get(o.rq).key(), o.build, Math::max);
+            outcomesByReq.get(openTry.reqId).set(openTry.tryNumber, outcome);
+            boolean complete = outcome == TryOutcome.OK || finalAnswers.containsKey(openTry.reqId);
+            if (outcome == TryOutcome.OK && !finalAnswers.containsKey(openTry.reqId)) {
+                finalAnswers.put(openTry.reqId, "ok");
+                buildByKey.merge(reqs.get(openTry.reqId).key(), openTry.build, Math::max);
             }
-            bench.policy.onTryEnded(
-                    bench.nowNs,
-                    o.rq,
-                    o.no,
-                    ending,
+            harness.policy.onTryEnded(
+                    harness.nowNs,
+                    openTry.reqId,
+                    openTry.tryNumber,
+                    outcome,
                     (50 + random.nextInt(200)) * MILLISECOND_NS,
                     complete);
-            check();
+            checkNewActions();
         }
-        if (random.nextInt(300) == 0 && !outs.isEmpty()) {
-            done.put(outs.get(0).rq, "gone");
-            bench.policy.onClientDisconnected(bench.nowNs, outs.get(0).rq);
+        if (random.nextInt(300) == 0 && !openTries.isEmpty()) {
+            finalAnswers.put(openTries.get(0).reqId, "gone");
+            harness.policy.onClientDisconnected(harness.nowNs, openTries.get(0).reqId);
         }
         if (random.nextInt(40) == 0) {
-            pods(random);
-            check();
+            changeRandomPod(random);
+            checkNewActions();
         }
         if (random.nextInt(150) == 0) {
-            rollout(random);
+            changeRollout(random);
         }
         if (random.nextInt(200) == 0) {
-            bench.policy.onPodListWatchFailed(bench.nowNs);
+            harness.policy.onPodListWatchFailed(harness.nowNs);
         }
         if (random.nextInt(20) == 0) {
-            bench.policy.onPlatformTally(
-                    bench.nowNs,
+            harness.policy.onPlatformTally(
+                    harness.nowNs,
                     random.nextInt(5) == 0 ? "no such" : "r",
                     random.nextInt(9),
                     random.nextInt(50) - 5,
                     random.nextInt(60),
                     random.nextInt(300) * MILLISECOND_NS - 50 * MILLISECOND_NS,
                     SECOND_NS);
-            bench.policy.onComplaint(
-                    bench.nowNs, "pod" + random.nextInt(20), random.nextBoolean() ? "d" : "none");
+            harness.policy.onComplaint(
+                    harness.nowNs, "pod" + random.nextInt(20), random.nextBoolean() ? "d" : "none");
         }
         if (random.nextInt(30) == 0) {
-            bench.policy.onVoteAnswered(bench.nowNs, random.nextBoolean());
+            harness.policy.onVoteAnswered(harness.nowNs, random.nextBoolean());
         }
     }
 
-    private void pods(SplittableRandom random) {
-        int i = random.nextInt(14);
-        PodEntry e =
+    private void changeRandomPod(SplittableRandom random) {
+        int podNumber = random.nextInt(14);
+        PodEntry entry =
                 PolicyHarness.podEntry(
-                        i,
-                        i < 8 ? 1 : news.build() + random.nextInt(2),
-                        bench.nowNs - random.nextInt(6_000) * MILLISECOND_NS);
-        int what = random.nextInt(5);
-        if (what < 2 && list.containsKey(e.id())) {
-            PodEntry was = list.get(e.id());
-            e =
+                        podNumber,
+                        podNumber < 8 ? 1 : rolloutStatus.build() + random.nextInt(2),
+                        harness.nowNs - random.nextInt(6_000) * MILLISECOND_NS);
+        int change = random.nextInt(5);
+        if (change < 2 && entries.containsKey(entry.id())) {
+            PodEntry previous = entries.get(entry.id());
+            entry =
                     new PodEntry(
-                            e.id(),
-                            e.zone(),
-                            e.kind(),
-                            e.cell(),
-                            was.build(),
-                            what == 0 ? PodEntry.State.DRAINING : PodEntry.State.GONE,
+                            entry.id(),
+                            entry.zone(),
+                            entry.kind(),
+                            entry.cell(),
+                            previous.build(),
+                            change == 0 ? PodEntry.State.DRAINING : PodEntry.State.GONE,
                             1,
-                            was.startedNs());
+                            previous.startedNs());
         }
-        entry(e);
-        bench.policy.onPodListUpdated(bench.nowNs, List.of(e));
+        recordEntry(entry);
+        harness.policy.onPodListUpdated(harness.nowNs, List.of(entry));
     }
 
-    private void rollout(SplittableRandom random) {
+    private void changeRollout(SplittableRandom random) {
         RolloutStatus.Phase phase = RolloutStatus.Phase.values()[random.nextInt(3)];
         int build =
-                news.phase() == RolloutStatus.Phase.ON_TRIAL || random.nextBoolean()
-                        ? news.build()
-                        : news.build() + 1;
+                rolloutStatus.phase() == RolloutStatus.Phase.ON_TRIAL || random.nextBoolean()
+                        ? rolloutStatus.build()
+                        : rolloutStatus.build() + 1;
         int stage = random.nextInt(3);
         double cap =
                 phase == RolloutStatus.Phase.REVERTING
                         ? 0
-                        : set.rollout().stageExposureCaps().get(stage);
-        tell(new RolloutStatus(Math.max(2, build), stage, phase, cap, 0));
+                        : settings.rollout().stageExposureCaps().get(stage);
+        setRolloutStatus(new RolloutStatus(Math.max(2, build), stage, phase, cap, 0));
     }
 
-    private void entry(PodEntry e) {
-        PodEntry was = list.put(e.id(), e);
-        if (e.state() == PodEntry.State.READY) {
-            goneSince.remove(e.id());
+    private void recordEntry(PodEntry entry) {
+        PodEntry previous = entries.put(entry.id(), entry);
+        if (entry.state() == PodEntry.State.READY) {
+            goneSinceNs.remove(entry.id());
         } else {
-            goneSince.putIfAbsent(e.id(), bench.nowNs);
+            goneSinceNs.putIfAbsent(entry.id(), harness.nowNs);
         }
-        if (was == null || was.startedNs() != e.startedNs()) {
-            toCold.put(e.id(), new ArrayList<>());
+        if (previous == null || previous.startedNs() != entry.startedNs()) {
+            coldSendTimesNs.put(entry.id(), new ArrayList<>());
         }
     }
 
-    private void tell(RolloutStatus n) {
-        if (n.build() != news.build()) {
-            caps.clear();
+    private void setRolloutStatus(RolloutStatus newStatus) {
+        if (newStatus.build() != rolloutStatus.build()) {
+            capChanges.clear();
         }
-        news = n;
-        caps.add(new CapChange(bench.nowNs, n.cap()));
-        bench.policy.onRolloutStatus(bench.nowNs, n);
+        rolloutStatus = newStatus;
+        capChanges.add(new CapChange(harness.nowNs, newStatus.cap()));
+        harness.policy.onRolloutStatus(harness.nowNs, newStatus);
     }
 
-    private void check() {
-        bench.finalAnswers.forEach(
-                (id, what) -> {
-                    if (!done.containsKey(id)) {
-                        done.put(id, what);
-                        RetrySafety repeat = repeatOf(id);
-                        List<TryOutcome> ended = endings.getOrDefault(id, List.of());
-                        boolean mayHaveRun = ended.stream().anyMatch(e -> !e.provesNotRun());
-                        long due = takenAt.get(id) + taken.get(id).expiresInNs();
-                        assertTrue(bench.nowNs <= due + 20 * MILLISECOND_NS, "answered late");
-                        boolean harmless =
-                                repeat == RetrySafety.IDEMPOTENT
-                                        || repeat == RetrySafety.DEDUPLICATED
-                                                && set.routes().get(1).dedupScope()
+    private void checkNewActions() {
+        harness.finalAnswers.forEach(
+                (reqId, answer) -> {
+                    if (!finalAnswers.containsKey(reqId)) {
+                        finalAnswers.put(reqId, answer);
+                        RetrySafety retrySafety = retrySafetyOf(reqId);
+                        List<TryOutcome> outcomes = outcomesByReq.getOrDefault(reqId, List.of());
+                        boolean mayHaveRun = outcomes.stream().anyMatch(e -> !e.provesNotRun());
+                        long deadlineNs = arrivedNs.get(reqId) + reqs.get(reqId).expiresInNs();
+                        assertTrue(
+                                harness.nowNs <= deadlineNs + 20 * MILLISECOND_NS, "answered late");
+                        boolean safeToShed =
+                                retrySafety == RetrySafety.IDEMPOTENT
+                                        || retrySafety == RetrySafety.DEDUPLICATED
+                                                && settings.routes().get(1).dedupScope()
                                                         == DedupScope.ALL;
                         assertTrue(
-                                !what.equals("shed") || !mayHaveRun || harmless,
+                                !answer.equals("shed") || !mayHaveRun || safeToShed,
                                 "shed may have run");
                     }
                 });
-        for (; seen < bench.sentTries.size(); seen++) {
-            sent(bench.sentTries.get(seen));
+        for (; checkedTryCount < harness.sentTries.size(); checkedTryCount++) {
+            checkSentTry(harness.sentTries.get(checkedTryCount));
         }
     }
 
-    private RetrySafety repeatOf(String id) {
-        return set.routes().stream()
-                .filter(r -> r.name().equals(taken.get(id).route()))
+    private RetrySafety retrySafetyOf(String reqId) {
+        return settings.routes().stream()
+                .filter(r -> r.name().equals(reqs.get(reqId).route()))
                 .findFirst()
                 .get()
                 .retrySafety();
     }
 
-    private void sent(PolicyHarness.SentTry s) {
-        PodEntry pod = list.get(s.pod());
-        Req rq = taken.get(s.reqId());
-        assertFalse(done.containsKey(s.reqId()), "sent after the answer");
+    private void checkSentTry(PolicyHarness.SentTry sentTry) {
+        PodEntry pod = entries.get(sentTry.pod());
+        Req req = reqs.get(sentTry.reqId());
+        assertFalse(finalAnswers.containsKey(sentTry.reqId()), "sent after the answer");
         assertFalse(
-                s.atNs()
-                        > goneSince.getOrDefault(s.pod(), Long.MAX_VALUE - SECOND_NS)
+                sentTry.atNs()
+                        > goneSinceNs.getOrDefault(sentTry.pod(), Long.MAX_VALUE - SECOND_NS)
                                 + 500 * MILLISECOND_NS,
                 "sent to a drained pod");
-        repeats(s, pod);
-        exposure(s, pod, rq);
-        if (s.atNs() < pod.startedNs() + set.contract().slowStartNs()) {
-            List<Long> cold = toCold.get(s.pod());
-            cold.add(s.atNs());
-            long lately = cold.stream().filter(t -> t > s.atNs() - SECOND_NS).count();
-            double can = 0.3 + 0.7 * (s.atNs() - pod.startedNs()) / set.contract().slowStartNs();
-            assertTrue(lately <= 2 + 2 * can * mostToWarm, "pushed over");
+        checkRetryRules(sentTry, pod);
+        checkExposureRules(sentTry, pod, req);
+        if (sentTry.atNs() < pod.startedNs() + settings.contract().slowStartNs()) {
+            List<Long> coldTimesNs = coldSendTimesNs.get(sentTry.pod());
+            coldTimesNs.add(sentTry.atNs());
+            long lastSecondCount =
+                    coldTimesNs.stream().filter(t -> t > sentTry.atNs() - SECOND_NS).count();
+            double capacityShare =
+                    0.3
+                            + 0.7
+                                    * (sentTry.atNs() - pod.startedNs())
+                                    / settings.contract().slowStartNs();
+            assertTrue(
+                    lastSecondCount <= 2 + 2 * capacityShare * maxWarmSendsPerSecond,
+                    "pushed over");
         } else {
-            List<Long> warm = toWarm.computeIfAbsent(s.pod(), k -> new ArrayList<>());
-            warm.add(s.atNs());
-            mostToWarm =
+            List<Long> warmTimesNs =
+                    warmSendTimesNs.computeIfAbsent(sentTry.pod(), k -> new ArrayList<>());
+            warmTimesNs.add(sentTry.atNs());
+            maxWarmSendsPerSecond =
                     Math.max(
-                            mostToWarm,
-                            warm.stream().filter(t -> t > s.atNs() - SECOND_NS).count());
+                            maxWarmSendsPerSecond,
+                            warmTimesNs.stream()
+                                    .filter(t -> t > sentTry.atNs() - SECOND_NS)
+                                    .count());
         }
-        tries.computeIfAbsent(s.reqId(), k -> new ArrayList<>()).add(s);
-        endings.computeIfAbsent(s.reqId(), k -> new ArrayList<>()).add(TryOutcome.TIMEOUT);
-        long due = Math.min(s.atNs() + s.limitNs(), takenAt.get(s.reqId()) + rq.expiresInNs());
-        outs.add(new OpenTry(s.reqId(), endings.get(s.reqId()).size() - 1, pod.build(), due));
+        triesByReq.computeIfAbsent(sentTry.reqId(), k -> new ArrayList<>()).add(sentTry);
+        outcomesByReq
+                .computeIfAbsent(sentTry.reqId(), k -> new ArrayList<>())
+                .add(TryOutcome.TIMEOUT);
+        long dueNs =
+                Math.min(
+                        sentTry.atNs() + sentTry.limitNs(),
+                        arrivedNs.get(sentTry.reqId()) + req.expiresInNs());
+        openTries.add(
+                new OpenTry(
+                        sentTry.reqId(),
+                        outcomesByReq.get(sentTry.reqId()).size() - 1,
+                        pod.build(),
+                        dueNs));
     }
 
-    private void repeats(PolicyHarness.SentTry s, PodEntry pod) {
-        List<PolicyHarness.SentTry> before = tries.getOrDefault(s.reqId(), List.of());
-        assertTrue(before.size() < set.policyLimits().maxTries(), "too many tries");
-        long out = outs.stream().filter(o -> o.rq.equals(s.reqId())).count();
-        assertTrue(out < (set.policyLimits().canHedge() ? 2 : 1), "too many tries out at once");
-        for (int i = 0; i < before.size(); i++) {
-            if (endings.get(s.reqId()).get(i).provesNotRun()) {
+    private void checkRetryRules(PolicyHarness.SentTry sentTry, PodEntry pod) {
+        List<PolicyHarness.SentTry> earlierTries =
+                triesByReq.getOrDefault(sentTry.reqId(), List.of());
+        assertTrue(earlierTries.size() < settings.policyLimits().maxTries(), "too many tries");
+        long openTryCount = openTries.stream().filter(o -> o.reqId.equals(sentTry.reqId())).count();
+        assertTrue(
+                openTryCount < (settings.policyLimits().canHedge() ? 2 : 1),
+                "too many tries out at once");
+        for (int i = 0; i < earlierTries.size(); i++) {
+            if (outcomesByReq.get(sentTry.reqId()).get(i).provesNotRun()) {
                 continue;
             }
-            assertTrue(repeatOf(s.reqId()) != RetrySafety.NOT_RETRYABLE, "ran twice");
-            if (repeatOf(s.reqId()) == RetrySafety.DEDUPLICATED) {
-                PodEntry ran = list.get(before.get(i).pod());
-                DedupScope scope = set.routes().get(1).dedupScope();
+            assertTrue(retrySafetyOf(sentTry.reqId()) != RetrySafety.NOT_RETRYABLE, "ran twice");
+            if (retrySafetyOf(sentTry.reqId()) == RetrySafety.DEDUPLICATED) {
+                PodEntry firstPod = entries.get(earlierTries.get(i).pod());
+                DedupScope scope = settings.routes().get(1).dedupScope();
                 assertTrue(
                         scope == DedupScope.ALL
-                                || scope == DedupScope.ZONE && ran.zone().equals(pod.zone())
-                                || scope == DedupScope.CELL && ran.cell() == pod.cell(),
+                                || scope == DedupScope.ZONE && firstPod.zone().equals(pod.zone())
+                                || scope == DedupScope.CELL && firstPod.cell() == pod.cell(),
                         "sent outside its group");
                 assertTrue(
-                        s.atNs() < before.get(i).atNs() + set.routes().get(1).dedupWindowNs(),
+                        sentTry.atNs()
+                                < earlierTries.get(i).atNs()
+                                        + settings.routes().get(1).dedupWindowNs(),
                         "sent too late to drop");
                 break;
             }
         }
     }
 
-    private void exposure(PolicyHarness.SentTry s, PodEntry pod, Req rq) {
-        boolean stands =
-                news.phase() == RolloutStatus.Phase.ON_TRIAL
-                        || news.phase() == RolloutStatus.Phase.RELEASED;
-        if (set.rollout().keysAreOneWay() && stands) {
-            assertTrue(pod.build() >= keyAt.getOrDefault(rq.key(), 0), "a key went back");
+    private void checkExposureRules(PolicyHarness.SentTry sentTry, PodEntry pod, Req req) {
+        boolean rolloutActive =
+                rolloutStatus.phase() == RolloutStatus.Phase.ON_TRIAL
+                        || rolloutStatus.phase() == RolloutStatus.Phase.RELEASED;
+        if (settings.rollout().keysAreOneWay() && rolloutActive) {
+            assertTrue(pod.build() >= buildByKey.getOrDefault(req.key(), 0), "a key went back");
         }
-        boolean announced = pod.build() == news.build();
-        if (pod.build() < news.build()
-                || announced && news.phase() == RolloutStatus.Phase.RELEASED) {
+        boolean announced = pod.build() == rolloutStatus.build();
+        if (pod.build() < rolloutStatus.build()
+                || announced && rolloutStatus.phase() == RolloutStatus.Phase.RELEASED) {
             return;
         }
-        double cap = announced ? news.cap() : set.rollout().stageExposureCaps().get(0);
-        int stage = announced ? news.stage() : 0;
+        double cap =
+                announced ? rolloutStatus.cap() : settings.rollout().stageExposureCaps().get(0);
+        int stage = announced ? rolloutStatus.stage() : 0;
         assertTrue(cap > 0, "sent at cap 0");
         assertTrue(
-                stage >= set.rollout().shieldedStageCount() || rq.route().equals("r"),
+                stage >= settings.rollout().shieldedStageCount() || req.route().equals("r"),
                 "sent through the shield");
-        exposed.add(new ExposedTry(s.atNs(), pod.build(), rq.route()));
+        exposedTries.add(new ExposedTry(sentTry.atNs(), pod.build(), req.route()));
         // Each window that ends here, since the last change of the cap and no longer than the
         // rule's.
-        long since = announced ? caps.get(caps.size() - 1).atNs() : 0;
-        for (ExposedTry from : exposed) {
-            long start = from.atNs();
-            if (start < Math.max(since, s.atNs() - 3 * SECOND_NS) || from.build() != pod.build()) {
+        long capSinceNs = announced ? capChanges.get(capChanges.size() - 1).atNs() : 0;
+        for (ExposedTry first : exposedTries) {
+            long startNs = first.atNs();
+            if (startNs < Math.max(capSinceNs, sentTry.atNs() - 3 * SECOND_NS)
+                    || first.build() != pod.build()) {
                 continue;
             }
-            long n =
-                    exposed.stream()
-                            .filter(e -> e.atNs() >= start && e.build() == pod.build())
-                            .filter(e -> counts(e.route(), rq.route()))
+            long exposedCount =
+                    exposedTries.stream()
+                            .filter(e -> e.atNs() >= startNs && e.build() == pod.build())
+                            .filter(e -> countsTowards(e.route(), req.route()))
                             .count();
-            long of =
-                    taken.values().stream()
-                            .filter(q -> takenAt.get(q.id()) >= start)
-                            .filter(q -> counts(q.route(), rq.route()))
+            long reqCount =
+                    reqs.values().stream()
+                            .filter(q -> arrivedNs.get(q.id()) >= startNs)
+                            .filter(q -> countsTowards(q.route(), req.route()))
                             .count();
             assertTrue(
-                    n <= set.rollout().exposureBurst() + cap * of + 1e-9, "exposed beyond the cap");
+                    exposedCount <= settings.rollout().exposureBurst() + cap * reqCount + 1e-9,
+                    "exposed beyond the cap");
         }
     }
 
-    private boolean counts(String route, String sent) {
-        return !set.rollout().isExposurePerRoute() || route.equals(sent);
+    private boolean countsTowards(String route, String sentRoute) {
+        return !settings.rollout().isExposurePerRoute() || route.equals(sentRoute);
     }
 }
