--- a/core/src/main/java/mulleinlever/LearnedState.java
+++ b/core/src/main/java/mulleinlever/LearnedState.java
@@ -1,48 +1,55 @@
 package mulleinlever;
 
 /**
- * One thing that a {@link Policy} learned, as plain values: {@link Policy#exportLearned} gives them
- * out, {@link Policy#restoreLearned} takes them in. Times are nanoseconds.
+ * A piece of what a {@link Policy} has learned, as plain values: {@link Policy#exportLearned}
+ * returns the pieces, {@link Policy#restoreLearned} takes them. Times are in nanoseconds. The names
+ * of the components are stored.
  */
 public sealed interface LearnedState {
-    /** A mean and the number of outcomes, faded, that it stands for. */
+    /**
+     * A mean.
+     *
+     * @param weight the decayed number of outcomes that it stands for
+     */
     record WeightedMean(double mean, double weight) {}
 
     /**
-     * What a pod's tries have shown.
+     * The statistics of a pod.
      *
-     * @param is its line of the list; another start or build under the same id is another pod
-     * @param slowness how long its answers take against their route's mean
-     * @param late the share of its tries that were late, as evidence on builds counts it
-     * @param strikes how badly it failed of late; 0 where it did not
+     * @param is its entry on the list; another start or build under the same id is another pod
+     * @param slowness its try times as a multiple of the mean of their route
+     * @param late the share of its tries that were late, counted as evidence on builds is
+     * @param strikes its failure score; 0 without recent failures
      */
     record PodStats(PodEntry is, WeightedMean slowness, WeightedMean late, int strikes)
             implements LearnedState {}
 
     /**
-     * What a route's tries take.
+     * The try times of a route.
      *
-     * @param build the newest build at that time
-     * @param times its tries of late, in nanoseconds
-     * @param usual its tries before the trial, by which a try counts as late, in nanoseconds
+     * @param build the newest build at the time of the export
+     * @param times the recent try times, in nanoseconds
+     * @param usual the try times of the baseline, from which the late threshold follows, in
+     *     nanoseconds
      */
     record RouteStats(String route, int build, WeightedMean times, WeightedMean usual)
             implements LearnedState {}
 
-    /** The share of new connections refused, and of tries never answered. */
+    /** The share of new connections that were refused, and of tries that were never answered. */
     record ConnectionStats(WeightedMean refused, WeightedMean unanswered) implements LearnedState {}
 
     /**
-     * The long-term pair of one detector.
+     * The long-term average of a detector.
      *
-     * @param build the newest build at that time
-     * @param route empty for all routes together
-     * @param samples how many seconds it was learned from
+     * @param build the newest build at the time of the export
+     * @param route the name of the route; empty for all routes together
+     * @param ofLate whether the detector is about lateness and not about failures
+     * @param samples the number of samples that it was learned from, one per second
      */
     record DetectorBaseline(
             int build, String route, boolean ofLate, double mean, double deviation, double samples)
             implements LearnedState {}
 
-    /** The newest build that has answered a key which can't go back. */
+    /** The newest build that has answered a one-way key. */
     record KeyBuild(long key, int build) implements LearnedState {}
 }
--- a/core/src/main/java/mulleinlever/Policy.java
+++ b/core/src/main/java/mulleinlever/Policy.java
@@ -13,174 +13,250 @@
 import java.util.stream.Stream;
 
 /**
- * Every decision of one sidecar: where a req goes, when it is tried again or given up, how the
- * sidecar votes. Whoever hosts it calls one method for each thing that happens, with the time; it
- * acts only by calling the {@link PolicyActions} it was handed. docs/design.md explains the
- * mechanism and when each exception to it acts.
+ * Makes every decision of one sidecar: which pod a req is sent to, when it is retried, shed or
+ * failed, and how the sidecar votes on the newest build.
+ *
+ * <p>The event loop calls one method for each event, with the time in nanoseconds. The policy acts
+ * only through its {@link PolicyActions}: it does no I/O, reads no clock and starts no thread, and
+ * all its random numbers come from one seed. It is not thread-safe. docs/design.md explains the
+ * mechanism and the conditions of each exception.
  */
 public final class Policy {
     private static final long MILLISECOND_NS = 1_000_000L;
     private static final long SECOND_NS = 1_000 * MILLISECOND_NS;
 
-    // The design's own figures.
+    /**
+     * The number of deviations of the short-term above the long-term average from which a detector
+     * is suspicious.
+     */
     private static final double SUSPECT_DEVIATIONS = 2.5;
+
+    /** The number of deviations from which a detector raises an alarm. */
     private static final double ALARM_DEVIATIONS = 4.5;
+
+    /** The number of deviations below which an alarm ends. */
     private static final double ALARM_CLEAR_DEVIATIONS = 0.5;
+
+    /** The minimum deviation that a detector assumes, as a share of tries. */
     private static final double MIN_DEVIATION = 0.02;
+
+    /** The minimum number of outcomes of a build for a judgement on it. */
     private static final int MIN_OUTCOME_COUNT = 20;
+
+    /** The number of sidecars that vote without delay where a single vote decides. */
     private static final int SINGLE_CONTROL_VOTER_COUNT = 3;
 
     /**
-     * Low enough that a trial's first seconds hardly move it, high enough to be learned early in a
-     * day.
+     * The weight of a sample in the long-term average: low enough that the first seconds of a trial
+     * hardly move it, high enough that the average is learned early in a day.
      */
     private static final double LONG_TERM_WEIGHT = 0.02;
 
-    /**
-     * The sample is itself a sum over some seconds, so that one second of thin traffic raises no
-     * alarm.
-     */
+    /** The weight of a sample in the short-term average. */
     private static final double SHORT_TERM_WEIGHT = 0.5;
 
-    private static final long SAMPLE_HALF_LIFE_NS = 10 * SECOND_NS;
-
     /**
-     * A try is late above this quantile, which lies at so many mean times if these fall off evenly.
+     * The half-life of the outcome counts behind a sample. A sample covers several seconds, so that
+     * one second with little traffic raises no alarm.
      */
+    private static final long SAMPLE_HALF_LIFE_NS = 10 * SECOND_NS;
+
+    /** A try is late if it takes longer than this quantile of the try times of the baseline. */
     private static final double LATE_QUANTILE = 0.8;
 
+    /** The late quantile in multiples of the mean try time, for exponentially distributed times. */
     private static final double LATE_THRESHOLD_MEANS = -Math.log(1 - LATE_QUANTILE);
+
+    /** The minimum decayed number of outcomes for a sample of the long-term average. */
     private static final double MIN_BASELINE_OUTCOME_COUNT = 5;
 
-    /** The part of the pods that may be in trouble of its own: more hides builds that slow all. */
+    /**
+     * The maximum share of pods that may be late through faults of their own. A higher share would
+     * hide builds that slow down all pods.
+     */
     private static final double MAX_FAULTY_POD_SHARE = 0.25;
 
     /**
-     * The part of the longest warming time in which outcomes tell of a pod's cold, not of its
-     * build.
+     * The share of the longest warm-up time during which the outcome of a try reflects the slow
+     * start of the pod and not its build.
      */
     private static final double UNJUDGED_SLOW_START_SHARE = 0.7;
 
     /**
-     * Warm outcomes that the last 'on' waits for, and for how long: more finds milder faults, and
-     * delays.
+     * The number of outcomes of warm pods that the last approval waits for. A higher number finds
+     * milder faults and delays the release.
      */
     private static final int APPROVAL_OUTCOME_COUNT = 80;
 
-    /** Those who have to agree see so many together: each needs fewer the more they are. */
+    /**
+     * The number of needed votes up to which each voter waits for the full number of outcomes.
+     * Where more sidecars have to agree, they see that many outcomes together, and each of them
+     * needs fewer.
+     */
     private static final int APPROVAL_OUTCOME_VOTERS = 2;
 
+    /** How long the last approval waits for these outcomes after the bake time. */
     private static final long MAX_APPROVAL_DELAY_NS = 10 * SECOND_NS;
 
-    /**
-     * Reports are rare and late, so they are kept for longer; so few may be mistaken, and alarm
-     * nobody.
-     */
+    /** The decayed number of complaints up to which they may be mistaken and raise no alarm. */
     private static final double MAX_IGNORED_COMPLAINTS = 2.5;
 
+    /**
+     * The half-life of complaint counts. Complaints are rare and arrive late, so they count for
+     * longer than outcomes.
+     */
     private static final long COMPLAINT_HALF_LIFE_NS = 30 * SECOND_NS;
 
     /**
-     * How long a later-ranked sidecar waits for each voter before it: harm is dearer than delay.
+     * How long a later-ranked sidecar waits for each voter before it, for an approval or a hold.
+     * The wait is longer than for a rollback, since the harm of a bad build costs more than the
+     * delay of a good one.
      */
     private static final long APPROVE_STAND_IN_DELAY_NS = 2 * SECOND_NS;
 
+    /** How long a later-ranked sidecar waits for each voter before it, for a rollback. */
     private static final long ROLLBACK_STAND_IN_DELAY_NS = SECOND_NS / 2;
+
+    /**
+     * The maximum delay of the last stand-in for a rollback that needs several votes, in multiples
+     * of {@link #ROLLBACK_STAND_IN_DELAY_NS}, where the call rate of the platform allows it.
+     */
     private static final double MAX_ROLLBACK_STAND_IN_STEPS = 2;
 
     /**
-     * Of the calls a second that the platform takes from all sidecars, the part for those who stand
-     * in.
+     * The share for stand-ins of the calls per second that the platform accepts from all sidecars.
      */
     private static final double STAND_IN_CALL_SHARE = 0.5;
 
+    /** The half-life of recent statistics. */
     private static final long STATS_HALF_LIFE_NS = 5 * SECOND_NS;
 
-    /** What a route's tries are taken to need before any is seen, in shares of its objective. */
+    /**
+     * The assumed mean try time of a route before any try has ended, as a share of its latency
+     * objective.
+     */
     private static final double INITIAL_TRY_TIME_SHARE = 0.25;
 
+    /**
+     * The shortest ejection of a failing pod, and the first pause between probes of an unreachable
+     * zone.
+     */
     private static final long BASE_EJECTION_NS = 500 * MILLISECOND_NS;
+
+    /**
+     * The failure score from which a pod is ejected. A failed try adds 2, a successful try
+     * subtracts 1.
+     */
     private static final int EJECTION_SCORE = 3;
+
+    /** The maximum failure score, which limits the ejection to 16 times the shortest. */
     private static final int MAX_FAILURE_SCORE = 6;
+
+    /** The maximum number of random draws for a pod before all pods are tested in order. */
     private static final int MAX_RANDOM_DRAWS = 16;
 
     /**
-     * A req errored by so many pods will be by others: its tries would crowd out what they can do.
+     * The number of errors after which a req is not retried. A req that this many pods answer with
+     * an error is likely to fail at others too, and its tries would take capacity from other reqs.
      */
     private static final int MAX_ERRORS_PER_REQ = 2;
 
-    /** Share of new connections refused above which only pods that were heard lately are used. */
+    /** The share of new connections refused above which only connected pods are used. */
     private static final double MAX_REFUSED_SHARE = 0.25;
 
+    /**
+     * The share of healthy pods among the reachable ones below which the health of pods is ignored.
+     */
     private static final double PANIC_HEALTHY_SHARE = 0.5;
 
     /**
-     * So many pods of a zone that gave nothing, with nothing heard from it in between, make it
-     * dark.
+     * A zone is unreachable after this many of its pods gave no answer and none of its pods
+     * answered in between.
      */
     private static final int UNREACHABLE_ZONE_POD_COUNT = 3;
 
-    /** How often the pause between tries into a dark zone doubles. */
+    /**
+     * The maximum number of times that the pause between tries into an unreachable zone doubles.
+     */
     private static final int ZONE_PROBE_DOUBLINGS = 3;
 
-    /** Long past any report on it: pods that came and went would else pile up with each release. */
+    /**
+     * How long a pod that is gone is kept: long enough for every complaint about it. Without a
+     * limit, the pods of earlier releases would accumulate.
+     */
     private static final long GONE_POD_RETENTION_NS = 60 * SECOND_NS;
 
     /**
-     * A pod that owes answers and gave none for so many mean times of the slowest route is silent.
+     * A pod that owes answers is unresponsive after this many mean try times of the slowest route
+     * without an answer.
      */
     private static final double UNRESPONSIVE_MEANS = 4;
 
     /**
-     * What waits in line longer, in shares of its latency objective, would come late from a
-     * strained pod.
+     * The maximum wait for a first try, as a share of the latency objective. After a longer wait
+     * the answer of a loaded pod would be late.
      */
     private static final double MAX_QUEUE_WAIT_SHARE = 0.35;
 
     /**
-     * How many times sooner than a usual req a cheap one is shed, by its earnings for the time
-     * taken.
+     * The maximum factor by which a req is more likely to be shed for having a lower value per try
+     * time than the mean of the routes.
      */
     private static final double MAX_SHED_FACTOR = 4;
 
+    /** The factor on the load of pods in other zones, where cross-zone traffic has a price. */
     private static final double CROSS_ZONE_LOAD_FACTOR = 1.5;
 
     /**
-     * The part of the cap that keys which can't go back may take: their later reqs need room too.
+     * The share of the exposure cap that one-way keys may use. The rest is for the later reqs of
+     * keys that are bound to the build already.
      */
     private static final double MAX_ONE_WAY_KEY_SHARE = 0.7;
 
     /**
-     * What the earlier build keeps to compare with, and what a trial in doubt gets: less delays
+     * The share of reqs that stays with the earlier build for comparison. A smaller share delays
      * verdicts.
      */
     private static final double EARLIER_BUILD_SHARE = 0.08;
 
-    private static final double SUSPECT_TRIAL_SHARE = 0.15;
-
     /**
-     * Second copies: while this part of tries goes unanswered, after so many mean times, leaving so
-     * many.
+     * The share of reqs for a build on trial that is under suspicion. A smaller share delays
+     * verdicts.
      */
+    private static final double SUSPECT_TRIAL_SHARE = 0.15;
+
+    /** Tries are hedged while at least this share of them goes unanswered. */
     private static final double HEDGE_UNANSWERED_SHARE = 0.02;
 
+    /** The minimum time from a try to its hedge, in mean try times. */
     private static final double HEDGE_DELAY_MEANS = 1.5;
+
+    /** The maximum time from a hedge to the latency objective or deadline, in mean try times. */
     private static final double HEDGE_REMAINING_MEANS = 2;
+
+    /** The period of the timer that updates the pod sets and the concurrency limit. */
     private static final long TICK_NS = 50 * MILLISECOND_NS;
 
-    /** The process may be held up for so long between reading its clock and writing. */
+    /** How long the process may be suspended between reading its clock and writing. */
     private static final long MAX_SUSPENSION_NS = 150 * MILLISECOND_NS;
 
-    /** What was remembered counts for so many outcomes at most: a few fresh ones prove it wrong. */
+    /**
+     * The maximum weight of restored statistics, in outcomes, so that a few fresh outcomes can
+     * correct them.
+     */
     private static final double MAX_RESTORED_WEIGHT = 4;
 
+    /** The state of a detector, in order of severity. The names are logged. */
     enum DetectorState {
         NORMAL,
         SUSPECT,
         ALARM
     }
 
-    /** The design's detector, for one route and one symptom. */
+    /**
+     * Detects a rise in the share of failed or of late tries of the build on trial, for one route
+     * or for all routes together.
+     */
     static final class DegradationDetector extends MovingAverages {
         DetectorState state = DetectorState.NORMAL;
 
@@ -188,6 +264,15 @@
             super(mean, samples);
         }
 
+        /**
+         * Adds a sample to the short-term average and updates the state.
+         *
+         * @param sample the share of bad outcomes, from 0 to 1
+         * @param outcomeCount the number of outcomes that the sample stands for; fewer outcomes
+         *     widen the deviation
+         * @param conclusive whether the sample may raise an alarm; otherwise the state is at most
+         *     suspect
+         */
         void evaluate(double sample, double outcomeCount, boolean conclusive) {
             updateShortTerm(sample, SHORT_TERM_WEIGHT);
             double deviations =
@@ -212,33 +297,58 @@
     private final SplittableRandom random;
     private final Map<String, RouteState> routes = new LinkedHashMap<>();
 
-    /** By their place in the table; the last stands for all together. */
+    /** The names of the routes by index, and last an empty name for all routes together. */
     private final List<String> routeNames = new ArrayList<>();
 
     private final Map<String, Pod> pods = new LinkedHashMap<>();
     private final Map<String, ZoneReachability> zones = new HashMap<>();
     private final PodListLease lease;
     private final PodStartEstimator startEstimator = new PodStartEstimator();
-    // Surveyed at each change and tick, so that no req costs more on a larger fleet.
+
+    /**
+     * The ready pods on the list. This set and the ones below are updated with the list and at each
+     * tick, not by req, so that the cost of a req does not grow with the fleet.
+     */
     private PodSet readyPods = new PodSet(List.of(), "");
 
-    /** Those of the listed that may be sent to: all while discovery confirms the list. */
+    /** The ready pods that the lease allows: all of them while discovery confirms the list. */
     private PodSet leasedPods = readyPods;
 
+    /** The leased pods of builds on trial. */
     private PodSet trialPods = leasedPods;
+
+    /** The leased pods of builds that are not on trial. */
     private PodSet earlierPods = leasedPods;
+
+    /**
+     * The maximum number of earlier pods since the current trial has had pods; 0 without a trial.
+     */
     private int earlierPodCount;
+
+    /** The number of healthy warm pods on trial over the number of earlier pods, at most 1. */
     private double trialCapacityShare;
+
+    /** Until then late tries are no evidence about the build, since many pods were unreachable. */
     private long latenessUnreliableUntilNs;
+
     private final OpenTryLatenessDetector openTryLateness =
             new OpenTryLatenessDetector(STATS_HALF_LIFE_NS);
+
+    /** How long a pod may owe an answer before it is unresponsive. */
     private double unresponsiveAfterNs;
+
+    /** Whether so few pods are healthy that all are used. */
     private boolean panicMode;
+
+    /** Whether so many new connections are refused that only connected pods are used. */
     private boolean connectionsScarce;
+
     private final DecayingMean unansweredShare = new DecayingMean(4 * STATS_HALF_LIFE_NS);
     private final DecayingMean refusedShare = new DecayingMean(2 * STATS_HALF_LIFE_NS);
 
+    /** The reqs that lack an answer or have an open try, by id, in the order of their arrival. */
     private final Map<String, ReqState> openReqs = new LinkedHashMap<>();
+
     private final ArrayDeque<ReqState> firstTryQueue = new ArrayDeque<>();
     private final ArrayDeque<ReqState> retryQueue = new ArrayDeque<>();
     private final ConcurrencyLimiter limiter;
@@ -248,8 +358,8 @@
     private boolean watchOpen;
 
     /**
-     * Whether discovery was asked and has neither answered nor failed: asking again would give up
-     * the place in line.
+     * Whether a watch was requested from discovery and has neither opened nor failed yet. A second
+     * request would lose the place of the first in the queue of discovery.
      */
     private boolean watchPending;
 
@@ -263,14 +373,24 @@
     private RolloutStatus rolloutStatus =
             new RolloutStatus(0, 0, RolloutStatus.Phase.RELEASED, 1, 0);
     private long stageStartedNs;
+
+    /** The total outcome count of the trial when the stage began. */
     private double outcomeCountAtStageStart;
+
     private BuildOutcomes earlierOutcomes;
+
+    /** The outcomes of the newest build, also after its release. */
     private BuildOutcomes trialOutcomes;
+
+    /** Two detectors for each route and last for all routes together: failures, then lateness. */
     private final DegradationDetector[] detectors;
+
+    /** The most severe state of all detectors. */
     private DetectorState detectorState = DetectorState.NORMAL;
 
     private final VoteTracker voteTracker = new VoteTracker();
 
+    /** Creates a policy and schedules its first timers. */
     public Policy(Settings settings, long seed, long nowNs, PolicyActions actions) {
         this.settings = settings;
         this.rollout = settings.rollout();
@@ -299,7 +419,8 @@
         trialOutcomes =
                 new BuildOutcomes(routes.size(), SAMPLE_HALF_LIFE_NS, COMPLAINT_HALF_LIFE_NS);
         detectors = new DegradationDetector[2 * routes.size() + 2];
-        // What is late is so defined that the earlier build's share is known before any is seen.
+        // The late threshold is a quantile, so the late share of the earlier build is known before
+        // its first outcome.
         Arrays.setAll(
                 detectors,
                 i ->
@@ -313,8 +434,9 @@
         }
     }
 
-    // ---- The list of pods.
+    // ---- Pod list and discovery
 
+    /** Handles a whole pod list. Pods that are not on it are gone. */
     public void onPodListReplaced(long nowNs, List<PodEntry> entries) {
         Map<String, Pod> missing = new HashMap<>(pods);
         entries.forEach(e -> missing.remove(e.id()));
@@ -322,6 +444,7 @@
         onPodListUpdated(nowNs, entries);
     }
 
+    /** Handles new and changed entries of the pod list, which also confirms the list. */
     public void onPodListUpdated(long nowNs, List<PodEntry> entries) {
         long lastConfirmedNs = lease.lastConfirmedNs();
         onPodListConfirmed(nowNs);
@@ -332,7 +455,7 @@
             pod.update(entry, zoneReachability, startEstimator, lastConfirmedNs, nowNs);
         }
         if (!statusReceived) {
-            // Until there is news, all but the lowest build counts as on trial.
+            // Until the first rollout status, all builds but the lowest count as on trial.
             int lowestBuild =
                     pods.values().stream().mapToInt(pod -> pod.listEntry.build()).min().orElse(0);
             rolloutStatus = new RolloutStatus(lowestBuild, 0, RolloutStatus.Phase.RELEASED, 1, 0);
@@ -341,7 +464,7 @@
         serveQueues(nowNs);
     }
 
-    /** A watch stands and has nothing new to tell. */
+    /** Handles the confirmation that a watch is open and the list has not changed. */
     public void onPodListConfirmed(long nowNs) {
         watchOpen = true;
         watchPending = false;
@@ -350,35 +473,44 @@
     }
 
     /**
-     * Since then nobody has confirmed the list; until that is mended its servers may be used for a
-     * while only.
+     * Handles the loss of the confirmation of the list. Until the list is confirmed again, its pods
+     * may be used for a limited time.
+     *
+     * @param sinceNs the time since which nobody has confirmed the list
      */
     public void onPodListUnconfirmed(long sinceNs) {
         lease.onUnconfirmedSince(sinceNs);
     }
 
-    /** Nobody has confirmed the list that was taken last, and it may be of any age. */
+    /** Handles a list that nobody has confirmed and that may be of any age. */
     public void onPodListNeverConfirmed() {
         lease.onNeverConfirmed();
     }
 
-    /** A call to discovery has ended, and did reach it or found nobody there. */
+    /**
+     * Handles the end of a call to discovery.
+     *
+     * @param reached whether the call reached discovery
+     */
     public void onDiscoveryCallEnded(long nowNs, boolean reached) {
         lease.onDiscoveryCall(reached, nowNs);
     }
 
-    /** Another discovery is being asked from now on. */
+    /** Handles the switch to another discovery, from which a watch has been requested. */
     public void onDiscoveryChanged() {
         watchOpen = false;
         watchPending = true;
         lease.onDiscoveryChanged();
     }
 
-    /** The wall clock by which the list tells starts of servers was stepped. */
+    /** Handles a step of the wall clock by which the list states when pods started. */
     public void onWallClockStepped() {
         startEstimator.onWallClockStepped();
     }
 
+    /**
+     * Removes pods that are long gone, and updates the pod sets and all that is derived from them.
+     */
     private void updatePodSets(long nowNs) {
         pods.values().removeIf(p -> p.idleSinceGoneNs(nowNs) > GONE_POD_RETENTION_NS);
         readyPods =
@@ -393,12 +525,12 @@
                 routes.values().stream().mapToDouble(r -> r.meanTryTimeNs(nowNs)).max().orElse(0);
         unresponsiveAfterNs = UNRESPONSIVE_MEANS * slowestMeanNs;
         limiter.initializeLimit(nowNs, readyPods.all().size());
-        // Pods that take no more connections look like dead ones; either way what answered lately
-        // serves.
+        // Pods that accept no more connections look like dead ones; in both cases the pods that
+        // answered lately can serve.
         connectionsScarce =
                 refusedShare.meanAt(nowNs, 0, 4) > MAX_REFUSED_SHARE
                         && leasedPods.count(p -> isConnected(nowNs, p)) > limiter.openTryCount();
-        // Pods that can't be reached would not help those that can.
+        // Unreachable pods are left out: sending to them would not relieve the reachable ones.
         long reachableCount = leasedPods.count(p -> !isUnreachable(p));
         panicMode =
                 leasedPods.count(p -> isHealthy(nowNs, p)) < PANIC_HEALTHY_SHARE * reachableCount;
@@ -407,8 +539,8 @@
                         1,
                         trialPods.count(p -> !isInSlowStart(nowNs, p) && isHealthy(nowNs, p))
                                 / Math.max(1.0, earlierPodCount));
-        // What the loss of a major part did to the rest must have faded before it can tell of a
-        // build.
+        // The loss of many pods makes the other pods late. This has to fade before lateness is
+        // evidence about a build.
         latenessUnreliableUntilNs =
                 reachableCount < (1 - MAX_FAULTY_POD_SHARE) * leasedPods.all().size()
                         ? nowNs + 2 * SAMPLE_HALF_LIFE_NS
@@ -416,8 +548,8 @@
     }
 
     /**
-     * Whether a watch still stands can't be told from this, so it is asked for again, ever more
-     * rarely.
+     * Handles the failure of a request for a watch. It does not show whether an earlier watch is
+     * still open, so a new one is requested, with exponential backoff and jitter.
      */
     public void onPodListWatchFailed(long nowNs) {
         watchOpen = false;
@@ -432,8 +564,12 @@
         actions.watchPodList();
     }
 
-    // ---- Reqs.
+    // ---- Reqs
 
+    /**
+     * Handles the arrival of a req: sends its first try, queues it, sheds it or fails it. The route
+     * must be one of the settings.
+     */
     public void onReq(long nowNs, Req req) {
         ReqState reqState = new ReqState(req, routes.get(req.route()), nowNs);
         openReqs.put(req.id(), reqState);
@@ -451,8 +587,9 @@
     }
 
     /**
-     * By chance, the cheaper the more often: a full line would turn away the dear ones just as
-     * well.
+     * Returns the probability that an arriving req is shed; 0 or less for never. Reqs are shed at
+     * random, those of lower value more often; a bound on the queue would turn away valuable reqs
+     * just as often.
      */
     private double shedProbability(long nowNs, ReqState reqState) {
         double queueWaitNs =
@@ -473,6 +610,10 @@
                                 Math.pow(meanValuePerNs / reqState.route.valuePerNs(nowNs), 2)));
     }
 
+    /**
+     * Sends the next try of a req, or queues the req, or answers it if its time in the queue is
+     * over.
+     */
     private void sendOrEnqueue(long nowNs, ReqState reqState) {
         if (nowNs >= queueDeadlineNs(nowNs, reqState) && !sendTry(nowNs, reqState)) {
             shedOrFail(nowNs, reqState);
@@ -482,7 +623,8 @@
     }
 
     /**
-     * When waiting stops making sense: the answer would come after the latency objective, or never.
+     * Returns the time from which a req is no longer queued: its answer would come after the
+     * latency objective, or a try would be too late for the deadline or the dedup window.
      */
     private long queueDeadlineNs(long nowNs, ReqState reqState) {
         double objectiveNs = reqState.route.settings.latencyObjectiveNs();
@@ -500,9 +642,13 @@
         serveQueue(nowNs, retryQueue);
     }
 
+    /**
+     * Sends the tries of queued reqs in order, and answers the reqs whose time in the queue is
+     * over.
+     */
     private void serveQueue(long nowNs, ArrayDeque<ReqState> queue) {
-        // What finds no pod for one first try finds none for the next of its route: a long line
-        // costs little.
+        // Where one first try finds no pod, the next first try of the same route finds none either.
+        // Skipping it bounds the cost of a long queue.
         boolean[] blockedRoutes = new boolean[routes.size()];
         for (ReqState reqState : List.copyOf(queue)) {
             if (nowNs >= queueDeadlineNs(nowNs, reqState) && !reqState.answered) {
@@ -517,6 +663,10 @@
         }
     }
 
+    /**
+     * Sends the next try of a req. Returns false if the concurrency limit is reached or no pod
+     * fits.
+     */
     private boolean sendTry(long nowNs, ReqState reqState) {
         Pod pod = limiter.hasCapacity() ? pickPod(nowNs, reqState) : null;
         if (pod == null) {
@@ -528,8 +678,8 @@
                                 + UNJUDGED_SLOW_START_SHARE * settings.contract().slowStartNs();
         Try sentTry =
                 new Try(pod, nowNs, !warmingUp, pod.listEntry.build(), isConnected(nowNs, pod));
-        // No time-out of our own: one that a busy pod misses is work done twice; silent pods show
-        // sooner.
+        // A try has no timeout of its own: a busy pod that misses one has its work done twice, and
+        // unresponsive pods are detected sooner without.
         long timeoutNs = reqState.deadlineNs - nowNs - settings.clockStepNs();
         long writeWithinNs =
                 reqState.isRetryScopeBound()
@@ -553,6 +703,7 @@
         return true;
     }
 
+    /** Handles the start of a streamed answer, after which the req is not retried. */
     public void onStreamStarted(long nowNs, String reqId) {
         ReqState reqState = openReqs.get(reqId);
         if (reqState != null) {
@@ -560,6 +711,13 @@
         }
     }
 
+    /**
+     * Handles the end of a try. Unknown reqs and tries are ignored.
+     *
+     * @param tryNumber the number of the try within its req, from 0
+     * @param durationNs how long the try took
+     * @param complete whether the client has received a whole answer
+     */
     public void onTryEnded(
             long nowNs,
             String reqId,
@@ -571,27 +729,27 @@
         if (reqState == null || tryNumber < 0 || tryNumber >= reqState.tries.size()) {
             return;
         }
-        Try t = reqState.tries.get(tryNumber);
-        t.pod().openTryCount--;
+        Try sentTry = reqState.tries.get(tryNumber);
+        sentTry.pod().openTryCount--;
         reqState.endTry(tryNumber, outcome);
         limiter.onTryEnded();
         if (outcome != TryOutcome.MOOT) {
-            updateStats(nowNs, reqState.route, t, outcome, durationNs);
+            updateStats(nowNs, reqState.route, sentTry, outcome, durationNs);
         }
         if (outcome == TryOutcome.OK) {
-            lease.onServed(t.pod(), t.sentNs());
+            lease.onServed(sentTry.pod(), sentTry.sentNs());
         } else if (outcome == TryOutcome.CONNECT_FAILED || outcome == TryOutcome.RESET) {
-            lease.onConnectionFailed(t.pod(), nowNs);
+            lease.onConnectionFailed(sentTry.pod(), nowNs);
         }
-        // A try called back late was late: else a slow build would hide behind the rescue of its
-        // reqs.
+        // A try that was cancelled after the late threshold is evidence of lateness. Otherwise the
+        // failover of its reqs would hide a slow build.
         if (outcome != TryOutcome.MOOT
                 && (outcome != TryOutcome.CANCELLED
                         || durationNs > reqState.route.lateThresholdNs)) {
-            recordEvidence(nowNs, reqState.route, t, outcome, durationNs);
+            recordEvidence(nowNs, reqState.route, sentTry, outcome, durationNs);
         }
         if (outcome == TryOutcome.OK && rollout.keysAreOneWay() && reqState.req.key() >= 0) {
-            buildByKey.recordAnswer(reqState.req.key(), t.build());
+            buildByKey.recordAnswer(reqState.req.key(), sentTry.build());
         }
         reqState.answered |= complete || reqState.streaming;
         if (!reqState.answered && reqState.openTryNumbers.isEmpty() && canRetry(nowNs, reqState)) {
@@ -603,6 +761,7 @@
         serveQueues(nowNs);
     }
 
+    /** Returns whether another try of a req is possible and allowed. */
     private boolean canRetry(long nowNs, ReqState reqState) {
         return nowNs < queueDeadlineNs(nowNs, reqState)
                 && reqState.tries.size() < settings.policyLimits().maxTries()
@@ -611,8 +770,8 @@
     }
 
     /**
-     * The answer goes out at once: a shed reply where a repeat is harmless, so the client may
-     * return.
+     * Answers a req at once: with a shed reply if a retry by the client is harmless, or else with
+     * an error.
      */
     private void shedOrFail(long nowNs, ReqState reqState) {
         reqState.answered = true;
@@ -630,6 +789,7 @@
         finishIfAnswered(reqState);
     }
 
+    /** Handles the loss of the client of a req. Unknown reqs are ignored. */
     public void onClientDisconnected(long nowNs, String reqId) {
         ReqState reqState = openReqs.get(reqId);
         if (reqState != null) {
@@ -638,6 +798,10 @@
         }
     }
 
+    /**
+     * Cancels the open tries of an answered req where that is allowed, and removes the req once no
+     * try is open.
+     */
     private void finishIfAnswered(ReqState reqState) {
         if (reqState.answered && settings.policyLimits().canCancel() && !reqState.streaming) {
             reqState.openTryNumbers.stream()
@@ -649,8 +813,9 @@
     }
 
     /**
-     * Two random choices by load among the pods the req may go to, the first a near one if there is
-     * any.
+     * Picks a pod for the next try of a req, or returns null. It first draws between the pods on
+     * trial and the earlier pods. If none of these fits, it considers all pods, and then also pods
+     * that {@link #isPreferred} excludes.
      */
     private Pod pickPod(long nowNs, ReqState reqState) {
         double trialShare = trialShare(nowNs);
@@ -672,10 +837,12 @@
     }
 
     /**
-     * The trial's pods carry what they will when released, as far as the rules leave room: that
-     * proves the build under its load, and fewer wait for a good one. In doubt they get what
-     * verdicts need. Cold pods and those out of reach don't count: the rest of the trial would
-     * carry their load and look slow for it.
+     * Returns the share of reqs that is sent to builds on trial. As far as the exposure rules
+     * allow, the pods on trial take the load that they will have after the release: this tests the
+     * build under that load, and more reqs benefit from a good build early. A build under suspicion
+     * gets what a verdict needs. The share follows the number of warm and healthy pods on trial,
+     * because the rest of them would otherwise take the load of all and look slow. Where keys are
+     * one-way, the share of keys is limited instead.
      */
     private double trialShare(long nowNs) {
         return rollout.keysAreOneWay() && !trialPods.all().isEmpty()
@@ -687,6 +854,10 @@
                                 : SUSPECT_TRIAL_SHARE);
     }
 
+    /**
+     * Returns the less loaded of two random pods that a req may be sent to, the first of them from
+     * the local zone if possible; null if there is none.
+     */
     private Pod pickByTwoChoices(long nowNs, ReqState reqState, PodSet candidates) {
         Predicate<Pod> isCandidate =
                 p -> isPreferred(nowNs, reqState, p) && isAllowed(nowNs, reqState, p);
@@ -700,7 +871,9 @@
     }
 
     /**
-     * Where most pods fail, resting them would jam the few: then they are no worse than the rest.
+     * Returns whether a pod is a good choice for a req. If most pods fail, health is ignored:
+     * without the ejected pods the few others would be overloaded, and the ejected are no worse
+     * than the rest.
      */
     private boolean isPreferred(long nowNs, ReqState reqState, Pod pod) {
         return (panicMode || isHealthy(nowNs, pod))
@@ -708,11 +881,15 @@
                 && reqState.tries.stream().noneMatch(t -> t.pod() == pod);
     }
 
+    /** Returns whether an open connection to a pod is to be expected. */
     private boolean isConnected(long nowNs, Pod pod) {
         return pod.openTryCount > 0
                 || nowNs < pod.lastAnswerNs + settings.policyLimits().connectionIdleTimeoutNs();
     }
 
+    /**
+     * Returns the load of a pod with one more try, weighted by zone, latency and weight of the pod.
+     */
     private double weightedLoad(long nowNs, Pod pod) {
         double zoneFactor =
                 settings.prices().crossZone() > 0 && !pod.listEntry.zone().equals(settings.zone())
@@ -724,6 +901,7 @@
                 / Math.max(0.01, pod.listEntry.weight());
     }
 
+    /** Returns whether the rules allow the next try of a req at a pod. */
     private boolean isAllowed(long nowNs, ReqState reqState, Pod pod) {
         return pod.isReady()
                 && lease.allows(nowNs, pod)
@@ -732,6 +910,7 @@
                 && hasSlowStartToken(nowNs, pod);
     }
 
+    /** Adds the end of a try to the statistics for routing, health and the concurrency limit. */
     private void updateStats(
             long nowNs, RouteState route, Try sentTry, TryOutcome outcome, long durationNs) {
         Pod pod = sentTry.pod();
@@ -757,7 +936,8 @@
         }
         if (outcome == TryOutcome.OK) {
             completions.add(nowNs, 1);
-            // A pod that fails half of its tries must not be cleared by one lucky answer.
+            // A success subtracts less than a failure adds, so that one success does not clear a
+            // pod that fails half of its tries.
             pod.failureScore = Math.max(0, pod.failureScore - 1);
         } else if (outcome != TryOutcome.FULL) {
             pod.failureScore = Math.min(MAX_FAILURE_SCORE, pod.failureScore + 2);
@@ -765,7 +945,11 @@
         }
     }
 
-    /** A pod that failed lately rests; then one try at a time shows whether it is back. */
+    /**
+     * Returns whether a pod is neither ejected nor unresponsive nor unreachable. After the ejection
+     * of a failing pod, one try at a time shows whether it has recovered; an unreachable zone is
+     * probed in intervals.
+     */
     private boolean isHealthy(long nowNs, Pod pod) {
         boolean admitted =
                 pod.failureScore < EJECTION_SCORE
@@ -776,18 +960,19 @@
     }
 
     /**
-     * Against a zone that is lost or cut off: with the load spread over many sidecars and pods,
-     * finding each pod out by its own tries takes far longer than the loss may last. Some pods of a
-     * zone that gave nothing in a row stand for all; then a try now and then shows whether it is
-     * back. What starts anew is left out.
+     * Returns whether the zone of a pod is taken to be lost or cut off. The load is spread over
+     * many sidecars and pods, so that detecting each pod by its own tries takes far longer than the
+     * loss may last. Therefore several pods of a zone that gave no answer in a row stand for all of
+     * its pods, and a try from time to time shows whether the zone is back. Pods that have started
+     * since are not affected.
      */
     private static boolean isUnreachable(Pod pod) {
         return pod.zoneReachability.isUnreachable(pod.startedNs);
     }
 
     /**
-     * What lies at silent pods is called back, to go elsewhere; what may be lost on the way goes
-     * twice.
+     * Cancels tries at unresponsive pods, so that their reqs go elsewhere, and hedges tries whose
+     * answers may be lost.
      */
     private void failOverAndHedge(long nowNs) {
         for (ReqState reqState : openReqs.values()) {
@@ -813,7 +998,8 @@
     }
 
     /**
-     * When one more try would just come in time: against answers lost on the way and pods that
+     * Returns when to hedge the latest try of a req, just in time for its latency objective or
+     * deadline; {@code Long.MAX_VALUE} if it is not hedged. Hedges cover lost answers and pods that
      * stall.
      */
     private long hedgeAtNs(long nowNs, ReqState reqState) {
@@ -838,9 +1024,10 @@
     }
 
     /**
-     * Against a cold pod pushed over by all sidecars together: each keeps to its even share of the
-     * load, cut to what the pod can do. It starts at random within its first turn: hundreds are
-     * told of a pod at once.
+     * Returns whether a pod may take another try during its slow start. Each sidecar limits itself
+     * to its even share of the load, reduced to the present capacity of the pod; all sidecars
+     * together would otherwise overload it. The tokens start at a random value below 1, because
+     * hundreds of sidecars learn of a new pod at the same time.
      */
     private boolean hasSlowStartToken(long nowNs, Pod pod) {
         if (!isInSlowStart(nowNs, pod)) {
@@ -851,8 +1038,8 @@
         double capacityShare =
                 settings.contract().coldCapacityShare()
                         + (1 - settings.contract().coldCapacityShare()) * elapsedShare;
-        // What each pod would complete a second from here if all did alike; before any did, what
-        // comes in.
+        // The reqs per second that all pods complete for this sidecar or, before the first
+        // completion, the reqs that arrive.
         double totalPerSecond =
                 completions.ratePerSecond(nowNs) > 0
                         ? completions.ratePerSecond(nowNs)
@@ -864,6 +1051,11 @@
         return pod.refillSlowStartTokens(nowNs, podPerSecond, maxTokens, random) >= 1;
     }
 
+    /**
+     * Returns whether the exposure rules allow a try of a req at a pod: one-way keys do not go back
+     * to an older build, shielded stages take idempotent routes only, and the exposure budget of a
+     * build on trial has a token.
+     */
     private boolean isExposureAllowed(long nowNs, ReqState reqState, Pod pod) {
         int build = pod.listEntry.build();
         if (rolloutStatus.isActive() && build < buildByKey.newestBuildOf(reqState.req.key())) {
@@ -880,8 +1072,8 @@
     }
 
     /**
-     * Where a key can't go back, the trial keeps to a part of the keys: their later reqs need room
-     * too.
+     * Returns whether a one-way key may go to a build on trial. The trial takes only a share of the
+     * keys, so that the budget covers their later reqs too.
      */
     private boolean isOneWayKeyAllowed(long nowNs, ReqState reqState, int build) {
         double keyShare =
@@ -892,10 +1084,11 @@
                 || new SplittableRandom(reqState.req.key()).nextDouble() < keyShare;
     }
 
-    // ---- Judging the build.
+    // ---- Evidence on builds
 
     /**
-     * An outcome as evidence; pods not yet warm when it was sent, or out of reach, are left out.
+     * Records the outcome of a try as evidence on its build, unless the pod was not warm when the
+     * try was sent, or is unreachable.
      */
     private void recordEvidence(
             long nowNs, RouteState route, Try sentTry, TryOutcome outcome, long durationNs) {
@@ -915,8 +1108,11 @@
     }
 
     /**
-     * Not learned while a trial is on: a build that slows down its neighbours too would be
-     * forgiven.
+     * Adds try times of the build that is not on trial to the baseline of a route and updates its
+     * late threshold. A trial pauses this: the times of a build that slows down its neighbours
+     * would raise the threshold and hide the fault.
+     *
+     * @param weight the number of tries that the time stands for
      */
     private void updateLateThreshold(
             long nowNs, RouteState route, int build, long durationNs, double weight) {
@@ -929,9 +1125,14 @@
     }
 
     /**
-     * The platform's count of all sidecars' tries, where one sees too few for a verdict. Times tell
-     * nothing while pods of the build may have been fresh; else the share late is what times of
-     * such a mean have.
+     * Handles the platform's tally of the tries of all sidecars, which allows a verdict where one
+     * sidecar sees too few tries. The try times are not used if pods of the build may have been in
+     * their slow start; otherwise the late share is estimated from the mean, for exponentially
+     * distributed times. Tallies of unknown routes and builds are ignored.
+     *
+     * @param tryCount the number of tries, including failed ones
+     * @param meanNs the mean try time
+     * @param ageNs the time since the end of the counted interval
      */
     public void onPlatformTally(
             long nowNs,
@@ -972,26 +1173,32 @@
                         lateCount);
     }
 
+    /** Returns the outcomes that a build counts towards. */
     private BuildOutcomes outcomesOf(int build) {
         return build == rolloutStatus.build() ? trialOutcomes : earlierOutcomes;
     }
 
     /**
-     * The trial's share, less what the earlier build's shifted by: a burst or lost zone is not its
-     * doing. But where that is late beyond what a minor part of its pods, hung, slow or pausing,
-     * can do, it slows all; unless so many pods are out that the rest must be late.
+     * Returns the sample of a detector: the share of bad outcomes on trial, less the shift of the
+     * earlier build's share from its long-term average. A burst or a lost zone shifts both builds
+     * and is not the fault of the trial.
+     *
+     * <p>For lateness over all routes, the sample is also raised by lateness of the earlier build
+     * and of the median pod: if more pods are late than a minor part that hangs, is slow or pauses
+     * explains, the trial slows down all pods. This does not hold while so many pods are
+     * unreachable that the rest are late for that reason.
      */
     private double detectorSample(
             long nowNs, int routeIndex, boolean isLateness, DegradationDetector detector) {
         double trialBadShare = badShare(nowNs, trialOutcomes, routeIndex, isLateness);
         boolean hasReference =
                 earlierOutcomes.totalOutcomeCount(routeIndex, isLateness) >= MIN_OUTCOME_COUNT;
-        double shift =
+        double earlierShift =
                 hasReference
                         ? badShare(nowNs, earlierOutcomes, routeIndex, isLateness)
                                 - detector.longTermMean
                         : 0;
-        double excess = Math.max(0, Math.min(1, trialBadShare - Math.max(0, shift)));
+        double excess = Math.max(0, Math.min(1, trialBadShare - Math.max(0, earlierShift)));
         if (!isLateness
                 || routeIndex < routes.size()
                 || !hasReference
@@ -1006,7 +1213,10 @@
                                 / (1 - MAX_FAULTY_POD_SHARE)));
     }
 
-    /** Of the middle pod, which the lesser part can't tilt at all: where each is seen often. */
+    /**
+     * Returns the late share of the median pod, which a minority of pods cannot shift at all. It is
+     * significant where each pod gets tries often.
+     */
     private double medianPodLateShare(long nowNs) {
         double[] lateShares =
                 leasedPods.all().stream()
@@ -1017,6 +1227,10 @@
         return lateShares.length == 0 ? 0 : lateShares[(lateShares.length - 1) / 2];
     }
 
+    /**
+     * Handles a complaint: a client reported a wrong answer of a pod. Unknown pods and routes are
+     * ignored.
+     */
     public void onComplaint(long nowNs, String podId, String routeName) {
         Pod pod = pods.get(podId);
         RouteState route = routes.get(routeName);
@@ -1025,13 +1239,14 @@
         }
     }
 
+    /** Returns the share of late outcomes, or of failed and wrong ones, from 0 to 1. */
     private double badShare(
             long nowNs, BuildOutcomes outcomes, int routeIndex, boolean isLateness) {
         if (isLateness) {
             return outcomes.lateShare(nowNs, routeIndex);
         }
-        // After a release nothing is left to compare with: what fails then may be the fleet's
-        // doing.
+        // After a release there is no earlier build to compare with, and failures may have other
+        // causes than the build.
         double failedShare =
                 outcomes == earlierOutcomes || rolloutStatus.isOnTrial()
                         ? outcomes.failedShare(nowNs, routeIndex)
@@ -1039,7 +1254,10 @@
         return Math.min(1, failedShare + estimatedWrongShare(nowNs, outcomes, routeIndex));
     }
 
-    /** One report stands for all the wrong answers that nobody reported. */
+    /**
+     * Returns the estimated share of wrong answers. Each complaint stands for the wrong answers
+     * that were not reported as well.
+     */
     private double estimatedWrongShare(long nowNs, BuildOutcomes outcomes, int routeIndex) {
         double complaintCount = outcomes.complaintCount(nowNs, routeIndex);
         return complaintCount == 0
@@ -1049,18 +1267,20 @@
                         / Math.max(1, outcomes.tryCount(nowNs, routeIndex));
     }
 
+    /** Adds a sample to each detector, and logs a change of the overall state. */
     private void updateDetectors(long nowNs) {
         DetectorState worstState = DetectorState.NORMAL;
         String cause = "";
-        // Below the outcome floor all looks normal, so no trial is learned from: a build that slows
-        // its
-        // neighbours would be forgiven. Nor a release's: its faults would be their own measure.
+        // The baseline does not learn during a trial: below the minimum number of outcomes every
+        // trial looks normal, and a build that slows down its neighbours would raise the baseline.
+        // It does not learn from a released build either, whose faults would become its own
+        // baseline, unless no outcome of an earlier build is known.
         BuildOutcomes baselineOutcomes =
                 rolloutStatus.isReleased()
                                 && earlierOutcomes.totalOutcomeCount(routes.size(), true) == 0
                         ? trialOutcomes
                         : earlierOutcomes;
-        boolean learns =
+        boolean canLearn =
                 detectorState == DetectorState.NORMAL
                         && (baselineOutcomes == trialOutcomes
                                 || !rolloutStatus.isOnTrial() && !rolloutStatus.isReleased());
@@ -1068,7 +1288,7 @@
             DegradationDetector detector = detectors[i];
             int routeIndex = i / 2;
             boolean isLateness = i % 2 == 1;
-            if (learns
+            if (canLearn
                     && baselineOutcomes.outcomeCount(nowNs, routeIndex, isLateness)
                             >= MIN_BASELINE_OUTCOME_COUNT) {
                 detector.updateLongTerm(
@@ -1077,11 +1297,11 @@
             }
             double trialCount = trialOutcomes.outcomeCount(nowNs, routeIndex, isLateness);
             double earlierCount = earlierOutcomes.outcomeCount(nowNs, routeIndex, isLateness);
-            boolean enough =
+            boolean hasEnoughOutcomes =
                     trialOutcomes.totalOutcomeCount(routeIndex, isLateness) >= MIN_OUTCOME_COUNT
                             && trialCount >= 1
                             && earlierCount >= 1;
-            if (enough && (!isLateness || rolloutStatus.isOnTrial())) {
+            if (hasEnoughOutcomes && (!isLateness || rolloutStatus.isOnTrial())) {
                 boolean conclusive =
                         isLateness
                                 ? nowNs >= latenessUnreliableUntilNs
@@ -1090,8 +1310,7 @@
                                         || trialOutcomes.failedShare(nowNs, routeIndex)
                                                 >= estimatedWrongShare(
                                                         nowNs, trialOutcomes, routeIndex);
-                // What it is compared with was seen in so many cases only: that widens the
-                // deviation too.
+                // The number of earlier outcomes is limited too, which widens the deviation.
                 detector.evaluate(
                         detectorSample(nowNs, routeIndex, isLateness, detector),
                         trialCount * earlierCount / (trialCount + earlierCount),
@@ -1112,8 +1331,9 @@
         detectorState = worstState;
     }
 
-    // ---- News and votes.
+    // ---- Rollout status and votes
 
+    /** Handles the rollout status of the newest build, and votes. */
     public void onRolloutStatus(long nowNs, RolloutStatus newStatus) {
         boolean buildChanged = rolloutStatus.build() != newStatus.build();
         if (buildChanged) {
@@ -1142,8 +1362,10 @@
     }
 
     /**
-     * A vote with no good answer may count: it is cast again, after a pause that differs by
-     * sidecar.
+     * Handles the answer to a vote. A vote without a positive answer may have been counted all the
+     * same; it is cast again after a pause with jitter.
+     *
+     * @param counted whether the platform has counted the vote
      */
     public void onVoteAnswered(long nowNs, boolean counted) {
         voteTracker.onAnswer(
@@ -1152,6 +1374,7 @@
                 nowNs + SECOND_NS / 2 + random.nextLong(SECOND_NS));
     }
 
+    /** Returns the vote that the evidence calls for. */
     private RolloutVote desiredVote(long nowNs) {
         if (detectorState == DetectorState.ALARM
                 && (rolloutStatus.isOnTrial() || rolloutStatus.isReleased())) {
@@ -1163,8 +1386,8 @@
                     : RolloutVote.NONE;
         }
         long stageAgeNs = nowNs - stageStartedNs;
-        // The last 'on' takes the earlier pods away: it waits for what the build shows under all
-        // the load.
+        // The last approval removes the pods of the earlier build, so it waits for outcomes of the
+        // build under the full load.
         boolean proven =
                 rolloutStatus.stage() < rollout.stageShares().size() - 1
                         || stageAgeNs > rollout.bakeNs() + MAX_APPROVAL_DELAY_NS
@@ -1175,6 +1398,7 @@
                 : RolloutVote.NONE;
     }
 
+    /** Returns the number of outcomes in the last stage that an approval by this sidecar needs. */
     private double requiredOutcomeCount() {
         return Math.max(
                 MIN_OUTCOME_COUNT,
@@ -1184,6 +1408,10 @@
                                 (double) APPROVAL_OUTCOME_VOTERS / rollout.approveVoteCount()));
     }
 
+    /**
+     * Casts the desired vote if it does not stand already, no answer is awaited and the stand-in
+     * delay is over. A vote is renewed in the last quarter of its lifetime.
+     */
     private void updateVote(long nowNs) {
         RolloutVote vote = desiredVote(nowNs);
         voteTracker.setWanted(nowNs, vote);
@@ -1204,11 +1432,16 @@
     }
 
     /**
-     * The voters are lowest under a hash of build and stage; each later one stands in after longer.
-     * Where several must agree to send a build back, on a large fleet all the others together take
-     * as long as a few would, but leave room in what the platform takes from all; where one is
-     * enough, any one's mistake would count. For 'on' the many would outvote those who doubt: only
-     * who saw the trial well comes sooner.
+     * Returns how long this sidecar waits before it casts a vote. The first voters are the sidecars
+     * that rank lowest by a hash of build and stage; they do not wait. Each later sidecar stands in
+     * for them after a longer delay.
+     *
+     * <p>Where a rollback needs several votes, the delays on a large fleet are shortened so that
+     * all stand-ins have voted after a few steps, within a share of the calls that the platform
+     * accepts from all sidecars. Where a single vote is enough, they are not shortened, because the
+     * mistake of any one sidecar would decide. Approvals are not shortened by the size of the fleet
+     * either, since the many would outvote the sidecars that are suspicious: only a sidecar that
+     * has seen many tries of the trial approves sooner.
      */
     private long standInDelayNs(long nowNs, RolloutVote vote) {
         int neededVotes =
@@ -1244,7 +1477,18 @@
         return (long) (Math.max(0, voterRank - firstVoterCount + 1) * stepNs);
     }
 
-    /** What it goes by just now, for a log. */
+    /**
+     * Current figures of a policy, for the log.
+     *
+     * @param tryLimit the concurrency limit, in open tries
+     * @param queuedFirstTryCount the number of reqs that wait for their first try
+     * @param queuedRetryCount the number of reqs that wait for another try
+     * @param meanLatencyRatio the mean try time as a share of the latency objective
+     * @param readyPodCount the number of ready pods on the list
+     * @param leasedPodCount the number of ready pods that the lease allows
+     * @param coldPodCount the number of pods in slow start
+     * @param unreachablePodCount the number of pods in unreachable zones
+     */
     public record Stats(
             double tryLimit,
             int openTryCount,
@@ -1257,6 +1501,7 @@
             long coldPodCount,
             long unreachablePodCount) {}
 
+    /** Returns the current figures for the log. */
     public Stats stats(long nowNs) {
         return new Stats(
                 limiter.limit(),
@@ -1271,12 +1516,12 @@
                 leasedPods.count(Policy::isUnreachable));
     }
 
-    // ---- What is remembered over a restart.
+    // ---- Learned state across restarts
 
     /**
-     * What it learned, piece by piece, so that the caller may pause in between. What a fresh start
-     * must earn anew is not among it: saved exposure, what cold pods were sent, rates, votes,
-     * evidence on the trial.
+     * Returns the learned state piece by piece; the caller may handle other events between two
+     * pieces. State that a new start has to earn again is left out: exposure budget, slow start
+     * tokens, rates, votes and evidence on the trial.
      */
     public Iterator<LearnedState> exportLearned(long nowNs) {
         List<LearnedState> learned = new ArrayList<>();
@@ -1295,7 +1540,11 @@
                 .iterator();
     }
 
-    /** Takes in, after list and news and before the first req, what an earlier start gave out. */
+    /**
+     * Restores one piece of state that an earlier start exported. To be called after the first pod
+     * list and rollout status and before the first req. Pieces about unknown pods, routes and
+     * builds are ignored.
+     */
     public void restoreLearned(long nowNs, LearnedState learned) {
         if (learned instanceof LearnedState.ConnectionStats stats) {
             refusedShare.restore(nowNs, stats.refused(), MAX_RESTORED_WEIGHT);
@@ -1303,8 +1552,8 @@
         } else if (learned instanceof LearnedState.PodStats stats) {
             Pod pod = pods.get(stats.is().id());
             if (pod != null && pod.restore(nowNs, stats, MAX_RESTORED_WEIGHT, EJECTION_SCORE)) {
-                // The first tries of all the sidecars that started together must not meet at a sick
-                // pod.
+                // Sidecars that start together must not all send their first tries to a failing pod
+                // at the same time.
                 pod.ejectedUntilNs = nowNs + random.nextLong(BASE_EJECTION_NS << pod.failureScore);
             }
         } else if (learned instanceof LearnedState.RouteStats stats
@@ -1315,24 +1564,30 @@
                     stats,
                     MAX_RESTORED_WEIGHT,
                     isComparableBuild(stats.build()) ? LATE_THRESHOLD_MEANS : 0);
-        } else if (learned instanceof LearnedState.DetectorBaseline stats
-                && routeNames.contains(stats.route())
-                && isComparableBuild(stats.build())) {
-            detectors[2 * routeNames.indexOf(stats.route()) + (stats.ofLate() ? 1 : 0)].restore(
-                    stats, MAX_RESTORED_WEIGHT);
-        } else if (learned instanceof LearnedState.KeyBuild stats && rollout.keysAreOneWay()) {
-            buildByKey.recordAnswer(stats.key(), stats.build());
+        } else if (learned instanceof LearnedState.DetectorBaseline baseline
+                && routeNames.contains(baseline.route())
+                && isComparableBuild(baseline.build())) {
+            detectors[2 * routeNames.indexOf(baseline.route()) + (baseline.ofLate() ? 1 : 0)]
+                    .restore(baseline, MAX_RESTORED_WEIGHT);
+        } else if (learned instanceof LearnedState.KeyBuild keyBuild && rollout.keysAreOneWay()) {
+            buildByKey.recordAnswer(keyBuild.key(), keyBuild.build());
         }
     }
 
     /**
-     * Whether what was learned under that newest build is about what the trial is held against now.
+     * Returns whether state that was learned while a build was the newest is about the build that
+     * the trial is compared with now.
      */
     private boolean isComparableBuild(int build) {
         return rolloutStatus.build() == build
                 || earlierPods.all().stream().anyMatch(p -> p.listEntry.build() == build);
     }
 
+    /**
+     * Handles a timer.
+     *
+     * @param token the token that the timer was scheduled with; unknown tokens are ignored
+     */
     public void onTimer(long nowNs, String token) {
         switch (token) {
             case "sample" -> {
--- a/core/src/main/java/mulleinlever/PolicyActions.java
+++ b/core/src/main/java/mulleinlever/PolicyActions.java
@@ -1,34 +1,46 @@
 package mulleinlever;
 
 /**
- * What a {@link Policy} may ask of the program it lives in. Calls take effect in the order made.
+ * The actions that a {@link Policy} takes through the program that runs it. They take effect in the
+ * order of the calls.
  */
 public interface PolicyActions {
     /**
-     * Starts the next upstream try of a req.
+     * Starts the next try of a req. Its end is reported through {@link Policy#onTryEnded}, under
+     * the number of tries of the req before it.
      *
-     * @param writeWithinNs it is written within that time or not at all, and has then failed to
-     *     connect
-     * @param timeoutNs it ends after that time at the latest
+     * @param writeWithinNs the time within which the req is written; after that it is not written,
+     *     and the try ends with {@link TryOutcome#CONNECT_FAILED}
+     * @param timeoutNs the time after which the try ends with {@link TryOutcome#TIMEOUT}
      */
     void startTry(String reqId, String podId, long writeWithinNs, long timeoutNs);
 
-    /** Final answer: turned away, a repeat is harmless; {@code backoffNs} 0 gives no advice. */
+    /**
+     * Answers a req finally with a shed reply: a retry by the client is harmless.
+     *
+     * @param backoffNs how long the client is advised to wait; 0 for no advice
+     */
     void shedReq(String reqId, long backoffNs);
 
-    /** Final answer: errored, with no promise about any effect. */
+    /** Answers a req finally with an error, which says nothing about effects of the req. */
     void failReq(String reqId);
 
-    /** Stops waiting for one upstream try. */
+    /** Cancels a try of a req. */
     void cancelTry(String reqId, int tryNumber);
 
+    /**
+     * Sends a vote to the platform. The answer is reported through {@link Policy#onVoteAnswered}.
+     */
     void castVote(int build, int stage, RolloutVote vote);
 
-    /** Asks for changes to the list of pods from now on. */
+    /** Requests the changes of the pod list from discovery, from now on. */
     void watchPodList();
 
-    /** Asks for {@link Policy#onTimer} at or after a time; timers can't be taken back. */
+    /**
+     * Schedules a call of {@link Policy#onTimer} at or after a time. Timers cannot be cancelled.
+     */
     void scheduleTimer(long atNs, String token);
 
+    /** Logs a message. */
     void log(String message);
 }
--- a/core/src/main/java/mulleinlever/Req.java
+++ b/core/src/main/java/mulleinlever/Req.java
@@ -1,8 +1,15 @@
 package mulleinlever;
 
 /**
- * A req as it reached the sidecar. {@code key} is -1 and {@code tenant} null where the req has
- * none.
+ * A req as it reached the sidecar.
+ *
+ * @param route the name of its route
+ * @param isClientRetry whether the client marked it as a retry
+ * @param isWrite not used by the policy
+ * @param expiresInNs the time from its arrival until its client leaves
+ * @param estimatedWorkNs not used by the policy
+ * @param key its key, or -1 if it has none
+ * @param tenant its tenant, or null if it has none
  */
 public record Req(
         String id,
--- a/core/src/main/java/mulleinlever/Try.java
+++ b/core/src/main/java/mulleinlever/Try.java
@@ -1,4 +1,12 @@
 package mulleinlever;
 
-/** An upstream try: where it went, when, and whether the pod was warm and connected then. */
+/**
+ * A try of a req at a pod.
+ *
+ * @param wasPodWarm whether the pod was warm enough when the try was sent for the outcome to count
+ *     as evidence on its build
+ * @param build the build of the pod when the try was sent
+ * @param wasConnected whether an open connection to the pod was to be expected when the try was
+ *     sent
+ */
 record Try(Pod pod, long sentNs, boolean wasPodWarm, int build, boolean wasConnected) {}
--- a/core/src/main/java/mulleinlever/TryOutcome.java
+++ b/core/src/main/java/mulleinlever/TryOutcome.java
@@ -1,17 +1,32 @@
 package mulleinlever;
 
-/** How an upstream try or a call ended. */
+/** The outcome of a try. The names are used on the wire of the simulator. */
 public enum TryOutcome {
+    /** The pod served the req. */
     OK,
+
+    /** The pod answered with an error. */
     ERROR,
+
+    /** The pod turned the req away without running it. */
     FULL,
+
+    /** No answer came in time. */
     TIMEOUT,
+
+    /** The req was not written whole to the pod. */
     CONNECT_FAILED,
+
+    /** The connection broke before the answer was complete. */
     RESET,
+
+    /** The policy cancelled the try. */
     CANCELLED,
+
+    /** The try was not begun, since the req was answered already or out of time. */
     MOOT;
 
-    /** Whether the ending itself proves that the req never ran at the pod. */
+    /** Returns whether the outcome proves that the req did not run at the pod. */
     public boolean provesNotRun() {
         return this == FULL || this == CONNECT_FAILED || this == MOOT;
     }
