--- a/core/src/test/java/mulleinlever/ClockStepTest.java
+++ b/core/src/test/java/mulleinlever/ClockStepTest.java
@@ -7,14 +7,18 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Starts of servers are told by a wall clock that may be ahead of or behind ours. */
+/**
+ * Guards the slow start of pods against wrong wall clocks: the list states when pods started by a
+ * wall clock that may be ahead of or behind that of the sidecar.
+ */
 class ClockStepTest {
     private static final long MILLISECOND_NS = PolicyHarness.MILLISECOND_NS;
     private static final int WARM_POD_COUNT = 4;
     private static final PodEntry STARTED_POD = PolicyHarness.podEntry(WARM_POD_COUNT, 1, 0);
 
     /**
-     * The part of 200 requests a second that goes to the server that has started, for some seconds.
+     * Sends 200 reqs per second for some seconds and returns the share that goes to the started
+     * pod.
      */
     private static double trafficShare(PolicyHarness harness, int seconds) {
         int firstIndex = harness.sentTries.size();
@@ -31,7 +35,7 @@
                 / (double) sent.size();
     }
 
-    /** The part that the server gets in its first second, and long after it is warm. */
+    /** Returns the share of the started pod in its first second, and long after its slow start. */
     private static double[] trafficShares(long stepMs) {
         PolicyHarness harness =
                 PolicyHarness.withDefaults(1, false, false, 1)
@@ -57,7 +61,7 @@
         return new double[] {coldShare, trafficShare(harness, 2)};
     }
 
-    // The clock may have been an hour off before the process started, which only the list can show.
+    // The clock may have been an hour off before the process started. Only the list can show that.
     @ParameterizedTest
     @ValueSource(longs = {-3_600_000, 5_000, 3_600_000})
     void wrongClockAtStartIsDetectedFromList(long stepMs) {
@@ -73,7 +77,7 @@
                 "started " + (nowNs - startedNs) / MILLISECOND_NS + " ms ago");
     }
 
-    // A step of the wall clock made slow start end at once, or last as long as the step.
+    // A step of the wall clock made the slow start end at once, or last as long as the step.
     @ParameterizedTest
     @ValueSource(longs = {-3_600_000, -5_000, 5_000, 3_600_000})
     void slowStartLengthIsIndependentOfClockSteps(long stepMs) {
@@ -82,7 +86,7 @@
         assertTrue(
                 expected[0] < 0.75 * expected[1],
                 "no slow start: " + expected[0] + ", " + expected[1]);
-        assertEquals(expected[0], stepped[0], 0.03, "while it is cold");
-        assertEquals(expected[1], stepped[1], 0.03, "once it is warm");
+        assertEquals(expected[0], stepped[0], 0.03, "during the slow start");
+        assertEquals(expected[1], stepped[1], 0.03, "after the slow start");
     }
 }
--- a/core/src/test/java/mulleinlever/DetectorTest.java
+++ b/core/src/test/java/mulleinlever/DetectorTest.java
@@ -4,6 +4,7 @@
 
 import org.junit.jupiter.api.Test;
 
+/** Checks the averages and the state changes of a detector against values computed by hand. */
 class DetectorTest {
     @Test
     void longTermMeanAndDeviationFollowDesignFormula() {
@@ -20,7 +21,8 @@
     void stateChangesAtConfiguredDeviations() {
         var detector = new Policy.DegradationDetector(0, 0);
         detector.updateLongTerm(0.0, 0.02);
-        // With the floor of 0.02: suspect above 0.05, alarm above 0.09, clear below 0.01.
+        // With the minimum deviation of 0.02, the detector is suspicious above 0.05, raises an
+        // alarm above 0.09 and clears it below 0.01.
         detector.evaluate(0.12, 10_000, true);
         assertEquals(Policy.DetectorState.SUSPECT, detector.state);
         detector.evaluate(0.16, 10_000, true);
--- a/core/src/test/java/mulleinlever/PolicyHarness.java
+++ b/core/src/test/java/mulleinlever/PolicyHarness.java
@@ -7,19 +7,24 @@
 import java.util.TreeMap;
 
 /**
- * The tests' one helper: settings by route, and a host that keeps what is asked for and runs
- * timers.
+ * Runs a {@link Policy} in virtual time: records the actions that it takes and calls its timers
+ * when they are due.
  */
 final class PolicyHarness implements PolicyActions {
     static final long MILLISECOND_NS = 1_000_000L;
     static final long SECOND_NS = 1_000 * MILLISECOND_NS;
 
+    /** A try that the policy started. */
     record SentTry(String reqId, String pod, long atNs, long limitNs) {}
 
+    /** A vote that the policy cast. */
     record CastVote(long atNs, int build, int stage, RolloutVote verdict) {}
 
     final List<SentTry> sentTries = new ArrayList<>();
+
+    /** "shed" or "error" by the id of the req. */
     final Map<String, String> finalAnswers = new LinkedHashMap<>();
+
     final List<CastVote> votes = new ArrayList<>();
     final List<String> cancelledReqs = new ArrayList<>();
     final TreeMap<Long, List<String>> timers = new TreeMap<>();
@@ -117,8 +122,8 @@
     }
 
     /**
-     * One of a fleet whose platform wants so many votes; the pods lie in two zones, neither of them
-     * its own.
+     * Returns a sidecar of a fleet whose platform needs the given numbers of votes. The pods lie in
+     * two zones, neither of them the zone of the sidecar.
      */
     static PolicyHarness inFleet(
             int rank, int sidecarCount, int approveVoteCount, int rollbackVoteCount) {
@@ -210,6 +215,10 @@
                 seed);
     }
 
+    /**
+     * Returns the entry of a ready pod: pods with even numbers lie in zone a and cell 0, the others
+     * in zone b and cell 1.
+     */
     static PodEntry podEntry(int number, int build, long startedNs) {
         return new PodEntry(
                 "pod" + number,
@@ -242,6 +251,7 @@
         policy.onTryEnded(nowNs, reqId, tryNumber, outcome, durationNs, outcome == TryOutcome.OK);
     }
 
+    /** Advances the time and calls the timers that are due until then. */
     void advance(long durationNs) {
         long untilNs = nowNs + durationNs;
         while (!timers.isEmpty() && timers.firstKey() <= untilNs) {
@@ -252,6 +262,7 @@
         nowNs = untilNs;
     }
 
+    /** Returns the number in the id of a pod. */
     static int podNumber(String podId) {
         return Integer.parseInt(podId.substring(3));
     }
--- a/core/src/test/java/mulleinlever/PolicyRegressionTest.java
+++ b/core/src/test/java/mulleinlever/PolicyRegressionTest.java
@@ -12,16 +12,14 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 
-/** One small test for each failure that was found. */
+/** Guards against failures that were found, with one small test for each. */
 class PolicyRegressionTest {
-    /**
-     * Answers reqs at a steady pace; {@code tookMs} says how long each takes, or nothing for a
-     * failure.
-     */
+    /** Returns how long a pod takes to answer a req, or 0 if it answers with an error. */
     private interface AnswerTimes {
-        long tookMs(PodEntry pod, int i);
+        long answerTimeMs(PodEntry pod, int reqIndex);
     }
 
+    /** Serves 50 reqs per second for some seconds. */
     private static void serveReqs(
             PolicyHarness harness, int seconds, AnswerTimes answerTimes, List<PodEntry> pods) {
         for (int i = 0; i < seconds * 50; i++) {
@@ -30,7 +28,7 @@
             if (harness.sentTries.size() > 0 && harness.lastSent().reqId().equals(id)) {
                 String podId = harness.lastSent().pod();
                 long durationMs =
-                        answerTimes.tookMs(
+                        answerTimes.answerTimeMs(
                                 pods.stream().filter(p -> p.id().equals(podId)).findFirst().get(),
                                 i);
                 harness.endTry(
@@ -43,6 +41,7 @@
         }
     }
 
+    /** Replaces the pod list by pods of build 1 and, after them, pods of build 2. */
     private static List<PodEntry> replacePods(
             PolicyHarness harness, int oldPodCount, int newPodCount) {
         List<PodEntry> entries =
@@ -53,6 +52,9 @@
         return entries;
     }
 
+    /**
+     * Serves reqs before and during a trial of build 2, and returns the last vote of the sidecar.
+     */
     private static RolloutVote lastVote(AnswerTimes before, AnswerTimes during) {
         PolicyHarness harness =
                 PolicyHarness.withDefaults()
@@ -324,7 +326,8 @@
         assertEquals(0, pod.idleSinceGoneNs(harness.nowNs + SECOND_NS));
         pod.openTryCount = 0;
         assertEquals(2 * SECOND_NS, pod.idleSinceGoneNs(harness.nowNs + 3 * SECOND_NS));
-        // The module goes through all pods it knows: a thousand gone ones must not stay among them.
+        // The policy iterates over all pods that it knows, so a thousand pods that are gone must
+        // not stay among them.
         for (int i = 10; i < 1010; i++) {
             harness.policy.onPodListUpdated(
                     harness.nowNs,
@@ -339,9 +342,7 @@
         assertEquals(2, knownPodCount(harness.policy));
     }
 
-    /**
-     * Sends reqs for so long, of which those at pods of the zone that is out find no connection.
-     */
+    /** Serves 50 reqs per second; tries at pods of the lost zone fail to connect. */
     private static void serveReqsDuringZoneLoss(
             PolicyHarness harness, String lostZone, int durationMs) {
         for (int i = 0; i < durationMs / 20; i++) {
@@ -392,14 +393,14 @@
         serveReqsDuringZoneLoss(harness, "b", 4000);
         assertTrue(
                 tryCountInZone(harness, lossIndex, "b") < 15,
-                "tries into the lost zone: " + tryCountInZone(harness, lossIndex, "b"));
-        // One answer from there, by a try now and then, and it takes its part again.
+                "tries at the lost zone: " + tryCountInZone(harness, lossIndex, "b"));
+        // One answer from the zone, to a probe, is enough for it to take its share again.
         serveReqsDuringZoneLoss(harness, "none", 5000);
         int recoveryIndex = harness.sentTries.size();
         serveReqsDuringZoneLoss(harness, "none", 2000);
         assertTrue(
                 tryCountInZone(harness, recoveryIndex, "b") > 25,
-                "tries when it is back: " + tryCountInZone(harness, recoveryIndex, "b"));
+                "tries after the recovery: " + tryCountInZone(harness, recoveryIndex, "b"));
     }
 
     @Test
@@ -412,11 +413,11 @@
         serveReqs(harness, 3, (p, i) -> usualMs(i), replacePods(harness, 30, 30));
         List<String> unansweredReqs = new ArrayList<>();
         for (int i = 0; i < 45; i++) {
-            harness.sendReq("lies" + i, "get", 2 * SECOND_NS);
+            harness.sendReq("unanswered" + i, "get", 2 * SECOND_NS);
             if (PolicyHarness.podNumber(harness.lastSent().pod()) % 2 == 1) {
-                unansweredReqs.add("lies" + i);
+                unansweredReqs.add("unanswered" + i);
             } else {
-                harness.endTry("lies" + i, 0, TryOutcome.OK, 60 * MILLISECOND_NS);
+                harness.endTry("unanswered" + i, 0, TryOutcome.OK, 60 * MILLISECOND_NS);
             }
         }
         int firstIndex = harness.sentTries.size();
@@ -427,8 +428,8 @@
         unansweredReqs.forEach(id -> harness.endTry(id, 0, TryOutcome.CANCELLED, SECOND_NS));
         unansweredReqs.forEach(id -> harness.endTry(id, 1, TryOutcome.OK, 60 * MILLISECOND_NS));
         serveReqsDuringZoneLoss(harness, "b", 3000);
-        // The half of the trial that is left gets the half of what the earlier pods had, not all of
-        // it.
+        // Half of the pods on trial are left. They get half of the load of the earlier pods, not
+        // all of it.
         var reachablePodNumbers =
                 harness.sentTries.subList(firstIndex, harness.sentTries.size()).stream()
                         .map(t -> PolicyHarness.podNumber(t.pod()))
@@ -454,18 +455,21 @@
                 List.of(
                         PolicyHarness.podEntry(1, 1, harness.nowNs),
                         PolicyHarness.podEntry(3, 1, harness.nowNs)));
-        // They answer nothing yet, so that nothing lights the zone again.
+        // These pods do not answer yet, so that the zone stays unreachable.
         serveReqsDuringZoneLoss(harness, "b", 2000);
         long toRestartedPods =
                 harness.sentTries.subList(firstIndex, harness.sentTries.size()).stream()
                         .filter(s -> List.of(1, 3).contains(PolicyHarness.podNumber(s.pod())))
                         .count();
-        assertTrue(toRestartedPods >= 2, "tries at pods that started anew: " + toRestartedPods);
+        assertTrue(toRestartedPods >= 2, "tries at restarted pods: " + toRestartedPods);
     }
 
     /**
-     * A zone is lost for two seconds, so long into a trial, and all is slow after it; nothing is
-     * sent back.
+     * Loses a zone for two seconds during a trial, after which all pods are slow, and checks that
+     * the sidecar does not vote for a rollback.
+     *
+     * @param calmSeconds the time from the start of the trial to the loss
+     * @param slowReqCount the number of slow reqs after the loss
      */
     private static PolicyHarness harnessAfterZoneLoss(int rank, int calmSeconds, int slowReqCount) {
         PolicyHarness harness =
@@ -486,15 +490,15 @@
         PolicyHarness harness = harnessAfterZoneLoss(sidecarAtVoterRank(1, 0), 20, 700);
         assertTrue(
                 harness.votes.get(harness.votes.size() - 1).atNs() > harness.nowNs - 4 * SECOND_NS,
-                "'on' was held");
-        // A trial that is young still has the loss weigh more on its side: lateness alone may hold
-        // it only.
+                "the vote to approve was not renewed");
+        // In a young trial the loss affects the outcomes of the trial more than those of the
+        // earlier build. Lateness alone may then only hold it.
         harnessAfterZoneLoss(sidecarAtVoterRank(1, 0), 0, 300);
     }
 
     /**
-     * How long after the first alarm enough live sidecars have voted back, the first voters being
-     * dead.
+     * Returns the time from the start of a bad trial until enough live sidecars have voted for a
+     * rollback, while the first voters are down.
      */
     private static long rollbackDelayNs(int sidecarCount, int neededVotes, int deadVoterCount) {
         RolloutStatus trial = new RolloutStatus(2, 1, RolloutStatus.Phase.ON_TRIAL, 0, 0);
@@ -548,11 +552,11 @@
         assertTrue(
                 rollbackDelayNs(14, 4, 8) <= delayWithAllVotersNs + 2 * SECOND_NS,
                 (rollbackDelayNs(14, 4, 8) - delayWithAllVotersNs) / MILLISECOND_NS + " ms");
-        // On a small fleet the steps are as they were, to the next sample.
+        // On a small fleet the steps are not shortened: they end at the next sample.
         assertEquals(SECOND_NS, rollbackDelayNs(3, 1, 2) - rollbackDelayNs(3, 1, 0));
     }
 
-    /** The number of that one of 14 sidecars whose place among the voters this is. */
+    /** Returns the number of the sidecar, of 14, that has the given rank among the voters. */
     private static int sidecarAtVoterRank(int stage, int rank) {
         RolloutStatus trial = new RolloutStatus(2, stage, RolloutStatus.Phase.ON_TRIAL, 1, 0);
         return IntStream.range(0, 14)
@@ -561,6 +565,10 @@
                 .getAsInt();
     }
 
+    /**
+     * Returns the time from the start of a trial to the first vote of a later-ranked sidecar that
+     * has seen the given number of reqs.
+     */
     private static long firstApprovalDelayNs(int trialReqCount) {
         PolicyHarness harness =
                 PolicyHarness.inFleet(sidecarAtVoterRank(0, 9), 14, 6, 4)
@@ -606,7 +614,10 @@
         }
     }
 
-    /** Its reqs' clients wait for two seconds, and no verdict could say so before. */
+    /**
+     * The clients of the reqs wait for two seconds, so that no try has ended before and no verdict
+     * is possible.
+     */
     @Test
     void unansweredTrialLosesTrafficBeforeTriesEnd() {
         PolicyHarness harness =
--- a/core/src/test/java/mulleinlever/PolicyRestoreTest.java
+++ b/core/src/test/java/mulleinlever/PolicyRestoreTest.java
@@ -12,7 +12,10 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 
-/** What one start learned, given to the next. */
+/**
+ * Checks that a policy uses the state that an earlier start exported where it still applies, and
+ * ignores it where not.
+ */
 class PolicyRestoreTest {
     private static final RolloutStatus OLD_BUILD_RELEASED =
             new RolloutStatus(1, 2, RolloutStatus.Phase.RELEASED, 1, 0);
@@ -31,8 +34,9 @@
     }
 
     /**
-     * One req after the other; how long each pod takes is told by its number, 0 for one that
-     * errors.
+     * Serves reqs one after the other and returns the number of tries by pod.
+     *
+     * @param tookMs how long a pod takes by its number; 0 for a pod that answers with errors
      */
     private static int[] serveReqs(PolicyHarness harness, int reqCount, long... tookMs) {
         int[] tryCounts = new int[tookMs.length];
@@ -88,10 +92,10 @@
         }
         assertTrue(
                 restoredCounts[2] < 0.6 * unrestoredCounts[2],
-                restoredCounts[2] + " of " + unrestoredCounts[2] + " at the slow one");
+                restoredCounts[2] + " of " + unrestoredCounts[2] + " tries at the slow pod");
         assertTrue(
                 restoredCounts[3] < 0.5 * unrestoredCounts[3],
-                restoredCounts[3] + " of " + unrestoredCounts[3] + " at the failing one");
+                restoredCounts[3] + " of " + unrestoredCounts[3] + " tries at the failing pod");
     }
 
     @Test
@@ -106,7 +110,7 @@
                                 new LearnedState.WeightedMean(1, 1e6),
                                 6)));
         harness.advance(5 * SECOND_NS);
-        // Rested, it gets one try at a time while the other is busy.
+        // After its ejection, the pod gets one try at a time while the other pod is busy.
         for (int i = 0; i < 40; i++) {
             harness.sendReq("a" + i, "get", 2 * SECOND_NS);
         }
@@ -206,7 +210,7 @@
                         new LearnedState.WeightedMean(30 * MILLISECOND_NS, 50),
                         new LearnedState.WeightedMean(30 * MILLISECOND_NS, 50));
         for (int build : new int[] {1, 2, 3}) {
-            // Build 1 is the newest, or the one that the trial is held against, or gone.
+            // Build 1 is the newest build, or the build that the trial is compared with, or gone.
             PolicyHarness harness =
                     freshHarness(1, PolicyHarness.podEntry(0, build < 3 ? 1 : 2, 0));
             harness.policy.onRolloutStatus(
@@ -276,6 +280,7 @@
             serveReqs(harness, 1, 20, 20, 20, 20);
             firstAtEjectedPod += harness.sentTries.get(0).pod().equals("pod0") ? 1 : 0;
         }
-        assertTrue(firstAtEjectedPod < 20, firstAtEjectedPod + " of 200 began with the sick pod");
+        assertTrue(
+                firstAtEjectedPod < 20, firstAtEjectedPod + " of 200 began with the ejected pod");
     }
 }
--- a/core/src/test/java/mulleinlever/PolicyRulesModelTest.java
+++ b/core/src/test/java/mulleinlever/PolicyRulesModelTest.java
@@ -18,7 +18,10 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * A slow, plain model of the five rules beside the module on generated days, by whole histories.
+ * Checks the actions of a policy on generated days against a plain model of the five rules: a final
+ * answer by the deadline and none that is unsafe to repeat, no unsafe retry, no try to a pod that
+ * has left, no overload of a pod in slow start, and no exposure beyond the cap. The model works on
+ * whole histories and is slow.
  */
 class PolicyRulesModelTest {
     private record OpenTry(String reqId, int tryNumber, int build, long dueNs) {}
@@ -89,11 +92,16 @@
         }
         assertTrue(
                 reqs.size() > 300 && !exposedTries.isEmpty(),
-                "the day was too quiet to show anything");
-        reqs.keySet().forEach(id -> assertTrue(finalAnswers.containsKey(id), "no answer to " + id));
+                "too few reqs or exposed tries to check the rules");
+        reqs.keySet()
+                .forEach(
+                        id -> assertTrue(finalAnswers.containsKey(id), "no final answer to " + id));
     }
 
-    /** Whatever was remembered, true or not, the rules hold as they do for a cold start. */
+    /**
+     * Returns random state to restore: the rules hold as for a cold start, whether or not the state
+     * is true.
+     */
     private List<LearnedState> randomLearnedState(SplittableRandom random) {
         List<LearnedState> learned = new ArrayList<>();
         for (int i = 0; i < 40; i++) {
@@ -282,10 +290,11 @@
                         finalAnswers.put(reqId, answer);
                         RetrySafety retrySafety = retrySafetyOf(reqId);
                         List<TryOutcome> outcomes = outcomesByReq.getOrDefault(reqId, List.of());
-                        boolean mayHaveRun = outcomes.stream().anyMatch(e -> !e.provesNotRun());
+                        boolean mayHaveRun = outcomes.stream().anyMatch(o -> !o.provesNotRun());
                         long deadlineNs = arrivedNs.get(reqId) + reqs.get(reqId).expiresInNs();
                         assertTrue(
-                                harness.nowNs <= deadlineNs + 20 * MILLISECOND_NS, "answered late");
+                                harness.nowNs <= deadlineNs + 20 * MILLISECOND_NS,
+                                "answered after the deadline");
                         boolean safeToShed =
                                 retrySafety == RetrySafety.IDEMPOTENT
                                         || retrySafety == RetrySafety.DEDUPLICATED
@@ -293,7 +302,7 @@
                                                         == DedupScope.ALL;
                         assertTrue(
                                 !answer.equals("shed") || !mayHaveRun || safeToShed,
-                                "shed may have run");
+                                "shed although it may have run and a retry is unsafe");
                     }
                 });
         for (; checkedTryCount < harness.sentTries.size(); checkedTryCount++) {
@@ -312,12 +321,12 @@
     private void checkSentTry(PolicyHarness.SentTry sentTry) {
         PodEntry pod = entries.get(sentTry.pod());
         Req req = reqs.get(sentTry.reqId());
-        assertFalse(finalAnswers.containsKey(sentTry.reqId()), "sent after the answer");
+        assertFalse(finalAnswers.containsKey(sentTry.reqId()), "sent after the final answer");
         assertFalse(
                 sentTry.atNs()
                         > goneSinceNs.getOrDefault(sentTry.pod(), Long.MAX_VALUE - SECOND_NS)
                                 + 500 * MILLISECOND_NS,
-                "sent to a drained pod");
+                "sent to a pod past the drain grace");
         checkRetryRules(sentTry, pod);
         checkExposureRules(sentTry, pod, req);
         if (sentTry.atNs() < pod.startedNs() + settings.contract().slowStartNs()) {
@@ -332,7 +341,7 @@
                                     / settings.contract().slowStartNs();
             assertTrue(
                     lastSecondCount <= 2 + 2 * capacityShare * maxWarmSendsPerSecond,
-                    "pushed over");
+                    "overloaded a pod in slow start");
         } else {
             List<Long> warmTimesNs =
                     warmSendTimesNs.computeIfAbsent(sentTry.pod(), k -> new ArrayList<>());
@@ -366,13 +375,14 @@
         assertTrue(earlierTries.size() < settings.policyLimits().maxTries(), "too many tries");
         long openTryCount = openTries.stream().filter(o -> o.reqId.equals(sentTry.reqId())).count();
         assertTrue(
-                openTryCount < (settings.policyLimits().canHedge() ? 2 : 1),
-                "too many tries out at once");
+                openTryCount < (settings.policyLimits().canHedge() ? 2 : 1), "too many open tries");
         for (int i = 0; i < earlierTries.size(); i++) {
             if (outcomesByReq.get(sentTry.reqId()).get(i).provesNotRun()) {
                 continue;
             }
-            assertTrue(retrySafetyOf(sentTry.reqId()) != RetrySafety.NOT_RETRYABLE, "ran twice");
+            assertTrue(
+                    retrySafetyOf(sentTry.reqId()) != RetrySafety.NOT_RETRYABLE,
+                    "may have run twice");
             if (retrySafetyOf(sentTry.reqId()) == RetrySafety.DEDUPLICATED) {
                 PodEntry firstPod = entries.get(earlierTries.get(i).pod());
                 DedupScope scope = settings.routes().get(1).dedupScope();
@@ -380,12 +390,12 @@
                         scope == DedupScope.ALL
                                 || scope == DedupScope.ZONE && firstPod.zone().equals(pod.zone())
                                 || scope == DedupScope.CELL && firstPod.cell() == pod.cell(),
-                        "sent outside its group");
+                        "retried outside the dedup scope");
                 assertTrue(
                         sentTry.atNs()
                                 < earlierTries.get(i).atNs()
                                         + settings.routes().get(1).dedupWindowNs(),
-                        "sent too late to drop");
+                        "retried after the dedup window");
                 break;
             }
         }
@@ -396,7 +406,9 @@
                 rolloutStatus.phase() == RolloutStatus.Phase.ON_TRIAL
                         || rolloutStatus.phase() == RolloutStatus.Phase.RELEASED;
         if (settings.rollout().keysAreOneWay() && rolloutActive) {
-            assertTrue(pod.build() >= buildByKey.getOrDefault(req.key(), 0), "a key went back");
+            assertTrue(
+                    pod.build() >= buildByKey.getOrDefault(req.key(), 0),
+                    "a one-way key went to an older build");
         }
         boolean announced = pod.build() == rolloutStatus.build();
         if (pod.build() < rolloutStatus.build()
@@ -409,10 +421,10 @@
         assertTrue(cap > 0, "sent at cap 0");
         assertTrue(
                 stage >= settings.rollout().shieldedStageCount() || req.route().equals("r"),
-                "sent through the shield");
+                "sent to a shielded stage");
         exposedTries.add(new ExposedTry(sentTry.atNs(), pod.build(), req.route()));
-        // Each window that ends here, since the last change of the cap and no longer than the
-        // rule's.
+        // Checks each window that ends with this try, begins after the last change of the cap and
+        // is no longer than the exposure window.
         long capSinceNs = announced ? capChanges.get(capChanges.size() - 1).atNs() : 0;
         for (ExposedTry first : exposedTries) {
             long startNs = first.atNs();
@@ -432,7 +444,7 @@
                             .count();
             assertTrue(
                     exposedCount <= settings.rollout().exposureBurst() + cap * reqCount + 1e-9,
-                    "exposed beyond the cap");
+                    "exposure beyond the cap");
         }
     }
 
