--- a/core/src/main/java/mulleinlever/VoteTracker.java
+++ b/core/src/main/java/mulleinlever/VoteTracker.java
@@ -1,41 +1,61 @@
 package mulleinlever;
 
-/** What a sidecar wants to vote, has asked for, and stands for. */
+/**
+ * Tracks the vote that a sidecar wants to cast, the vote whose answer it awaits, and the vote that
+ * the platform counts.
+ */
 final class VoteTracker {
     RolloutVote wantedVote = RolloutVote.NONE;
     long wantedSinceNs;
+
+    /** The vote that was sent and not answered yet, or null. */
     RolloutVote pendingVote;
+
     long sentNs;
+
+    /** The earliest time for the next vote after one that was not counted. */
     long retryAtNs;
-    private RolloutVote standing = RolloutVote.NONE;
-    private long standsUntilNs;
 
-    void setWanted(long nowNs, RolloutVote verdict) {
-        wantedSinceNs = verdict == wantedVote ? wantedSinceNs : nowNs;
-        wantedVote = verdict;
+    /** The vote that the platform counts until {@link #standingUntilNs}. */
+    private RolloutVote standingVote = RolloutVote.NONE;
+
+    private long standingUntilNs;
+
+    void setWanted(long nowNs, RolloutVote vote) {
+        wantedSinceNs = vote == wantedVote ? wantedSinceNs : nowNs;
+        wantedVote = vote;
     }
 
+    /** Records that the wanted vote is sent. */
     void markSent(long nowNs) {
         pendingVote = wantedVote;
         sentNs = nowNs;
     }
 
-    void onAnswer(boolean counts, long standsNs, long tryAgainNs) {
-        if (counts && pendingVote != null) {
-            standing = pendingVote;
-            standsUntilNs = sentNs + standsNs;
+    /**
+     * Handles the answer to the pending vote.
+     *
+     * @param counted whether the platform has counted the vote
+     * @param lifetimeNs how long a counted vote stands after it was sent
+     * @param nextAttemptNs the earliest time for the next vote if this one was not counted
+     */
+    void onAnswer(boolean counted, long lifetimeNs, long nextAttemptNs) {
+        if (counted && pendingVote != null) {
+            standingVote = pendingVote;
+            standingUntilNs = sentNs + lifetimeNs;
         }
-        retryAtNs = counts ? retryAtNs : tryAgainNs;
+        retryAtNs = counted ? retryAtNs : nextAttemptNs;
         pendingVote = null;
     }
 
-    /** A vote is for one build and stage: on any other nothing stands. */
+    /** Forgets the wanted and the standing vote, which hold for one build and stage only. */
     void reset() {
-        standing = RolloutVote.NONE;
+        standingVote = RolloutVote.NONE;
         wantedVote = RolloutVote.NONE;
     }
 
+    /** Returns the vote that stands at a time. */
     RolloutVote standingVoteAt(long nowNs) {
-        return nowNs < standsUntilNs ? standing : RolloutVote.NONE;
+        return nowNs < standingUntilNs ? standingVote : RolloutVote.NONE;
     }
 }
