--- a/core/src/main/java/mulleinlever/BuildOutcomes.java
+++ b/core/src/main/java/mulleinlever/BuildOutcomes.java
@@ -5,84 +5,91 @@
 /** What one side, the build on trial or the earlier one, has shown: by route, and last over all. */
 final class BuildOutcomes {
     /** Tries of which a share went wrong. */
-    private static final class FailureShare {
+    private static final class DecayingShare {
         final DecayingSum total;
-        final DecayingSum bad;
-        double totalEver;
+        final DecayingSum affected;
+        double totalUndecayed;
 
-        FailureShare(long halfLifeNs) {
+        DecayingShare(long halfLifeNs) {
             total = new DecayingSum(halfLifeNs);
-            bad = new DecayingSum(halfLifeNs);
+            affected = new DecayingSum(halfLifeNs);
         }
 
-        void add(long nowNs, double n, double k) {
-            total.add(nowNs, n);
-            bad.add(nowNs, k);
-            totalEver += n;
+        void add(long nowNs, double count, double affectedCount) {
+            total.add(nowNs, count);
+            affected.add(nowNs, affectedCount);
+            totalUndecayed += count;
         }
 
         double shareAt(long nowNs) {
-            return Math.min(1, bad.valueAt(nowNs) / Math.max(1, total.valueAt(nowNs)));
+            return Math.min(1, affected.valueAt(nowNs) / Math.max(1, total.valueAt(nowNs)));
         }
     }
 
-    private final FailureShare[] failed;
-    private final FailureShare[] late;
-    private final FailureShare[] flagged;
+    private final DecayingShare[] failed;
+    private final DecayingShare[] late;
+    private final DecayingShare[] complaints;
 
-    BuildOutcomes(int routes, long halfLifeNs, long flagHalfLifeNs) {
-        failed = places(routes, halfLifeNs);
-        late = places(routes, halfLifeNs);
-        flagged = places(routes, flagHalfLifeNs);
+    BuildOutcomes(int routeCount, long halfLifeNs, long complaintHalfLifeNs) {
+        failed = createSlots(routeCount, halfLifeNs);
+        late = createSlots(routeCount, halfLifeNs);
+        complaints = createSlots(routeCount, complaintHalfLifeNs);
     }
 
-    private static FailureShare[] places(int routes, long halfLifeNs) {
-        FailureShare[] places = new FailureShare[routes + 1];
-        Arrays.setAll(places, i -> new FailureShare(halfLifeNs));
-        return places;
+    private static DecayingShare[] createSlots(int routeCount, long halfLifeNs) {
+        DecayingShare[] slots = new DecayingShare[routeCount + 1];
+        Arrays.setAll(slots, i -> new DecayingShare(halfLifeNs));
+        return slots;
     }
 
-    private static void add(FailureShare[] places, long nowNs, int route, double n, double k) {
-        places[route].add(nowNs, n, k);
-        places[places.length - 1].add(nowNs, n, k);
+    private static void add(
+            DecayingShare[] slots, long nowNs, int route, double count, double affectedCount) {
+        slots[route].add(nowNs, count, affectedCount);
+        slots[slots.length - 1].add(nowNs, count, affectedCount);
     }
 
     void recordTry(long nowNs, int route, boolean hasFailed, boolean wasLate) {
         add(failed, nowNs, route, 1, hasFailed ? 1 : 0);
         add(late, nowNs, route, 1, wasLate ? 1 : 0);
-        add(flagged, nowNs, route, 1, 0);
+        add(complaints, nowNs, route, 1, 0);
     }
 
-    void recordTally(long nowNs, int route, double n, double k, double timed, double slow) {
-        add(failed, nowNs, route, n, k);
-        add(late, nowNs, route, timed, timed > 0 ? slow : 0);
+    void recordTally(
+            long nowNs,
+            int route,
+            double tryCount,
+            double failedCount,
+            double timedCount,
+            double lateCount) {
+        add(failed, nowNs, route, tryCount, failedCount);
+        add(late, nowNs, route, timedCount, timedCount > 0 ? lateCount : 0);
     }
 
     void recordComplaint(long nowNs, int route) {
-        add(flagged, nowNs, route, 0, 1);
+        add(complaints, nowNs, route, 0, 1);
     }
 
-    double failedShare(long nowNs, int place) {
-        return failed[place].shareAt(nowNs);
+    double failedShare(long nowNs, int slot) {
+        return failed[slot].shareAt(nowNs);
     }
 
-    double lateShare(long nowNs, int place) {
-        return late[place].shareAt(nowNs);
+    double lateShare(long nowNs, int slot) {
+        return late[slot].shareAt(nowNs);
     }
 
-    double complaintCount(long nowNs, int place) {
-        return flagged[place].bad.valueAt(nowNs);
+    double complaintCount(long nowNs, int slot) {
+        return complaints[slot].affected.valueAt(nowNs);
     }
 
-    double tryCount(long nowNs, int place) {
-        return flagged[place].total.valueAt(nowNs);
+    double tryCount(long nowNs, int slot) {
+        return complaints[slot].total.valueAt(nowNs);
     }
 
-    double outcomeCount(long nowNs, int place, boolean inTime) {
-        return (inTime ? late : failed)[place].total.valueAt(nowNs);
+    double outcomeCount(long nowNs, int slot, boolean forLateness) {
+        return (forLateness ? late : failed)[slot].total.valueAt(nowNs);
     }
 
-    double totalOutcomeCount(int place, boolean inTime) {
-        return (inTime ? late : failed)[place].totalEver;
+    double totalOutcomeCount(int slot, boolean forLateness) {
+        return (forLateness ? late : failed)[slot].totalUndecayed;
     }
 }
--- a/core/src/main/java/mulleinlever/ConcurrencyLimiter.java
+++ b/core/src/main/java/mulleinlever/ConcurrencyLimiter.java
@@ -5,36 +5,36 @@
  * the fewer: what waits at the sidecar can be shed or go elsewhere, what waits at a pod can't.
  */
 final class ConcurrencyLimiter {
-    private static final long HALF_LIFE = 1_000_000_000L;
+    private static final long LATENCY_HALF_LIFE_NS = 1_000_000_000L;
 
     /**
      * Answers are wanted at this share of their latency objective; above it, fewer tries are let
      * out.
      */
-    private static final double AT_EASE = 0.33;
+    private static final double TARGET_LATENCY_RATIO = 0.33;
 
     /**
      * Tries that all sidecars together may always have open at a pod, and times that at the start.
      */
-    private static final double LEAST_A_POD = 3;
+    private static final double MIN_OPEN_TRIES_PER_POD = 3;
 
-    private static final double FIRST = 4;
-    private static final long RATE_HALF_LIFE = 5_000_000_000L;
+    private static final double INITIAL_LIMIT_FACTOR = 4;
+    private static final long DEMAND_HALF_LIFE_NS = 5_000_000_000L;
 
-    private final int sidecars;
-    private final DecayingMean ease = new DecayingMean(HALF_LIFE);
+    private final int sidecarCount;
+    private final DecayingMean meanLatencyRatio = new DecayingMean(LATENCY_HALF_LIFE_NS);
 
     /**
      * Seconds that the reqs that came want at pods at ease: a second's worth of it is what they
      * keep open.
      */
-    private final DecayingSum wanted = new DecayingSum(RATE_HALF_LIFE);
+    private final DecayingSum demandSeconds = new DecayingSum(DEMAND_HALF_LIFE_NS);
 
-    private double most;
-    private int open;
+    private double limit;
+    private int openTryCount;
 
-    ConcurrencyLimiter(int sidecars) {
-        this.sidecars = sidecars;
+    ConcurrencyLimiter(int sidecarCount) {
+        this.sidecarCount = sidecarCount;
     }
 
     /**
@@ -42,71 +42,75 @@
      * objective.
      */
     void recordDemand(long nowNs, double meanNs, double objectiveNs) {
-        wanted.add(nowNs, Math.min(meanNs, AT_EASE * objectiveNs) / 1e9);
+        demandSeconds.add(nowNs, Math.min(meanNs, TARGET_LATENCY_RATIO * objectiveNs) / 1e9);
     }
 
     boolean hasCapacity() {
-        return open < most;
+        return openTryCount < limit;
     }
 
     int openTryCount() {
-        return open;
+        return openTryCount;
     }
 
     double limit() {
-        return most;
+        return limit;
     }
 
     void onTryStarted() {
-        open++;
+        openTryCount++;
     }
 
     void onTryEnded() {
-        open--;
+        openTryCount--;
     }
 
     /**
      * How long a try took, in shares of its latency objective; what was never answered counts as
      * just late.
      */
-    void recordLatency(long nowNs, double part, boolean unanswered) {
-        ease.add(nowNs, unanswered ? Math.min(1, part) : part);
+    void recordLatency(long nowNs, double latencyRatio, boolean unanswered) {
+        meanLatencyRatio.add(nowNs, unanswered ? Math.min(1, latencyRatio) : latencyRatio);
     }
 
     double latencyRatio(long nowNs) {
-        return ease.meanAt(nowNs, 0, 1);
+        return meanLatencyRatio.meanAt(nowNs, 0, 1);
     }
 
     boolean isOverloaded(long nowNs) {
-        return latencyRatio(nowNs) > AT_EASE;
+        return latencyRatio(nowNs) > TARGET_LATENCY_RATIO;
     }
 
     /**
      * How long the reqs before it in line take to be sent, if tries take so long; in nanoseconds.
      */
-    double estimatedQueueWaitNs(int before, double completedPerSecond, double meanNs) {
-        return before / Math.max(Math.max(1, completedPerSecond) / 1e9, most / meanNs);
+    double estimatedQueueWaitNs(int queuedBeforeCount, double completedPerSecond, double meanNs) {
+        return queuedBeforeCount / Math.max(Math.max(1, completedPerSecond) / 1e9, limit / meanNs);
     }
 
     /** At each tick, with the number of pods that may be used. */
-    void adjustLimit(long nowNs, int pods) {
-        double least = least(nowNs, pods);
-        most = Math.max(most, least);
+    void adjustLimit(long nowNs, int podCount) {
+        double minLimit = minLimit(nowNs, podCount);
+        limit = Math.max(limit, minLimit);
         // Of a few answers chance alone makes the mean lie above its own by as much again over the
         // root of
         // their number.
-        double seen = Math.max(1, ease.snapshot(nowNs).weight());
-        double tense = latencyRatio(nowNs) / (1 + 1 / Math.sqrt(seen)) / AT_EASE;
-        if (tense > 1) {
-            most = Math.max(least, most * (1 - 0.1 * Math.min(1, tense - 1)));
-        } else if (open > 0.8 * most) {
-            most *= 1.02;
+        double sampleCount = Math.max(1, meanLatencyRatio.snapshot(nowNs).weight());
+        double overload =
+                latencyRatio(nowNs) / (1 + 1 / Math.sqrt(sampleCount)) / TARGET_LATENCY_RATIO;
+        if (overload > 1) {
+            limit = Math.max(minLimit, limit * (1 - 0.1 * Math.min(1, overload - 1)));
+        } else if (openTryCount > 0.8 * limit) {
+            limit *= 1.02;
         }
     }
 
     /** Before the first pods are known there is none. */
-    void initializeLimit(long nowNs, int pods) {
-        most = most == 0 && pods > 0 ? FIRST * least(nowNs, pods) : most;
+    void initializeLimit(long nowNs, int podCount) {
+        limit =
+                limit == 0 && podCount > 0
+                        ? INITIAL_LIMIT_FACTOR * minLimit(nowNs, podCount)
+                        : limit;
     }
 
     /**
@@ -115,7 +119,9 @@
      * ease, by Little's law: if all do so, pods asked for twice what they can do take twice that
      * long, and no longer.
      */
-    private double least(long nowNs, int pods) {
-        return Math.max(Math.max(2, LEAST_A_POD * pods / sidecars), wanted.ratePerSecond(nowNs));
+    private double minLimit(long nowNs, int podCount) {
+        return Math.max(
+                Math.max(2, MIN_OPEN_TRIES_PER_POD * podCount / sidecarCount),
+                demandSeconds.ratePerSecond(nowNs));
     }
 }
--- a/core/src/main/java/mulleinlever/DecayingMean.java
+++ b/core/src/main/java/mulleinlever/DecayingMean.java
@@ -2,34 +2,36 @@
 
 /** A decaying mean, which leans to a given value while it has seen little. */
 final class DecayingMean {
-    private final DecayingSum sum;
-    private final DecayingSum count;
+    private final DecayingSum weightedSum;
+    private final DecayingSum totalWeight;
 
     DecayingMean(long halfLifeNs) {
-        sum = new DecayingSum(halfLifeNs);
-        count = new DecayingSum(halfLifeNs);
+        weightedSum = new DecayingSum(halfLifeNs);
+        totalWeight = new DecayingSum(halfLifeNs);
     }
 
-    void add(long nowNs, double x) {
-        add(nowNs, x, 1);
+    void add(long nowNs, double value) {
+        add(nowNs, value, 1);
     }
 
-    void add(long nowNs, double x, double n) {
-        sum.add(nowNs, x * n);
-        count.add(nowNs, n);
+    void add(long nowNs, double value, double weight) {
+        weightedSum.add(nowNs, value * weight);
+        totalWeight.add(nowNs, weight);
     }
 
     LearnedState.WeightedMean snapshot(long nowNs) {
-        double n = count.valueAt(nowNs);
-        return new LearnedState.WeightedMean(n > 0 ? sum.valueAt(nowNs) / n : 0, n);
+        double weight = totalWeight.valueAt(nowNs);
+        return new LearnedState.WeightedMean(
+                weight > 0 ? weightedSum.valueAt(nowNs) / weight : 0, weight);
     }
 
     /** Takes a remembered mean, for so many outcomes at most. */
-    void restore(long nowNs, LearnedState.WeightedMean f, double most) {
-        add(nowNs, f.mean(), Math.min(f.weight(), most));
+    void restore(long nowNs, LearnedState.WeightedMean learned, double maxWeight) {
+        add(nowNs, learned.mean(), Math.min(learned.weight(), maxWeight));
     }
 
-    double meanAt(long nowNs, double lean, double leanCount) {
-        return (sum.valueAt(nowNs) + lean * leanCount) / (count.valueAt(nowNs) + leanCount);
+    double meanAt(long nowNs, double priorMean, double priorWeight) {
+        return (weightedSum.valueAt(nowNs) + priorMean * priorWeight)
+                / (totalWeight.valueAt(nowNs) + priorWeight);
     }
 }
--- a/core/src/main/java/mulleinlever/DecayingSum.java
+++ b/core/src/main/java/mulleinlever/DecayingSum.java
@@ -6,22 +6,22 @@
 
     private final double halfLifeNs;
     private double sum;
-    private long atNs;
-    private long firstNs = Long.MIN_VALUE;
+    private long updatedNs;
+    private long firstAddedNs = Long.MIN_VALUE;
 
     public DecayingSum(long halfLifeNs) {
         this.halfLifeNs = halfLifeNs;
     }
 
-    public void add(long nowNs, double x) {
-        firstNs = firstNs == Long.MIN_VALUE ? nowNs : firstNs;
-        sum = valueAt(nowNs) + x;
+    public void add(long nowNs, double amount) {
+        firstAddedNs = firstAddedNs == Long.MIN_VALUE ? nowNs : firstAddedNs;
+        sum = valueAt(nowNs) + amount;
     }
 
     public double valueAt(long nowNs) {
-        if (nowNs > atNs) {
-            sum *= Math.exp(-LN_2 * (nowNs - atNs) / halfLifeNs);
-            atNs = nowNs;
+        if (nowNs > updatedNs) {
+            sum *= Math.exp(-LN_2 * (nowNs - updatedNs) / halfLifeNs);
+            updatedNs = nowNs;
         }
         return sum;
     }
@@ -31,14 +31,14 @@
      * good.
      */
     double ratePerSecond(long nowNs) {
-        if (firstNs == Long.MIN_VALUE) {
+        if (firstAddedNs == Long.MIN_VALUE) {
             return 0;
         }
-        double sinceNs = Math.max(1e9, nowNs - firstNs);
+        double elapsedNs = Math.max(1e9, nowNs - firstAddedNs);
         return valueAt(nowNs)
                 * LN_2
                 * 1e9
                 / halfLifeNs
-                / (1 - Math.exp(-LN_2 * sinceNs / halfLifeNs));
+                / (1 - Math.exp(-LN_2 * elapsedNs / halfLifeNs));
     }
 }
--- a/core/src/main/java/mulleinlever/ExposureBudget.java
+++ b/core/src/main/java/mulleinlever/ExposureBudget.java
@@ -9,36 +9,36 @@
  */
 final class ExposureBudget {
     private final Settings.RolloutSettings rollout;
-    private final int routes;
-    private final Map<Integer, double[]> left = new HashMap<>();
+    private final int routeCount;
+    private final Map<Integer, double[]> tokensByBuild = new HashMap<>();
 
-    ExposureBudget(Settings.RolloutSettings rollout, int routes) {
+    ExposureBudget(Settings.RolloutSettings rollout, int routeCount) {
         this.rollout = rollout;
-        this.routes = routes;
+        this.routeCount = routeCount;
     }
 
     double[] tokensOf(int build) {
-        return left.computeIfAbsent(build, b -> new double[routes]);
+        return tokensByBuild.computeIfAbsent(build, b -> new double[routeCount]);
     }
 
-    void accrue(RolloutStatus news, int route) {
-        left.forEach(
-                (build, saved) ->
-                        saved[lane(route)] =
+    void accrue(RolloutStatus status, int route) {
+        tokensByBuild.forEach(
+                (build, tokens) ->
+                        tokens[tokenIndex(route)] =
                                 Math.min(
                                         rollout.exposureBurst(),
-                                        saved[lane(route)] + news.capOf(build, rollout)));
+                                        tokens[tokenIndex(route)] + status.capOf(build, rollout)));
     }
 
     boolean hasToken(int build, int route) {
-        return tokensOf(build)[lane(route)] >= 1;
+        return tokensOf(build)[tokenIndex(route)] >= 1;
     }
 
     void consume(int build, int route) {
-        tokensOf(build)[lane(route)]--;
+        tokensOf(build)[tokenIndex(route)]--;
     }
 
-    private int lane(int route) {
+    private int tokenIndex(int route) {
         return rollout.isExposurePerRoute() ? route : 0;
     }
 }
--- a/core/src/main/java/mulleinlever/MovingAverages.java
+++ b/core/src/main/java/mulleinlever/MovingAverages.java
@@ -7,32 +7,32 @@
     double shortTermMean;
     double sampleCount;
 
-    MovingAverages(double mean, double samples) {
+    MovingAverages(double mean, double sampleCount) {
         this.longTermMean = mean;
-        this.sampleCount = samples;
+        this.sampleCount = sampleCount;
     }
 
-    LearnedState.DetectorBaseline toBaseline(int build, String route, boolean ofLate) {
+    LearnedState.DetectorBaseline toBaseline(int build, String route, boolean forLateness) {
         return new LearnedState.DetectorBaseline(
-                build, route, ofLate, longTermMean, longTermDeviation, sampleCount);
+                build, route, forLateness, longTermMean, longTermDeviation, sampleCount);
     }
 
     /** Takes a remembered pair, as learned from so many samples at most, or as many as before. */
-    void restore(LearnedState.DetectorBaseline was, double most) {
-        longTermMean = was.mean();
-        longTermDeviation = was.deviation();
+    void restore(LearnedState.DetectorBaseline baseline, double maxSampleCount) {
+        longTermMean = baseline.mean();
+        longTermDeviation = baseline.deviation();
         shortTermMean = longTermMean;
-        sampleCount = Math.max(sampleCount, Math.min(most, was.samples()));
+        sampleCount = Math.max(sampleCount, Math.min(maxSampleCount, baseline.samples()));
     }
 
     /** Takes a sample into the long-term pair, with a greater weight while there are few. */
     void updateLongTerm(double sample, double weight) {
-        double w = Math.max(weight, 1.0 / ++sampleCount);
-        longTermMean = w * sample + (1 - w) * longTermMean;
+        double effectiveWeight = Math.max(weight, 1.0 / ++sampleCount);
+        longTermMean = effectiveWeight * sample + (1 - effectiveWeight) * longTermMean;
         longTermDeviation =
                 Math.sqrt(
-                        w * (sample - longTermMean) * (sample - longTermMean)
-                                + (1 - w) * longTermDeviation * longTermDeviation);
+                        effectiveWeight * (sample - longTermMean) * (sample - longTermMean)
+                                + (1 - effectiveWeight) * longTermDeviation * longTermDeviation);
     }
 
     void updateShortTerm(double sample, double weight) {
@@ -40,7 +40,7 @@
     }
 
     /** How many deviations the short-term average lies above the long-term one. */
-    double deviationsAboveMean(double floor) {
-        return (shortTermMean - longTermMean) / Math.max(longTermDeviation, floor);
+    double deviationsAboveMean(double minDeviation) {
+        return (shortTermMean - longTermMean) / Math.max(longTermDeviation, minDeviation);
     }
 }
--- a/core/src/main/java/mulleinlever/OpenTryLatenessDetector.java
+++ b/core/src/main/java/mulleinlever/OpenTryLatenessDetector.java
@@ -13,36 +13,38 @@
      * So many of its open tries late already, being such a part of them: chance alone seldom makes
      * that.
      */
-    private static final int TRIES = 4;
+    private static final int MIN_LATE_TRY_COUNT = 4;
 
-    private static final double PART = 2.0 / 3;
+    private static final double LATE_SHARE_THRESHOLD = 2.0 / 3;
 
-    private final long lastsNs;
-    private long untilNs = Long.MIN_VALUE;
+    private final long suspicionNs;
+    private long suspectedUntilNs = Long.MIN_VALUE;
 
-    OpenTryLatenessDetector(long lastsNs) {
-        this.lastsNs = lastsNs;
+    OpenTryLatenessDetector(long suspicionNs) {
+        this.suspicionNs = suspicionNs;
     }
 
     boolean isSuspected(long nowNs) {
-        return nowNs < untilNs;
+        return nowNs < suspectedUntilNs;
     }
 
     /** Where the earlier build's open tries are as late, its pods would do no better. */
-    void evaluate(long nowNs, Collection<ReqState> held, RolloutStatus news) {
-        int[] out = new int[2];
-        int[] late = new int[2];
-        for (ReqState rq : held) {
-            for (int no = rq.openTryNumbers.nextSetBit(0);
-                    no >= 0;
-                    no = rq.openTryNumbers.nextSetBit(no + 1)) {
-                int of = news.isBuildOnTrial(rq.tries.get(no).build()) ? 1 : 0;
-                out[of]++;
-                late[of] += rq.isOpenTryLate(nowNs, no) ? 1 : 0;
+    void evaluate(long nowNs, Collection<ReqState> reqs, RolloutStatus status) {
+        int[] openCounts = new int[2];
+        int[] lateCounts = new int[2];
+        for (ReqState req : reqs) {
+            for (int tryNo = req.openTryNumbers.nextSetBit(0);
+                    tryNo >= 0;
+                    tryNo = req.openTryNumbers.nextSetBit(tryNo + 1)) {
+                int side = status.isBuildOnTrial(req.tries.get(tryNo).build()) ? 1 : 0;
+                openCounts[side]++;
+                lateCounts[side] += req.isOpenTryLate(nowNs, tryNo) ? 1 : 0;
             }
         }
-        if (late[1] >= TRIES && late[1] > PART * out[1] && late[0] <= PART * out[0]) {
-            untilNs = nowNs + lastsNs;
+        if (lateCounts[1] >= MIN_LATE_TRY_COUNT
+                && lateCounts[1] > LATE_SHARE_THRESHOLD * openCounts[1]
+                && lateCounts[0] <= LATE_SHARE_THRESHOLD * openCounts[0]) {
+            suspectedUntilNs = nowNs + suspicionNs;
         }
     }
 }
--- a/core/src/main/java/mulleinlever/Pod.java
+++ b/core/src/main/java/mulleinlever/Pod.java
@@ -28,26 +28,26 @@
     final DecayingMean relativeLatency;
     final DecayingMean lateShare;
     double slowStartTokens;
-    private long coldAtNs;
+    private long lastRefillNs;
     private long goneSinceNs;
 
-    Pod(PodEntry is, long halfLifeNs) {
-        this.id = is.id();
-        this.listEntry = is;
-        this.startedNs = is.startedNs();
+    Pod(PodEntry entry, long halfLifeNs) {
+        this.id = entry.id();
+        this.listEntry = entry;
+        this.startedNs = entry.startedNs();
         this.relativeLatency = new DecayingMean(halfLifeNs);
         this.lateShare = new DecayingMean(2 * halfLifeNs);
     }
 
     /** It owes answers and has given none for long. */
-    boolean isUnresponsive(long nowNs, double afterNs) {
-        return openTryCount > 0 && nowNs - unansweredSinceNs > afterNs;
+    boolean isUnresponsive(long nowNs, double thresholdNs) {
+        return openTryCount > 0 && nowNs - unansweredSinceNs > thresholdNs;
     }
 
-    void onTryEnded(long nowNs, boolean unanswered, boolean unreached) {
+    void onTryEnded(long nowNs, boolean unanswered, boolean connectFailed) {
         if (!unanswered) {
             unansweredSinceNs = nowNs;
-            lastAnswerNs = unreached ? Long.MIN_VALUE / 2 : nowNs;
+            lastAnswerNs = connectFailed ? Long.MIN_VALUE / 2 : nowNs;
         }
     }
 
@@ -60,18 +60,19 @@
     }
 
     /** Takes what was remembered of it; false where that was of another machine under its id. */
-    boolean restore(long nowNs, LearnedState.PodStats was, double most, int mostStrikes) {
-        if (isSameInstance(was.is())) {
-            relativeLatency.restore(nowNs, was.slowness(), most);
-            lateShare.restore(nowNs, was.late(), most);
-            failureScore = Math.min(mostStrikes, was.strikes());
+    boolean restore(
+            long nowNs, LearnedState.PodStats learned, double maxWeight, int maxFailureScore) {
+        if (isSameInstance(learned.is())) {
+            relativeLatency.restore(nowNs, learned.slowness(), maxWeight);
+            lateShare.restore(nowNs, learned.late(), maxWeight);
+            failureScore = Math.min(maxFailureScore, learned.strikes());
         }
-        return isSameInstance(was.is());
+        return isSameInstance(learned.is());
     }
 
     /** Whether this still is the pod of which that was learned. */
-    boolean isSameInstance(PodEntry then) {
-        return listEntry.startedNs() == then.startedNs() && listEntry.build() == then.build();
+    boolean isSameInstance(PodEntry entry) {
+        return listEntry.startedNs() == entry.startedNs() && listEntry.build() == entry.build();
     }
 
     boolean isReady() {
@@ -91,12 +92,15 @@
      * What is saved up for a cold pod at a rate a second, up to a limit, from a random start below
      * 1.
      */
-    double refillSlowStartTokens(long nowNs, double rate, double most, SplittableRandom random) {
+    double refillSlowStartTokens(
+            long nowNs, double tokensPerSecond, double maxTokens, SplittableRandom random) {
         slowStartTokens =
-                coldAtNs == 0
+                lastRefillNs == 0
                         ? random.nextDouble()
-                        : Math.min(most, slowStartTokens + rate * (nowNs - coldAtNs) / 1e9);
-        coldAtNs = nowNs;
+                        : Math.min(
+                                maxTokens,
+                                slowStartTokens + tokensPerSecond * (nowNs - lastRefillNs) / 1e9);
+        lastRefillNs = nowNs;
         return slowStartTokens;
     }
 
@@ -106,19 +110,19 @@
      */
     void update(
             PodEntry entry,
-            ZoneReachability in,
-            PodStartEstimator starts,
-            long listTrueNs,
+            ZoneReachability reachability,
+            PodStartEstimator startEstimator,
+            long listConfirmedNs,
             long nowNs) {
         if (zoneReachability == null || !isSameInstance(entry)) {
-            startedNs = starts.estimateStartNs(entry.startedNs(), listTrueNs, nowNs);
+            startedNs = startEstimator.estimateStartNs(entry.startedNs(), listConfirmedNs, nowNs);
         }
         if (!isSameInstance(entry)) {
             lastServedSentNs = Long.MIN_VALUE / 2;
             failureScore = 0;
-            coldAtNs = 0;
+            lastRefillNs = 0;
         }
         listEntry = entry;
-        zoneReachability = in;
+        zoneReachability = reachability;
     }
 }
--- a/core/src/main/java/mulleinlever/PodListLease.java
+++ b/core/src/main/java/mulleinlever/PodListLease.java
@@ -8,46 +8,47 @@
  */
 final class PodListLease {
     /** From a change to when it counts as told at the latest. */
-    private static final long TOLD_AFTER_NS = 6_000_000_000L;
+    private static final long MAX_NOTICE_DELAY_NS = 6_000_000_000L;
 
     /** The same, for all changes, from a move to another discovery. */
-    private static final long TOLD_AFTER_MOVE_NS = 4_000_000_000L;
+    private static final long MAX_NOTICE_DELAY_AFTER_SWITCH_NS = 4_000_000_000L;
 
     /** The process may be held up for so long between reading its clock and writing. */
-    private static final long HELD_UP_NS = 150_000_000L;
+    private static final long MAX_SUSPENSION_NS = 150_000_000L;
 
-    private static final long NEVER = Long.MIN_VALUE / 2;
+    private static final long NEVER_NS = Long.MIN_VALUE / 2;
 
-    private final long toldAfterNs;
+    private final long noticeDelayNs;
     private final long slackNs;
     private boolean confirmed;
-    private boolean moved;
-    private long confirmedNs = NEVER;
+    private boolean discoverySwitched;
+    private long lastConfirmedNs = NEVER_NS;
 
     /** When the last call did not reach discovery; never where the last one did. */
-    private long unreachedNs = NEVER;
+    private long lastUnreachedNs = NEVER_NS;
 
     /**
-     * @param askWithinNs how long a sidecar may go without asking before changes count as told
-     * @param graceNs from when a change counts as told until sending has to stop
-     * @param connectNs how long an attempt may wait for its connection before it is written
+     * @param listRefreshWithinNs how long a sidecar may go without asking before changes count as
+     *     told
+     * @param drainGraceNs from when a change counts as told until sending has to stop
+     * @param connectTimeoutNs how long an attempt may wait for its connection before it is written
      */
-    PodListLease(long askWithinNs, long graceNs, long connectNs) {
-        this.toldAfterNs = Math.min(TOLD_AFTER_NS, askWithinNs);
-        this.slackNs = graceNs - connectNs - HELD_UP_NS;
+    PodListLease(long listRefreshWithinNs, long drainGraceNs, long connectTimeoutNs) {
+        this.noticeDelayNs = Math.min(MAX_NOTICE_DELAY_NS, listRefreshWithinNs);
+        this.slackNs = drainGraceNs - connectTimeoutNs - MAX_SUSPENSION_NS;
     }
 
     /** The list is true, and changes will be told as they are made. */
     void onConfirmed(long nowNs) {
         confirmed = true;
-        moved = false;
-        unreachedNs = NEVER;
-        confirmedNs = nowNs;
+        discoverySwitched = false;
+        lastUnreachedNs = NEVER_NS;
+        lastConfirmedNs = nowNs;
     }
 
     /** When the list was last known to be true; long ago before that. */
     long lastConfirmedNs() {
-        return confirmedNs;
+        return lastConfirmedNs;
     }
 
     /**
@@ -57,14 +58,14 @@
     void onUnconfirmedSince(long sinceNs) {
         if (confirmed) {
             confirmed = false;
-            confirmedNs = sinceNs;
+            lastConfirmedNs = sinceNs;
         }
     }
 
     /** Nobody has said when the list was true: it may be of any age. */
     void onNeverConfirmed() {
         confirmed = false;
-        confirmedNs = NEVER;
+        lastConfirmedNs = NEVER_NS;
     }
 
     /**
@@ -74,41 +75,45 @@
      */
     void onDiscoveryCall(boolean reached, long nowNs) {
         if (reached || confirmed) {
-            unreachedNs = NEVER;
+            lastUnreachedNs = NEVER_NS;
             return;
         }
-        if (confirmedNs == NEVER) {
-            confirmedNs = nowNs;
-        } else if (unreachedNs != NEVER) {
-            confirmedNs += nowNs - unreachedNs;
+        if (lastConfirmedNs == NEVER_NS) {
+            lastConfirmedNs = nowNs;
+        } else if (lastUnreachedNs != NEVER_NS) {
+            lastConfirmedNs += nowNs - lastUnreachedNs;
         }
-        unreachedNs = nowNs;
+        lastUnreachedNs = nowNs;
     }
 
     /** What was not told before is to be asked for elsewhere, and counts as told sooner. */
     void onDiscoveryChanged() {
         confirmed = false;
-        moved = true;
+        discoverySwitched = true;
     }
 
     /** Whether attempts that begin now may go to that server. */
-    boolean allows(long nowNs, Pod server) {
-        long lengthNs = (moved ? Math.min(toldAfterNs, TOLD_AFTER_MOVE_NS) : toldAfterNs) + slackNs;
-        return confirmed || nowNs < Math.max(confirmedNs, server.lastServedSentNs) + lengthNs;
+    boolean allows(long nowNs, Pod pod) {
+        long leaseNs =
+                (discoverySwitched
+                                ? Math.min(noticeDelayNs, MAX_NOTICE_DELAY_AFTER_SWITCH_NS)
+                                : noticeDelayNs)
+                        + slackNs;
+        return confirmed || nowNs < Math.max(lastConfirmedNs, pod.lastServedSentNs) + leaseNs;
     }
 
     /** A server that was sent a request at that time has served it. */
-    void onServed(Pod server, long sentNs) {
+    void onServed(Pod pod, long sentNs) {
         // A connection that broke since may mean that another process listens there, which nobody
         // has told
         // of.
-        if (confirmed || server.lastConnectionFailureNs <= confirmedNs) {
-            server.lastServedSentNs = Math.max(server.lastServedSentNs, sentNs);
+        if (confirmed || pod.lastConnectionFailureNs <= lastConfirmedNs) {
+            pod.lastServedSentNs = Math.max(pod.lastServedSentNs, sentNs);
         }
     }
 
     /** A connection to the server could not be made or broke. */
-    void onConnectionFailed(Pod server, long nowNs) {
-        server.lastConnectionFailureNs = nowNs;
+    void onConnectionFailed(Pod pod, long nowNs) {
+        pod.lastConnectionFailureNs = nowNs;
     }
 }
--- a/core/src/main/java/mulleinlever/PodSet.java
+++ b/core/src/main/java/mulleinlever/PodSet.java
@@ -6,34 +6,36 @@
 
 /** Pods that a req may be sent among, those of them that are near, and the weight of all. */
 record PodSet(List<Pod> all, List<Pod> local, double totalWeight) {
-    private PodSet(List<Pod> all, List<Pod> near) {
-        this(all, near, all.stream().mapToDouble(p -> p.listEntry.weight()).sum());
+    private PodSet(List<Pod> all, List<Pod> local) {
+        this(all, local, all.stream().mapToDouble(p -> p.listEntry.weight()).sum());
     }
 
     PodSet(List<Pod> all, String zone) {
         this(all, all.stream().filter(p -> p.listEntry.zone().equals(zone)).toList());
     }
 
-    PodSet filter(Predicate<Pod> some) {
-        return new PodSet(all.stream().filter(some).toList(), local.stream().filter(some).toList());
+    PodSet filter(Predicate<Pod> predicate) {
+        return new PodSet(
+                all.stream().filter(predicate).toList(), local.stream().filter(predicate).toList());
     }
 
     /**
      * One at random of those that fit, by a few looks; all are gone through only if none of these
      * does.
      */
-    static Pod pickRandom(List<Pod> from, SplittableRandom random, int looks, Predicate<Pod> fits) {
-        int at = 0;
-        for (int i = 0; i < looks + from.size() && !from.isEmpty(); i++) {
-            at = i < looks ? random.nextInt(from.size()) : (at + 1) % from.size();
-            if (fits.test(from.get(at))) {
-                return from.get(at);
+    static Pod pickRandom(
+            List<Pod> pods, SplittableRandom random, int drawCount, Predicate<Pod> predicate) {
+        int index = 0;
+        for (int i = 0; i < drawCount + pods.size() && !pods.isEmpty(); i++) {
+            index = i < drawCount ? random.nextInt(pods.size()) : (index + 1) % pods.size();
+            if (predicate.test(pods.get(index))) {
+                return pods.get(index);
             }
         }
         return null;
     }
 
-    long count(Predicate<Pod> some) {
-        return all.stream().filter(some).count();
+    long count(Predicate<Pod> predicate) {
+        return all.stream().filter(predicate).count();
     }
 }
--- a/core/src/main/java/mulleinlever/PodStartEstimator.java
+++ b/core/src/main/java/mulleinlever/PodStartEstimator.java
@@ -7,29 +7,32 @@
  */
 final class PodStartEstimator {
     /** A server that is new on the list can't have run for longer without being listed. */
-    private static final long UNLISTED_NS = 30_000_000_000L;
+    private static final long MAX_UNLISTED_NS = 30_000_000_000L;
 
     /** Clocks of one network differ by less. */
-    private static final long SKEW_NS = 500_000_000L;
+    private static final long MAX_CLOCK_SKEW_NS = 500_000_000L;
 
-    private boolean trusted = true;
+    private boolean wallClockTrusted = true;
 
     /** The wall clock was stepped: what it tells from now on is not to be relied on. */
     void onWallClockStepped() {
-        trusted = false;
+        wallClockTrusted = false;
     }
 
     /**
      * When a server started that is new on the list or has started anew.
      *
-     * @param toldNs as the list tells it; 0 for long ago
-     * @param listTrueNs when the list was last true without it
+     * @param listedStartNs as the list tells it; 0 for long ago
+     * @param listConfirmedNs when the list was last true without it
      */
-    long estimateStartNs(long toldNs, long listTrueNs, long nowNs) {
-        if (toldNs == 0) {
+    long estimateStartNs(long listedStartNs, long listConfirmedNs, long nowNs) {
+        if (listedStartNs == 0) {
             return 0;
         }
-        trusted &= toldNs < nowNs + SKEW_NS && toldNs > listTrueNs - UNLISTED_NS;
-        return Math.min(nowNs, trusted ? toldNs : Math.max(listTrueNs, toldNs));
+        wallClockTrusted &=
+                listedStartNs < nowNs + MAX_CLOCK_SKEW_NS
+                        && listedStartNs > listConfirmedNs - MAX_UNLISTED_NS;
+        return Math.min(
+                nowNs, wallClockTrusted ? listedStartNs : Math.max(listConfirmedNs, listedStartNs));
     }
 }
--- a/core/src/main/java/mulleinlever/ReqState.java
+++ b/core/src/main/java/mulleinlever/ReqState.java
@@ -15,17 +15,17 @@
     /** Numbers of the tries that are out, and of those proven not to have run. */
     final BitSet openTryNumbers = new BitSet();
 
-    private final BitSet neverRan = new BitSet();
+    private final BitSet triesNotRun = new BitSet();
     int errorCount;
     boolean answered;
     boolean streaming;
     boolean failoverPending;
 
-    ReqState(Req is, RouteState row, long nowNs) {
-        this.req = is;
-        this.route = row;
+    ReqState(Req req, RouteState route, long nowNs) {
+        this.req = req;
+        this.route = route;
         this.arrivedNs = nowNs;
-        this.deadlineNs = nowNs + is.expiresInNs();
+        this.deadlineNs = nowNs + req.expiresInNs();
     }
 
     void addTry(Try t) {
@@ -33,16 +33,16 @@
         tries.add(t);
     }
 
-    void endTry(int no, TryOutcome ending) {
-        openTryNumbers.clear(no);
-        neverRan.set(no, ending.provesNotRun());
-        errorCount += ending == TryOutcome.ERROR ? 1 : 0;
+    void endTry(int tryNo, TryOutcome outcome) {
+        openTryNumbers.clear(tryNo);
+        triesNotRun.set(tryNo, outcome.provesNotRun());
+        errorCount += outcome == TryOutcome.ERROR ? 1 : 0;
     }
 
     /** The first try that may have run, or may yet, if any. */
     Try firstTryThatMayHaveRun() {
-        int no = neverRan.nextClearBit(0);
-        return no < tries.size() ? tries.get(no) : null;
+        int tryNo = triesNotRun.nextClearBit(0);
+        return tryNo < tries.size() ? tries.get(tryNo) : null;
     }
 
     boolean isWaitingForSingleTry() {
@@ -50,8 +50,8 @@
     }
 
     /** Whether a try that is still out has taken longer than tries of the route should. */
-    boolean isOpenTryLate(long nowNs, int no) {
-        return nowNs - tries.get(no).sentNs() > route.lateThresholdNs;
+    boolean isOpenTryLate(long nowNs, int tryNo) {
+        return nowNs - tries.get(tryNo).sentNs() > route.lateThresholdNs;
     }
 
     Try lastTry() {
--- a/core/src/main/java/mulleinlever/RouteState.java
+++ b/core/src/main/java/mulleinlever/RouteState.java
@@ -8,15 +8,16 @@
     final DecayingMean baselineTryTimes;
     double lateThresholdNs;
 
-    private double firstNs;
+    private double initialMeanNs;
 
-    RouteState(Settings.RouteSettings is, int at, long halfLifeNs, double firstMean) {
-        this.settings = is;
-        this.index = at;
-        this.lateThresholdNs = is.latencyObjectiveNs();
+    RouteState(
+            Settings.RouteSettings settings, int index, long halfLifeNs, double initialMeanRatio) {
+        this.settings = settings;
+        this.index = index;
+        this.lateThresholdNs = settings.latencyObjectiveNs();
         this.tryTimes = new DecayingMean(halfLifeNs);
         this.baselineTryTimes = new DecayingMean(2 * halfLifeNs);
-        this.firstNs = firstMean * is.latencyObjectiveNs();
+        this.initialMeanNs = initialMeanRatio * settings.latencyObjectiveNs();
     }
 
     LearnedState.RouteStats toLearned(long nowNs, int build) {
@@ -28,17 +29,22 @@
      * What was remembered stands in for the settings' guess, so that the first answer counts as
      * much. The mark of lateness, so many times the usual mean, is taken where that is above 0.
      */
-    void restore(long nowNs, LearnedState.RouteStats was, double most, double lateMeans) {
-        firstNs =
-                (firstNs + was.times().mean() * was.times().weight()) / (1 + was.times().weight());
-        if (lateMeans > 0 && was.usual().weight() > 0) {
-            baselineTryTimes.restore(nowNs, was.usual(), most);
-            lateThresholdNs = lateMeans * was.usual().mean();
+    void restore(
+            long nowNs,
+            LearnedState.RouteStats learned,
+            double maxWeight,
+            double lateMeanMultiple) {
+        initialMeanNs =
+                (initialMeanNs + learned.times().mean() * learned.times().weight())
+                        / (1 + learned.times().weight());
+        if (lateMeanMultiple > 0 && learned.usual().weight() > 0) {
+            baselineTryTimes.restore(nowNs, learned.usual(), maxWeight);
+            lateThresholdNs = lateMeanMultiple * learned.usual().mean();
         }
     }
 
     double meanTryTimeNs(long nowNs) {
-        return tryTimes.meanAt(nowNs, firstNs, 1);
+        return tryTimes.meanAt(nowNs, initialMeanNs, 1);
     }
 
     double valuePerNs(long nowNs) {
--- a/core/src/main/java/mulleinlever/ZoneReachability.java
+++ b/core/src/main/java/mulleinlever/ZoneReachability.java
@@ -9,37 +9,38 @@
  * did.
  */
 final class ZoneReachability {
-    private final Set<String> missed = new HashSet<>();
-    private long darkSinceNs = Long.MIN_VALUE;
-    private long askNs;
-    private long pauseNs;
+    private final Set<String> unansweredPodIds = new HashSet<>();
+    private long unreachableSinceNs = Long.MIN_VALUE;
+    private long nextProbeNs;
+    private long backoffNs;
 
     /** Anything that came from there shows that it can be reached. */
     void onAnswer() {
-        missed.clear();
-        darkSinceNs = Long.MIN_VALUE;
-        pauseNs = 0;
+        unansweredPodIds.clear();
+        unreachableSinceNs = Long.MIN_VALUE;
+        backoffNs = 0;
     }
 
-    void onNoAnswer(long nowNs, Pod pod, int enough) {
-        missed.add(pod.id);
-        if (darkSinceNs == Long.MIN_VALUE && missed.size() >= enough) {
-            darkSinceNs = nowNs;
+    void onNoAnswer(long nowNs, Pod pod, int podThreshold) {
+        unansweredPodIds.add(pod.id);
+        if (unreachableSinceNs == Long.MIN_VALUE && unansweredPodIds.size() >= podThreshold) {
+            unreachableSinceNs = nowNs;
         }
     }
 
     /** Whether pods there that have run since then are taken to be out of reach. */
     boolean isUnreachable(long startedNs) {
-        return startedNs < darkSinceNs;
+        return startedNs < unreachableSinceNs;
     }
 
     boolean canProbe(long nowNs) {
-        return nowNs >= askNs;
+        return nowNs >= nextProbeNs;
     }
 
     /** The next try there is due after a pause that grows and differs by sidecar. */
-    void scheduleNextProbe(long nowNs, long firstNs, long mostNs, SplittableRandom random) {
-        pauseNs = pauseNs == 0 ? firstNs : Math.min(mostNs, 2 * pauseNs);
-        askNs = nowNs + pauseNs / 2 + random.nextLong(pauseNs);
+    void scheduleNextProbe(
+            long nowNs, long initialBackoffNs, long maxBackoffNs, SplittableRandom random) {
+        backoffNs = backoffNs == 0 ? initialBackoffNs : Math.min(maxBackoffNs, 2 * backoffNs);
+        nextProbeNs = nowNs + backoffNs / 2 + random.nextLong(backoffNs);
     }
 }
--- a/core/src/test/java/mulleinlever/ConcurrencyLimiterTest.java
+++ b/core/src/test/java/mulleinlever/ConcurrencyLimiterTest.java
@@ -9,40 +9,44 @@
 import org.junit.jupiter.api.Test;
 
 class ConcurrencyLimiterTest {
-    private static final double OBJECTIVE = 600 * MILLISECOND_NS;
+    private static final double OBJECTIVE_NS = 600 * MILLISECOND_NS;
 
     /**
      * The share of reqs without room at one sidecar of a hundred before 60 pods, tries taking so
      * many times 240 ms, by chance.
      */
-    private static double turnedAway(double perSecond, double times, long seed) {
-        ConcurrencyLimiter room = new ConcurrencyLimiter(100);
+    private static double simulateRejectedShare(
+            double reqsPerSecond, double latencyFactor, long seed) {
+        ConcurrencyLimiter limiter = new ConcurrencyLimiter(100);
         SplittableRandom random = new SplittableRandom(seed);
-        double mean = times * 240 * MILLISECOND_NS;
-        int[] reqs = new int[2];
-        for (long now = SECOND_NS; now < 120 * SECOND_NS; now += MILLISECOND_NS) {
-            for (int i = room.openTryCount(); i > 0; i--) {
-                if (random.nextDouble() < MILLISECOND_NS / mean) {
-                    room.onTryEnded();
-                    room.recordLatency(
-                            now,
-                            times * (100 + 280 * random.nextDouble()) * MILLISECOND_NS / OBJECTIVE,
+        double meanNs = latencyFactor * 240 * MILLISECOND_NS;
+        int[] reqCounts = new int[2];
+        for (long nowNs = SECOND_NS; nowNs < 120 * SECOND_NS; nowNs += MILLISECOND_NS) {
+            for (int i = limiter.openTryCount(); i > 0; i--) {
+                if (random.nextDouble() < MILLISECOND_NS / meanNs) {
+                    limiter.onTryEnded();
+                    limiter.recordLatency(
+                            nowNs,
+                            latencyFactor
+                                    * (100 + 280 * random.nextDouble())
+                                    * MILLISECOND_NS
+                                    / OBJECTIVE_NS,
                             false);
                 }
             }
-            if (now % (50 * MILLISECOND_NS) == 0) {
-                room.initializeLimit(now, 60);
-                room.adjustLimit(now, 60);
+            if (nowNs % (50 * MILLISECOND_NS) == 0) {
+                limiter.initializeLimit(nowNs, 60);
+                limiter.adjustLimit(nowNs, 60);
             }
-            if (random.nextDouble() < perSecond / 1000) {
-                room.recordDemand(now, mean, OBJECTIVE);
-                reqs[room.hasCapacity() ? 0 : 1] += now > 20 * SECOND_NS ? 1 : 0;
-                if (room.hasCapacity()) {
-                    room.onTryStarted();
+            if (random.nextDouble() < reqsPerSecond / 1000) {
+                limiter.recordDemand(nowNs, meanNs, OBJECTIVE_NS);
+                reqCounts[limiter.hasCapacity() ? 0 : 1] += nowNs > 20 * SECOND_NS ? 1 : 0;
+                if (limiter.hasCapacity()) {
+                    limiter.onTryStarted();
                 }
             }
         }
-        return (double) reqs[1] / (reqs[0] + reqs[1]);
+        return (double) reqCounts[1] / (reqCounts[0] + reqCounts[1]);
     }
 
     /**
@@ -52,12 +56,12 @@
     @Test
     void admitsThinAndHeavyTrafficAndLimitsUnderOverload() {
         for (long seed = 0; seed < 5; seed++) {
-            assertEquals(0, turnedAway(3, 1, seed), 0.04, "thin");
-            assertEquals(0, turnedAway(20, 1, seed), 0.08, "busy");
-            assertTrue(turnedAway(20, 2, seed) < 0.7, "busy and strained");
+            assertEquals(0, simulateRejectedShare(3, 1, seed), 0.04, "thin");
+            assertEquals(0, simulateRejectedShare(20, 1, seed), 0.08, "busy");
+            assertTrue(simulateRejectedShare(20, 2, seed) < 0.7, "busy and strained");
         }
         assertTrue(
-                turnedAway(20, 5, 1) > 0.5,
+                simulateRejectedShare(20, 5, 1) > 0.5,
                 "what is open keeps to what reqs want at ease, not to what they take");
     }
 
@@ -69,52 +73,61 @@
     void matchesReferenceModel() {
         SplittableRandom random = new SplittableRandom(1);
         for (int run = 0; run < 5; run++) {
-            int pods = 1 + random.nextInt(150);
-            int sidecars = 1 + random.nextInt(100);
-            ConcurrencyLimiter room = new ConcurrencyLimiter(sidecars);
-            DecayingSum wanted = new DecayingSum(5 * SECOND_NS);
-            DecayingMean took = new DecayingMean(SECOND_NS);
-            double most = 0;
-            long now = 7 * SECOND_NS;
+            int podCount = 1 + random.nextInt(150);
+            int sidecarCount = 1 + random.nextInt(100);
+            ConcurrencyLimiter limiter = new ConcurrencyLimiter(sidecarCount);
+            DecayingSum demandSeconds = new DecayingSum(5 * SECOND_NS);
+            DecayingMean latencyRatios = new DecayingMean(SECOND_NS);
+            double expectedLimit = 0;
+            long nowNs = 7 * SECOND_NS;
             for (int step = 0; step < 2_000; step++) {
-                now += random.nextInt(60) * MILLISECOND_NS;
-                int what = random.nextInt(4);
-                double part = random.nextDouble() * 2 * (step / 500 % 2);
-                if (what == 0) {
-                    room.recordDemand(now, part * OBJECTIVE, OBJECTIVE);
-                    wanted.add(now, Math.min(part, 0.33) * OBJECTIVE / 1e9);
-                } else if (what == 1 && room.hasCapacity()) {
-                    room.onTryStarted();
-                } else if (what == 2 && room.openTryCount() > 0) {
-                    room.onTryEnded();
-                    room.recordLatency(now, part, step % 5 == 0);
-                    took.add(now, step % 5 == 0 ? Math.min(1, part) : part);
-                } else if (what == 3) {
-                    double least =
-                            Math.max(Math.max(2, 3.0 * pods / sidecars), wanted.ratePerSecond(now));
-                    double ease = took.meanAt(now, 0, 1);
-                    double over =
-                            ease
+                nowNs += random.nextInt(60) * MILLISECOND_NS;
+                int event = random.nextInt(4);
+                double latencyRatio = random.nextDouble() * 2 * (step / 500 % 2);
+                if (event == 0) {
+                    limiter.recordDemand(nowNs, latencyRatio * OBJECTIVE_NS, OBJECTIVE_NS);
+                    demandSeconds.add(nowNs, Math.min(latencyRatio, 0.33) * OBJECTIVE_NS / 1e9);
+                } else if (event == 1 && limiter.hasCapacity()) {
+                    limiter.onTryStarted();
+                } else if (event == 2 && limiter.openTryCount() > 0) {
+                    limiter.onTryEnded();
+                    limiter.recordLatency(nowNs, latencyRatio, step % 5 == 0);
+                    latencyRatios.add(
+                            nowNs, step % 5 == 0 ? Math.min(1, latencyRatio) : latencyRatio);
+                } else if (event == 3) {
+                    double minLimit =
+                            Math.max(
+                                    Math.max(2, 3.0 * podCount / sidecarCount),
+                                    demandSeconds.ratePerSecond(nowNs));
+                    double meanRatio = latencyRatios.meanAt(nowNs, 0, 1);
+                    double overload =
+                            meanRatio
                                             / 0.33
                                             / (1
                                                     + 1
                                                             / Math.sqrt(
                                                                     Math.max(
                                                                             1,
-                                                                            took.snapshot(now)
+                                                                            latencyRatios
+                                                                                    .snapshot(nowNs)
                                                                                     .weight())))
                                     - 1;
-                    most = Math.max(most == 0 ? 4 * least : most, least);
-                    most =
-                            over > 0
-                                    ? Math.max(least, most * (1 - 0.1 * Math.min(1, over)))
-                                    : room.openTryCount() > 0.8 * most ? 1.02 * most : most;
-                    room.initializeLimit(now, pods);
-                    room.adjustLimit(now, pods);
-                    assertEquals(most, room.limit(), 1e-6 * most);
-                    assertEquals(ease, room.latencyRatio(now), 1e-9);
+                    expectedLimit =
+                            Math.max(expectedLimit == 0 ? 4 * minLimit : expectedLimit, minLimit);
+                    expectedLimit =
+                            overload > 0
+                                    ? Math.max(
+                                            minLimit,
+                                            expectedLimit * (1 - 0.1 * Math.min(1, overload)))
+                                    : limiter.openTryCount() > 0.8 * expectedLimit
+                                            ? 1.02 * expectedLimit
+                                            : expectedLimit;
+                    limiter.initializeLimit(nowNs, podCount);
+                    limiter.adjustLimit(nowNs, podCount);
+                    assertEquals(expectedLimit, limiter.limit(), 1e-6 * expectedLimit);
+                    assertEquals(meanRatio, limiter.latencyRatio(nowNs), 1e-9);
                 }
-                assertEquals(room.openTryCount() < most, room.hasCapacity());
+                assertEquals(limiter.openTryCount() < expectedLimit, limiter.hasCapacity());
             }
         }
     }
--- a/core/src/test/java/mulleinlever/OpenTryLatenessDetectorTest.java
+++ b/core/src/test/java/mulleinlever/OpenTryLatenessDetectorTest.java
@@ -15,49 +15,52 @@
     @Test
     void matchesReferenceModel() {
         SplittableRandom random = new SplittableRandom(1);
-        var row =
+        var route =
                 new RouteState(
                         PolicyHarness.route(
                                 "get", Settings.RetrySafety.IDEMPOTENT, Settings.DedupScope.ALL),
                         0,
                         SECOND_NS,
                         0.25);
-        OpenTryLatenessDetector doubt = new OpenTryLatenessDetector(SECOND_NS);
-        long until = 0;
-        for (long now = 10 * SECOND_NS;
-                now < 260 * SECOND_NS;
-                now += random.nextLong(400 * MILLISECOND_NS)) {
-            List<ReqState> held = new ArrayList<>();
-            int[][] out = new int[3][2];
-            double lean = random.nextDouble();
+        OpenTryLatenessDetector detector = new OpenTryLatenessDetector(SECOND_NS);
+        long suspectedUntilNs = 0;
+        for (long nowNs = 10 * SECOND_NS;
+                nowNs < 260 * SECOND_NS;
+                nowNs += random.nextLong(400 * MILLISECOND_NS)) {
+            List<ReqState> reqs = new ArrayList<>();
+            int[][] tryCounts = new int[3][2];
+            double lateShare = random.nextDouble();
             for (int i = random.nextInt(24); i > 0; i--) {
                 int build = random.nextInt(1, 3);
-                int late = random.nextDouble() < lean ? 1 : 0;
-                ReqState rq =
+                int late = random.nextDouble() < lateShare ? 1 : 0;
+                ReqState req =
                         new ReqState(
                                 new Req("r" + i, "get", false, false, 2 * SECOND_NS, 0, -1, null),
-                                row,
-                                now);
-                rq.addTry(new Try(null, now - SECOND_NS, true, build, true));
-                rq.endTry(0, TryOutcome.ERROR);
-                rq.addTry(
+                                route,
+                                nowNs);
+                req.addTry(new Try(null, nowNs - SECOND_NS, true, build, true));
+                req.endTry(0, TryOutcome.ERROR);
+                req.addTry(
                         new Try(
                                 null,
-                                now
+                                nowNs
                                         - random.nextLong(1, 500 * MILLISECOND_NS)
                                         - late * 500 * MILLISECOND_NS,
                                 true,
                                 build,
                                 true));
-                held.add(rq);
-                out[build][late]++;
+                reqs.add(req);
+                tryCounts[build][late]++;
             }
-            doubt.evaluate(now, held, new RolloutStatus(2, 1, RolloutStatus.Phase.ON_TRIAL, 1, 0));
-            boolean doubtful =
-                    out[2][1] >= 4 && out[2][1] > 2 * out[2][0] && out[1][1] <= 2 * out[1][0];
-            until = doubtful ? now + SECOND_NS : until;
-            assertEquals(now < until, doubt.isSuspected(now), "at " + now);
+            detector.evaluate(
+                    nowNs, reqs, new RolloutStatus(2, 1, RolloutStatus.Phase.ON_TRIAL, 1, 0));
+            boolean suspected =
+                    tryCounts[2][1] >= 4
+                            && tryCounts[2][1] > 2 * tryCounts[2][0]
+                            && tryCounts[1][1] <= 2 * tryCounts[1][0];
+            suspectedUntilNs = suspected ? nowNs + SECOND_NS : suspectedUntilNs;
+            assertEquals(nowNs < suspectedUntilNs, detector.isSuspected(nowNs), "at " + nowNs);
         }
-        assertTrue(until > 0, "never drawn");
+        assertTrue(suspectedUntilNs > 0, "never drawn");
     }
 }
