--- a/core/src/main/java/mulleinlever/BuildByKey.java
+++ b/core/src/main/java/mulleinlever/BuildByKey.java
@@ -6,16 +6,20 @@
 import java.util.stream.IntStream;
 import java.util.stream.Stream;
 
-/** The newest build that has answered each key; 0 for keys that none has. */
+/**
+ * The newest build that has answered a req of each one-way key. Used by {@link Policy} on the event
+ * loop.
+ */
 final class BuildByKey {
     private final Map<Long, Integer> newestBuilds = new HashMap<>();
 
     /**
-     * In the order in which they first came, so that what is given out in pieces stays in place
-     * meanwhile.
+     * The keys in the order of their first answers, so that positions do not change while a
+     * snapshot is collected in parts.
      */
     private long[] keysInOrder = new long[16];
 
+    /** Returns the newest build that has answered the key, or 0 if none has. */
     int newestBuildOf(long key) {
         return newestBuilds.getOrDefault(key, 0);
     }
--- a/core/src/main/java/mulleinlever/BuildOutcomes.java
+++ b/core/src/main/java/mulleinlever/BuildOutcomes.java
@@ -2,12 +2,18 @@
 
 import java.util.Arrays;
 
-/** What one side, the build on trial or the earlier one, has shown: by route, and last over all. */
+/**
+ * The decayed outcomes of tries at the build on trial, or at the earlier build. They are kept in
+ * slots: one for each route, by its index, and a last one for all routes together. Used by {@link
+ * Policy} on the event loop.
+ */
 final class BuildOutcomes {
-    /** Tries of which a share went wrong. */
+    /** Decayed counts of tries and of those affected by a symptom. */
     private static final class DecayingShare {
         final DecayingSum total;
         final DecayingSum affected;
+
+        /** The number of tries since the start, without decay. */
         double totalUndecayed;
 
         DecayingShare(long halfLifeNs) {
@@ -30,6 +36,10 @@
     private final DecayingShare[] late;
     private final DecayingShare[] complaints;
 
+    /**
+     * @param halfLifeNs the half-life of failed and late tries
+     * @param complaintHalfLifeNs the half-life of complaints and of the tries they are related to
+     */
     BuildOutcomes(int routeCount, long halfLifeNs, long complaintHalfLifeNs) {
         failed = createSlots(routeCount, halfLifeNs);
         late = createSlots(routeCount, halfLifeNs);
@@ -54,6 +64,12 @@
         add(complaints, nowNs, route, 1, 0);
     }
 
+    /**
+     * Records a tally of the platform.
+     *
+     * @param timedCount the number of tries whose times may be used; if it is 0, {@code lateCount}
+     *     is ignored
+     */
     void recordTally(
             long nowNs,
             int route,
@@ -77,18 +93,27 @@
         return late[slot].shareAt(nowNs);
     }
 
+    /** Returns the decayed number of complaints. */
     double complaintCount(long nowNs, int slot) {
         return complaints[slot].affected.valueAt(nowNs);
     }
 
+    /** Returns the number of this sidecar's own tries, decayed as complaints are. */
     double tryCount(long nowNs, int slot) {
         return complaints[slot].total.valueAt(nowNs);
     }
 
+    /**
+     * Returns the decayed number of outcomes from tries and tallies.
+     *
+     * @param forLateness whether to count those known to be late or not, otherwise those known to
+     *     have failed or not
+     */
     double outcomeCount(long nowNs, int slot, boolean forLateness) {
         return (forLateness ? late : failed)[slot].total.valueAt(nowNs);
     }
 
+    /** Returns the same as {@link #outcomeCount}, since the start and without decay. */
     double totalOutcomeCount(int slot, boolean forLateness) {
         return (forLateness ? late : failed)[slot].totalUndecayed;
     }
--- a/core/src/main/java/mulleinlever/DecayingSum.java
+++ b/core/src/main/java/mulleinlever/DecayingSum.java
@@ -1,6 +1,6 @@
 package mulleinlever;
 
-/** A sum that halves every half-life; it is brought up to date when it is read. */
+/** A sum that halves every half-life. It is not thread-safe; reading it also updates it. */
 public final class DecayingSum {
     private static final double LN_2 = Math.log(2);
 
@@ -13,11 +13,13 @@
         this.halfLifeNs = halfLifeNs;
     }
 
+    /** Adds an amount, which decays from {@code nowNs} on. */
     public void add(long nowNs, double amount) {
         firstAddedNs = firstAddedNs == Long.MIN_VALUE ? nowNs : firstAddedNs;
         sum = valueAt(nowNs) + amount;
     }
 
+    /** Returns the sum; a time before the latest one is treated as the latest one. */
     public double valueAt(long nowNs) {
         if (nowNs > updatedNs) {
             sum *= Math.exp(-LN_2 * (nowNs - updatedNs) / halfLifeNs);
@@ -27,8 +29,9 @@
     }
 
     /**
-     * The rate behind the sum; one that began lately has had no time to fill up, which is made
-     * good.
+     * Returns the rate per second at which the sum is added to; 0 if nothing was ever added. A sum
+     * that was first added to a short while ago is corrected for the time in which it has not yet
+     * filled up.
      */
     double ratePerSecond(long nowNs) {
         if (firstAddedNs == Long.MIN_VALUE) {
--- a/core/src/main/java/mulleinlever/ExposureBudget.java
+++ b/core/src/main/java/mulleinlever/ExposureBudget.java
@@ -4,8 +4,11 @@
 import java.util.Map;
 
 /**
- * What may still be sent to builds on trial. Each req earns its share and only the free number is
- * saved, so that no window whatever its length exceeds the rule.
+ * Limits the number of tries that may be sent to builds on trial. Each build on trial has a token
+ * bucket, or one for each route. Each req that arrives adds the build's exposure cap to it, and
+ * each try at the build takes one token. No more tokens are kept than the exposure burst, which the
+ * exposure rule does not count, so that the rule holds in windows of any length. Used by {@link
+ * Policy} on the event loop.
  */
 final class ExposureBudget {
     private final Settings.RolloutSettings rollout;
@@ -17,10 +20,15 @@
         this.routeCount = routeCount;
     }
 
+    /**
+     * Returns the tokens of a build by route, or in element 0 if all routes share a bucket. The
+     * first call for a build creates its buckets, which are empty.
+     */
     double[] tokensOf(int build) {
         return tokensByBuild.computeIfAbsent(build, b -> new double[routeCount]);
     }
 
+    /** Adds the tokens for a req of a route that has arrived. */
     void accrue(RolloutStatus status, int route) {
         tokensByBuild.forEach(
                 (build, tokens) ->
@@ -34,6 +42,7 @@
         return tokensOf(build)[tokenIndex(route)] >= 1;
     }
 
+    /** Takes a token for a try that is sent. */
     void consume(int build, int route) {
         tokensOf(build)[tokenIndex(route)]--;
     }
--- a/core/src/main/java/mulleinlever/MovingAverages.java
+++ b/core/src/main/java/mulleinlever/MovingAverages.java
@@ -1,10 +1,15 @@
 package mulleinlever;
 
-/** The design's moving averages: the long-term one with its deviation, and the short-term one. */
+/**
+ * The moving averages of a degradation detector: a long-term mean with its deviation, and a
+ * short-term mean. Used by {@link Policy} on the event loop.
+ */
 class MovingAverages {
     double longTermMean;
     double longTermDeviation;
     double shortTermMean;
+
+    /** The number of samples in the long-term mean. */
     double sampleCount;
 
     MovingAverages(double mean, double sampleCount) {
@@ -17,7 +22,10 @@
                 build, route, forLateness, longTermMean, longTermDeviation, sampleCount);
     }
 
-    /** Takes a remembered pair, as learned from so many samples at most, or as many as before. */
+    /**
+     * Restores the long-term mean and deviation; the short-term mean becomes the long-term one. The
+     * sample count is raised to the remembered one, or to {@code maxSampleCount} if that is less.
+     */
     void restore(LearnedState.DetectorBaseline baseline, double maxSampleCount) {
         longTermMean = baseline.mean();
         longTermDeviation = baseline.deviation();
@@ -25,7 +33,10 @@
         sampleCount = Math.max(sampleCount, Math.min(maxSampleCount, baseline.samples()));
     }
 
-    /** Takes a sample into the long-term pair, with a greater weight while there are few. */
+    /**
+     * Adds a sample to the long-term mean and deviation, with a greater weight while there are few
+     * samples.
+     */
     void updateLongTerm(double sample, double weight) {
         double effectiveWeight = Math.max(weight, 1.0 / ++sampleCount);
         longTermMean = effectiveWeight * sample + (1 - effectiveWeight) * longTermMean;
@@ -39,7 +50,11 @@
         shortTermMean = weight * sample + (1 - weight) * shortTermMean;
     }
 
-    /** How many deviations the short-term average lies above the long-term one. */
+    /**
+     * Returns by how many long-term deviations the short-term mean exceeds the long-term one.
+     *
+     * @param minDeviation used in place of a smaller deviation
+     */
     double deviationsAboveMean(double minDeviation) {
         return (shortTermMean - longTermMean) / Math.max(longTermDeviation, minDeviation);
     }
--- a/core/src/main/java/mulleinlever/OpenTryLatenessDetector.java
+++ b/core/src/main/java/mulleinlever/OpenTryLatenessDetector.java
@@ -3,23 +3,28 @@
 import java.util.Collection;
 
 /**
- * Decides, for routing alone, whether a build on trial is in doubt before any verdict. A try that
- * is not answered tells a verdict nothing until it ends, which is seconds later where a build slows
- * under load, and the platform's count shows it later still; what is open tells at once. It may be
- * mistaken, so it costs the trial no more than some seconds of its share.
+ * Decides, for routing only, whether the build on trial is suspected of being slow before there is
+ * enough evidence for a vote. An unanswered try is no evidence for a vote until it ends, which is
+ * seconds later if a build becomes slow under load, and the platform's tally shows it later still;
+ * open tries show it at once. The suspicion may be mistaken, so it reduces the trial's share of the
+ * traffic for a few seconds only. Used by {@link Policy} on the event loop.
  */
 final class OpenTryLatenessDetector {
     /**
-     * So many of its open tries late already, being such a part of them: chance alone seldom makes
-     * that.
+     * The minimum number of late open tries that raises a suspicion. Together with {@link
+     * #LATE_SHARE_THRESHOLD} it rarely occurs by chance alone.
      */
     private static final int MIN_LATE_TRY_COUNT = 4;
 
+    /** The share of late tries among the open ones above which a build counts as slow. */
     private static final double LATE_SHARE_THRESHOLD = 2.0 / 3;
 
     private final long suspicionNs;
     private long suspectedUntilNs = Long.MIN_VALUE;
 
+    /**
+     * @param suspicionNs how long a suspicion lasts
+     */
     OpenTryLatenessDetector(long suspicionNs) {
         this.suspicionNs = suspicionNs;
     }
@@ -28,7 +33,11 @@
         return nowNs < suspectedUntilNs;
     }
 
-    /** Where the earlier build's open tries are as late, its pods would do no better. */
+    /**
+     * Raises or prolongs the suspicion according to the open tries of all reqs in hand. There is no
+     * suspicion if the earlier build's open tries are as late, because its pods would not answer
+     * sooner. Called at each tick.
+     */
     void evaluate(long nowNs, Collection<ReqState> reqs, RolloutStatus status) {
         int[] openCounts = new int[2];
         int[] lateCounts = new int[2];
--- a/core/src/main/java/mulleinlever/Pod.java
+++ b/core/src/main/java/mulleinlever/Pod.java
@@ -2,33 +2,54 @@
 
 import java.util.SplittableRandom;
 
-/** A pod as this sidecar knows it: its line of the list, and what its tries have shown. */
+/**
+ * A pod as this sidecar knows it: its entry in the pod list and what tries have shown of it.
+ * Changed by {@link Policy} on the event loop. Times are nanoseconds.
+ */
 final class Pod {
     final String id;
     PodEntry listEntry;
 
-    /** When it started, by our own clock; 0 for long ago. */
+    /** When the pod started, by the clock of this sidecar; 0 for long ago. */
     long startedNs;
 
-    /** One for all pods that lie there. */
+    /** Shared by all pods of the zone; null until the first {@link #update}. */
     ZoneReachability zoneReachability;
 
     int openTryCount;
-    long unansweredSinceNs;
-    long lastAnswerNs = Long.MIN_VALUE / 2;
 
     /**
-     * When the last request that it has served was sent, and when a connection to it last failed.
+     * Since when the pod has given no answer to any of its open tries; meaningless while none is
+     * open.
      */
+    long unansweredSinceNs;
+
+    /** When the pod last answered; long ago if a connection attempt has failed since. */
+    long lastAnswerNs = Long.MIN_VALUE / 2;
+
+    /** When the latest of the tries that the pod has served was sent. */
     long lastServedSentNs = Long.MIN_VALUE / 2;
 
+    /** When a connection to the pod last failed. */
     long lastConnectionFailureNs = Long.MIN_VALUE / 2;
+
+    /** Raised by failed tries and lowered by successful ones; a high score ejects the pod. */
     int failureScore;
+
     long ejectedUntilNs;
+
+    /** The mean of try time divided by the mean try time of the route. */
     final DecayingMean relativeLatency;
+
     final DecayingMean lateShare;
+
+    /** The number of tries that may be sent at this moment during slow start. */
     double slowStartTokens;
+
+    /** When {@link #slowStartTokens} was last refilled; 0 before the first time. */
     private long lastRefillNs;
+
+    /** When the time that {@link #idleSinceGoneNs} returns began; 0 before its first call. */
     private long goneSinceNs;
 
     Pod(PodEntry entry, long halfLifeNs) {
@@ -39,11 +60,17 @@
         this.lateShare = new DecayingMean(2 * halfLifeNs);
     }
 
-    /** It owes answers and has given none for long. */
+    /** Returns whether the pod has open tries and has answered none for {@code thresholdNs}. */
     boolean isUnresponsive(long nowNs, double thresholdNs) {
         return openTryCount > 0 && nowNs - unansweredSinceNs > thresholdNs;
     }
 
+    /**
+     * Called when a try at the pod has ended.
+     *
+     * @param unanswered whether it timed out or was cancelled
+     * @param connectFailed whether no connection could be opened
+     */
     void onTryEnded(long nowNs, boolean unanswered, boolean connectFailed) {
         if (!unanswered) {
             unansweredSinceNs = nowNs;
@@ -59,7 +86,14 @@
                 failureScore);
     }
 
-    /** Takes what was remembered of it; false where that was of another machine under its id. */
+    /**
+     * Restores what an earlier process learned of the pod, unless that is about another instance
+     * under the same id.
+     *
+     * @param maxWeight the maximum weight that a remembered mean gets
+     * @param maxFailureScore the maximum failure score after the restore
+     * @return false if it is about another instance
+     */
     boolean restore(
             long nowNs, LearnedState.PodStats learned, double maxWeight, int maxFailureScore) {
         if (isSameInstance(learned.is())) {
@@ -70,7 +104,7 @@
         return isSameInstance(learned.is());
     }
 
-    /** Whether this still is the pod of which that was learned. */
+    /** Returns whether the entry describes the same start and build of the pod. */
     boolean isSameInstance(PodEntry entry) {
         return listEntry.startedNs() == entry.startedNs() && listEntry.build() == entry.build();
     }
@@ -80,7 +114,8 @@
     }
 
     /**
-     * How long it has been gone with nothing left open, as far as it was asked; 0 while it is not.
+     * Returns for how long the pod has been gone without open tries, counted from the first call
+     * that found it so; 0 while it is not.
      */
     long idleSinceGoneNs(long nowNs) {
         boolean gone = listEntry.state() == PodEntry.State.GONE && openTryCount == 0;
@@ -89,7 +124,7 @@
     }
 
     /**
-     * What is saved up for a cold pod at a rate a second, up to a limit, from a random start below
+     * Refills the slow-start tokens and returns their number. They start at a random number below
      * 1.
      */
     double refillSlowStartTokens(
@@ -105,8 +140,11 @@
     }
 
     /**
-     * Takes a new line of the list. An id may come back as another machine: its past counts for
-     * nothing.
+     * Takes over a new list entry. The same id may come back as another machine: the failure score,
+     * the slow-start tokens and the latest served try then start afresh.
+     *
+     * @param reachability of the zone in the entry
+     * @param listConfirmedNs when the list was last known to be correct without this entry
      */
     void update(
             PodEntry entry,
--- a/core/src/main/java/mulleinlever/PodSet.java
+++ b/core/src/main/java/mulleinlever/PodSet.java
@@ -4,12 +4,20 @@
 import java.util.SplittableRandom;
 import java.util.function.Predicate;
 
-/** Pods that a req may be sent among, those of them that are near, and the weight of all. */
+/**
+ * A set of pods that reqs may be sent to.
+ *
+ * @param local the pods in the sidecar's own zone
+ * @param totalWeight the sum of the weights of all pods
+ */
 record PodSet(List<Pod> all, List<Pod> local, double totalWeight) {
     private PodSet(List<Pod> all, List<Pod> local) {
         this(all, local, all.stream().mapToDouble(p -> p.listEntry.weight()).sum());
     }
 
+    /**
+     * @param zone the sidecar's own zone
+     */
     PodSet(List<Pod> all, String zone) {
         this(all, all.stream().filter(p -> p.listEntry.zone().equals(zone)).toList());
     }
@@ -20,8 +28,8 @@
     }
 
     /**
-     * One at random of those that fit, by a few looks; all are gone through only if none of these
-     * does.
+     * Returns a random pod that the predicate accepts, or null if there is none. If it accepts none
+     * of the first {@code drawCount} random draws, all pods are tested in order.
      */
     static Pod pickRandom(
             List<Pod> pods, SplittableRandom random, int drawCount, Predicate<Pod> predicate) {
--- a/core/src/main/java/mulleinlever/PodStartEstimator.java
+++ b/core/src/main/java/mulleinlever/PodStartEstimator.java
@@ -1,29 +1,30 @@
 package mulleinlever;
 
 /**
- * Decides when a server started. The list tells it by a wall clock that may have been stepped, on
- * our machine or on the server's, and slow start must neither be left out for that nor last for as
- * long as the step. Times are nanoseconds.
+ * Estimates when a pod started. The list gives the start by a wall clock that may have been
+ * stepped, on this machine or on the pod's; slow start must not be skipped for that, nor last for
+ * as long as the step. Used by {@link Policy} on the event loop. Times are nanoseconds.
  */
 final class PodStartEstimator {
-    /** A server that is new on the list can't have run for longer without being listed. */
+    /** The maximum time that a pod runs before it is listed. */
     private static final long MAX_UNLISTED_NS = 30_000_000_000L;
 
-    /** Clocks of one network differ by less. */
+    /** The maximum difference between the clocks of two machines of one network. */
     private static final long MAX_CLOCK_SKEW_NS = 500_000_000L;
 
     private boolean wallClockTrusted = true;
 
-    /** The wall clock was stepped: what it tells from now on is not to be relied on. */
+    /** Called when the wall clock was stepped; it is not trusted from then on. */
     void onWallClockStepped() {
         wallClockTrusted = false;
     }
 
     /**
-     * When a server started that is new on the list or has started anew.
+     * Returns the estimated start of a pod that is new on the list or has restarted; 0 for long
+     * ago. The wall clock is no longer trusted after a listed start that can't be right.
      *
-     * @param listedStartNs as the list tells it; 0 for long ago
-     * @param listConfirmedNs when the list was last true without it
+     * @param listedStartNs the start according to the list; 0 for long ago
+     * @param listConfirmedNs when the list was last known to be correct without the pod
      */
     long estimateStartNs(long listedStartNs, long listConfirmedNs, long nowNs) {
         if (listedStartNs == 0) {
--- a/core/src/main/java/mulleinlever/ReqState.java
+++ b/core/src/main/java/mulleinlever/ReqState.java
@@ -4,7 +4,10 @@
 import java.util.BitSet;
 import java.util.List;
 
-/** A req in hand, kept until it has its answer and all its tries have ended. */
+/**
+ * A req in hand. It is kept until it has been answered and all its tries have ended. Changed by
+ * {@link Policy} on the event loop.
+ */
 final class ReqState {
     final Req req;
     final RouteState route;
@@ -12,13 +15,22 @@
     final long deadlineNs;
     final List<Try> tries = new ArrayList<>(2);
 
-    /** Numbers of the tries that are out, and of those proven not to have run. */
+    /** The numbers of the open tries; a try's number is its index in {@link #tries}. */
     final BitSet openTryNumbers = new BitSet();
 
+    /** The numbers of the tries that are proven not to have run. */
     private final BitSet triesNotRun = new BitSet();
+
+    /** The number of tries that ended in an error. */
     int errorCount;
+
+    /** Whether the req has been answered or its client has disconnected. */
     boolean answered;
+
+    /** Whether the answer is being streamed to the client. */
     boolean streaming;
+
+    /** Whether a try was cancelled to send the req to another pod, which has not happened yet. */
     boolean failoverPending;
 
     ReqState(Req req, RouteState route, long nowNs) {
@@ -39,7 +51,7 @@
         errorCount += outcome == TryOutcome.ERROR ? 1 : 0;
     }
 
-    /** The first try that may have run, or may yet, if any. */
+    /** Returns the first try that may have run or may still run, or null if there is none. */
     Try firstTryThatMayHaveRun() {
         int tryNo = triesNotRun.nextClearBit(0);
         return tryNo < tries.size() ? tries.get(tryNo) : null;
@@ -49,21 +61,26 @@
         return openTryNumbers.cardinality() == 1 && !answered && !streaming && !failoverPending;
     }
 
-    /** Whether a try that is still out has taken longer than tries of the route should. */
+    /** Returns whether an open try has taken longer than the late threshold of its route. */
     boolean isOpenTryLate(long nowNs, int tryNo) {
         return nowNs - tries.get(tryNo).sentNs() > route.lateThresholdNs;
     }
 
+    /** Returns the latest try; there must be one. */
     Try lastTry() {
         return tries.get(tries.size() - 1);
     }
 
+    /** Returns whether another try can do no harm, apart from the dedup scope and window. */
     boolean isRetryAllowed() {
         return route.settings.retrySafety() != Settings.RetrySafety.NOT_RETRYABLE
                 || firstTryThatMayHaveRun() == null;
     }
 
-    /** Whether a client told to try again can do no harm. */
+    /**
+     * Returns whether the req may be answered with a shed reply, after which the client may send it
+     * again to any sidecar and pod.
+     */
     boolean isSafeToShed() {
         return firstTryThatMayHaveRun() == null
                 || route.settings.retrySafety() == Settings.RetrySafety.IDEMPOTENT
@@ -71,7 +88,10 @@
                         && route.settings.dedupScope() == Settings.DedupScope.ALL;
     }
 
-    /** Once it may have run, a deduped req stays with the pods that drop its repeats. */
+    /**
+     * Returns whether the req may be sent to the pod. A deduplicated req that may have run is sent
+     * to pods within the dedup scope only, which drop repeats.
+     */
     boolean canSendTo(PodEntry pod) {
         return !isRetryScopeBound()
                 || route.settings
@@ -79,13 +99,19 @@
                         .isShared(firstTryThatMayHaveRun().pod().listEntry, pod);
     }
 
-    /** Whether a repeat has to reach the pods that drop it before they forget the first. */
+    /**
+     * Returns whether further tries are bound to the dedup scope and window, because a try of a
+     * deduplicated req may have run.
+     */
     boolean isRetryScopeBound() {
         return route.settings.retrySafety() == Settings.RetrySafety.DEDUPLICATED
                 && firstTryThatMayHaveRun() != null;
     }
 
-    /** When its client leaves, or the pods that drop its repeats begin to forget it. */
+    /**
+     * Returns the last time at which a try may be sent: the deadline of the req, or the end of the
+     * dedup window if the req is bound to it and it ends sooner.
+     */
     long lastSendNs() {
         return !isRetryScopeBound()
                 ? deadlineNs
--- a/core/src/main/java/mulleinlever/RouteState.java
+++ b/core/src/main/java/mulleinlever/RouteState.java
@@ -1,15 +1,27 @@
 package mulleinlever;
 
-/** One route: its settings, its place in the table and what its tries take. */
+/**
+ * A route: its settings, its index among the routes and the times of its tries. Changed by {@link
+ * Policy} on the event loop. Times are nanoseconds.
+ */
 final class RouteState {
     final Settings.RouteSettings settings;
     final int index;
     final DecayingMean tryTimes;
+
+    /** The times of tries outside trials, from which the late threshold is derived. */
     final DecayingMean baselineTryTimes;
+
+    /** The time above which a try counts as late. */
     double lateThresholdNs;
 
+    /** The mean try time that is assumed before any try has been seen. */
     private double initialMeanNs;
 
+    /**
+     * @param initialMeanRatio the mean try time that is assumed at first, divided by the latency
+     *     objective
+     */
     RouteState(
             Settings.RouteSettings settings, int index, long halfLifeNs, double initialMeanRatio) {
         this.settings = settings;
@@ -26,8 +38,12 @@
     }
 
     /**
-     * What was remembered stands in for the settings' guess, so that the first answer counts as
-     * much. The mark of lateness, so many times the usual mean, is taken where that is above 0.
+     * Restores what an earlier process learned of the route. The remembered mean is merged into the
+     * initial mean, which keeps its weight, so that the first answers count as much as without it.
+     *
+     * @param maxWeight the maximum weight that the remembered baseline gets
+     * @param lateMeanMultiple the late threshold as a multiple of the baseline's mean; 0 to leave
+     *     baseline and threshold as they are
      */
     void restore(
             long nowNs,
@@ -47,6 +63,7 @@
         return tryTimes.meanAt(nowNs, initialMeanNs, 1);
     }
 
+    /** Returns the value of a completed req per nanosecond of mean try time. */
     double valuePerNs(long nowNs) {
         return settings.value() / meanTryTimeNs(nowNs);
     }
--- a/core/src/main/java/mulleinlever/ZoneReachability.java
+++ b/core/src/main/java/mulleinlever/ZoneReachability.java
@@ -5,8 +5,9 @@
 import java.util.SplittableRandom;
 
 /**
- * A zone as this sidecar's tries know it: which of its pods gave nothing since any of them last
- * did.
+ * Tracks whether a zone is unreachable, by the tries of this sidecar: which of the zone's pods have
+ * left a try unanswered since any of its pods last answered. Used by {@link Policy} on the event
+ * loop.
  */
 final class ZoneReachability {
     private final Set<String> unansweredPodIds = new HashSet<>();
@@ -14,13 +15,18 @@
     private long nextProbeNs;
     private long backoffNs;
 
-    /** Anything that came from there shows that it can be reached. */
+    /** Called on any answer from a pod of the zone, which shows that the zone can be reached. */
     void onAnswer() {
         unansweredPodIds.clear();
         unreachableSinceNs = Long.MIN_VALUE;
         backoffNs = 0;
     }
 
+    /**
+     * Called when a pod has left a try unanswered or could not be connected to.
+     *
+     * @param podThreshold the number of such pods from which the zone counts as unreachable
+     */
     void onNoAnswer(long nowNs, Pod pod, int podThreshold) {
         unansweredPodIds.add(pod.id);
         if (unreachableSinceNs == Long.MIN_VALUE && unansweredPodIds.size() >= podThreshold) {
@@ -28,16 +34,23 @@
         }
     }
 
-    /** Whether pods there that have run since then are taken to be out of reach. */
+    /**
+     * Returns whether a pod of the zone that started at {@code startedNs} is taken to be
+     * unreachable. Pods that started after the zone became unreachable are not.
+     */
     boolean isUnreachable(long startedNs) {
         return startedNs < unreachableSinceNs;
     }
 
+    /** Returns whether the next try into the unreachable zone is due. */
     boolean canProbe(long nowNs) {
         return nowNs >= nextProbeNs;
     }
 
-    /** The next try there is due after a pause that grows and differs by sidecar. */
+    /**
+     * Schedules the next try into the unreachable zone after an exponential backoff with jitter, so
+     * that sidecars do not probe at the same time.
+     */
     void scheduleNextProbe(
             long nowNs, long initialBackoffNs, long maxBackoffNs, SplittableRandom random) {
         backoffNs = backoffNs == 0 ? initialBackoffNs : Math.min(maxBackoffNs, 2 * backoffNs);
--- a/core/src/test/java/mulleinlever/ConcurrencyLimiterTest.java
+++ b/core/src/test/java/mulleinlever/ConcurrencyLimiterTest.java
@@ -8,12 +8,15 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
+/** Tests {@link ConcurrencyLimiter} under simulated traffic and against a reference model. */
 class ConcurrencyLimiterTest {
     private static final double OBJECTIVE_NS = 600 * MILLISECOND_NS;
 
     /**
-     * The share of reqs without room at one sidecar of a hundred before 60 pods, tries taking so
-     * many times 240 ms, by chance.
+     * Returns the share of reqs that find no capacity at one of 100 sidecars in front of 60 pods.
+     * Arrivals and try times are random.
+     *
+     * @param latencyFactor the mean try time as a multiple of 240 ms
      */
     private static double simulateRejectedShare(
             double reqsPerSecond, double latencyFactor, long seed) {
@@ -50,24 +53,24 @@
     }
 
     /**
-     * The first two hang on how few answers may tell of strain, the third on the own need: an even
-     * share is two tries.
+     * Guards against a limit that falls on a few slow answers (thin and busy traffic), and against
+     * one that ignores the demand at the sidecar (busy and overloaded): an even share is two tries.
      */
     @Test
     void admitsThinAndHeavyTrafficAndLimitsUnderOverload() {
         for (long seed = 0; seed < 5; seed++) {
             assertEquals(0, simulateRejectedShare(3, 1, seed), 0.04, "thin");
             assertEquals(0, simulateRejectedShare(20, 1, seed), 0.08, "busy");
-            assertTrue(simulateRejectedShare(20, 2, seed) < 0.7, "busy and strained");
+            assertTrue(simulateRejectedShare(20, 2, seed) < 0.7, "busy and overloaded");
         }
         assertTrue(
                 simulateRejectedShare(20, 5, 1) > 0.5,
-                "what is open keeps to what reqs want at ease, not to what they take");
+                "the limit follows the demand at target latency, not at the actual latency");
     }
 
     /**
-     * The rule said plainly, on drawn inputs, beside the class; the fading sums are those that
-     * AdaptiveConnectTimeoutTest says plainly.
+     * Compares the limiter with a direct implementation of its rule on random inputs. The decaying
+     * sums are shared with it; AdaptiveConnectTimeoutTest compares those with a model of their own.
      */
     @Test
     void matchesReferenceModel() {
--- a/core/src/test/java/mulleinlever/OpenTryLatenessDetectorTest.java
+++ b/core/src/test/java/mulleinlever/OpenTryLatenessDetectorTest.java
@@ -10,8 +10,9 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
+/** Tests {@link OpenTryLatenessDetector} against a reference model. */
 class OpenTryLatenessDetectorTest {
-    /** The rule said plainly, on drawn reqs and tries, beside the class. */
+    /** Compares the detector with a direct implementation of its rule on random reqs and tries. */
     @Test
     void matchesReferenceModel() {
         SplittableRandom random = new SplittableRandom(1);
@@ -61,6 +62,6 @@
             suspectedUntilNs = suspected ? nowNs + SECOND_NS : suspectedUntilNs;
             assertEquals(nowNs < suspectedUntilNs, detector.isSuspected(nowNs), "at " + nowNs);
         }
-        assertTrue(suspectedUntilNs > 0, "never drawn");
+        assertTrue(suspectedUntilNs > 0, "no suspicion was ever raised");
     }
 }
--- a/core/src/test/java/mulleinlever/PodListLeaseTest.java
+++ b/core/src/test/java/mulleinlever/PodListLeaseTest.java
@@ -7,13 +7,13 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** The lease of the list against a model that goes through all that happened to one server. */
+/** Compares {@link PodListLease} with a reference model of one pod under random events. */
 class PodListLeaseTest {
     private static final long MILLISECOND_NS = 1_000_000L;
     private static final long LEASE_MS = 6_000 + 1_000 - 250 - 150;
     private static final long LEASE_AFTER_SWITCH_MS = LEASE_MS - 2_000;
 
-    // Report abbe30: a list was gone by for as long as no other came, whatever its age.
+    // Report abbe30: an old list was used for as long as no newer one arrived, whatever its age.
     @Test
     void leaseMatchesReferenceModel() {
         for (int seed = 0; seed < 200; seed++) {
