--- a/lab/src/main/java/mulleinlever/lab/FleetLog.java
+++ b/lab/src/main/java/mulleinlever/lab/FleetLog.java
@@ -20,24 +20,24 @@
 import picocli.CommandLine.Parameters;
 
 /**
- * Reads the logs of a whole fleet, a file a sidecar, and adds them up by second: what each {@code
- * count} line tells, and how many lines of each other kind there were. For one id, its story over
- * all sidecars in order of time.
+ * Reads the logs of a fleet, one file per sidecar, and sums them by second: the values of the
+ * {@code count} lines, and the number of lines with each other label. Given the id of a req, lists
+ * the lines of all sidecars that contain it, in order of time.
  *
- * <p>A line begins with the seconds since its sidecar's start; where whoever collects the logs put
- * a time of its own before that, that one is used, since it is the same for all.
+ * <p>A line begins with the seconds since the start of its sidecar. If the log collector has put a
+ * time of its own before that, it is used instead, because it is the same for all sidecars.
  */
 @Command(
         name = "fleetlog",
         mixinStandardHelpOptions = true,
-        description = "The logs of a fleet added up by second, or the story of one req.")
+        description = "Sums the logs of a fleet by second, or lists all log lines of one req.")
 final class FleetLog implements Callable<Integer> {
-    private static final Pattern LINE =
+    private static final Pattern LINE_PATTERN =
             Pattern.compile("\\s*([0-9.]+)\\s+(?:([0-9.]+)\\s+)?([a-z]+): (.*)");
-    private static final Pattern PAIR = Pattern.compile("([a-z_]+)=(-?[0-9.]+)");
+    private static final Pattern VALUE_PATTERN = Pattern.compile("([a-z_]+)=(-?[0-9.]+)");
 
-    /** What stands at a moment, where the rest are counts since the line before. */
-    private static final List<String> STANDS =
+    /** Values at a moment; all others are counts since the preceding line. */
+    private static final List<String> GAUGES =
             List.of(
                     "clients",
                     "links",
@@ -53,101 +53,113 @@
                     "ease",
                     "list_age");
 
-    private final TreeMap<Long, Map<String, Double>> seconds = new TreeMap<>();
-    private final List<ReqLogLine> told = new ArrayList<>();
+    private final TreeMap<Long, Map<String, Double>> valuesBySecond = new TreeMap<>();
+    private final List<ReqLogLine> reqLines = new ArrayList<>();
 
+    /** A log line that contains the id. */
     private record ReqLogLine(double timeSeconds, String sidecar, String text) {}
 
     @Parameters(
             index = "0",
             paramLabel = "FOLDER",
-            description = "Where the logs lie, a file a sidecar, ending in .log.")
+            description =
+                    "The folder of the logs, one file per sidecar, with names ending in .log.")
     private Path folder;
 
-    @Parameters(index = "1", arity = "0..1", paramLabel = "ID", description = "The req to follow.")
+    @Parameters(
+            index = "1",
+            arity = "0..1",
+            paramLabel = "ID",
+            description = "The id of the req whose lines to list.")
     private String id;
 
     /**
      * Reads all files of a folder whose names end in .log.
      *
-     * @param id the req to follow, or null for none
-     * @throws IOException where a file can't be read
+     * @param id the req whose lines to collect, or null for none
+     * @throws IOException if a file can't be read
      */
     static FleetLog read(Path folder, String id) throws IOException {
-        FleetLog all = new FleetLog();
+        FleetLog log = new FleetLog();
         try (Stream<Path> files = Files.list(folder)) {
-            for (Path f : files.filter(p -> p.toString().endsWith(".log")).sorted().toList()) {
-                String name = f.getFileName().toString().replace(".log", "");
+            for (Path file : files.filter(p -> p.toString().endsWith(".log")).sorted().toList()) {
+                String name = file.getFileName().toString().replace(".log", "");
                 for (String line :
-                        new String(Files.readAllBytes(f), StandardCharsets.UTF_8).split("\n")) {
-                    all.take(name, line, id);
+                        new String(Files.readAllBytes(file), StandardCharsets.UTF_8).split("\n")) {
+                    log.addLine(name, line, id);
                 }
             }
         }
-        all.told.sort(Comparator.comparingDouble(ReqLogLine::timeSeconds));
-        return all;
+        log.reqLines.sort(Comparator.comparingDouble(ReqLogLine::timeSeconds));
+        return log;
     }
 
-    private void take(String sidecar, String line, String id) {
-        Matcher m = LINE.matcher(line);
-        if (!m.matches()) {
+    private void addLine(String sidecar, String line, String id) {
+        Matcher match = LINE_PATTERN.matcher(line);
+        if (!match.matches()) {
             return;
         }
-        double at = Double.parseDouble(m.group(1));
+        double timeSeconds = Double.parseDouble(match.group(1));
         if (id != null && line.contains(id)) {
-            told.add(new ReqLogLine(at, sidecar, m.group(3) + ": " + m.group(4)));
+            reqLines.add(
+                    new ReqLogLine(timeSeconds, sidecar, match.group(3) + ": " + match.group(4)));
         }
-        Map<String, Double> second = seconds.computeIfAbsent((long) at, s -> new LinkedHashMap<>());
-        if (!m.group(3).equals("count")) {
-            second.merge("said_" + m.group(3), 1.0, Double::sum);
+        Map<String, Double> values =
+                valuesBySecond.computeIfAbsent((long) timeSeconds, s -> new LinkedHashMap<>());
+        if (!match.group(3).equals("count")) {
+            values.merge("said_" + match.group(3), 1.0, Double::sum);
             return;
         }
-        second.merge("sidecars", 1.0, Double::sum);
-        for (Matcher p = PAIR.matcher(m.group(4)); p.find(); ) {
-            second.merge(p.group(1), Double.parseDouble(p.group(2)), Double::sum);
+        values.merge("sidecars", 1.0, Double::sum);
+        for (Matcher pair = VALUE_PATTERN.matcher(match.group(4)); pair.find(); ) {
+            values.merge(pair.group(1), Double.parseDouble(pair.group(2)), Double::sum);
         }
     }
 
-    /** Lines of the id that was asked for, in order of time: seconds, sidecar, what it said. */
+    /**
+     * Returns the lines that contain the id, in order of time: seconds, sidecar, label and text.
+     */
     List<String> reqTimeline() {
-        return told.stream()
+        return reqLines.stream()
                 .map(
-                        t ->
+                        line ->
                                 String.format(
                                         Locale.ROOT,
                                         "%9.3f %s %s",
-                                        t.timeSeconds,
-                                        t.sidecar,
-                                        t.text))
+                                        line.timeSeconds,
+                                        line.sidecar,
+                                        line.text))
                 .toList();
     }
 
     /**
-     * A row a second, a column for each figure told in any; what stands at a moment as the mean
-     * over the sidecars.
+     * Prints a row for each second and a column for each value that occurs. Values at a moment are
+     * means over the sidecars, all others sums.
      */
     void printTable(PrintStream out) {
         List<String> columns = new ArrayList<>();
-        seconds.values()
+        valuesBySecond
+                .values()
                 .forEach(
-                        s ->
-                                s.keySet().stream()
+                        values ->
+                                values.keySet().stream()
                                         .filter(k -> !columns.contains(k))
                                         .forEach(columns::add));
         out.println("second " + String.join(" ", columns));
-        seconds.forEach(
-                (at, s) -> {
-                    StringBuilder row = new StringBuilder(String.format("%6d", at));
-                    double n = Math.max(1, s.getOrDefault("sidecars", 0.0));
-                    for (String c : columns) {
-                        double x = s.getOrDefault(c, 0.0);
+        valuesBySecond.forEach(
+                (second, values) -> {
+                    StringBuilder row = new StringBuilder(String.format("%6d", second));
+                    double sidecarCount = Math.max(1, values.getOrDefault("sidecars", 0.0));
+                    for (String column : columns) {
+                        double value = values.getOrDefault(column, 0.0);
                         row.append(
                                 String.format(
                                         Locale.ROOT,
-                                        " %" + c.length() + "s",
-                                        STANDS.contains(c)
-                                                ? String.format(Locale.ROOT, "%.2f", x / n)
-                                                : String.valueOf(Math.round(x))));
+                                        " %" + column.length() + "s",
+                                        GAUGES.contains(column)
+                                                ? String.format(
+                                                        Locale.ROOT, "%.2f", value / sidecarCount)
+                                                : String.valueOf(Math.round(value))));
                     }
                     out.println(row);
                 });
@@ -155,11 +167,11 @@
 
     @Override
     public Integer call() throws IOException {
-        FleetLog all = read(folder, id);
+        FleetLog log = read(folder, id);
         if (id != null) {
-            all.reqTimeline().forEach(System.out::println);
+            log.reqTimeline().forEach(System.out::println);
         } else {
-            all.printTable(System.out);
+            log.printTable(System.out);
         }
         return 0;
     }
--- a/lab/src/main/java/mulleinlever/lab/Lab.java
+++ b/lab/src/main/java/mulleinlever/lab/Lab.java
@@ -6,11 +6,11 @@
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Spec;
 
-/** The laboratory's command line: what measures the program, and nothing that serves. */
+/** The command line of the lab, which measures the program and serves no traffic. */
 @Command(
         name = "lab",
         mixinStandardHelpOptions = true,
-        description = "Measurements, in emulated fleets and in process.",
+        description = "Benchmarks in emulated fleets, and analysis of a fleet's logs.",
         subcommands = {RestartBenchmark.class, FleetLog.class})
 public final class Lab implements Runnable {
     @Spec private CommandSpec spec;
@@ -21,6 +21,6 @@
 
     @Override
     public void run() {
-        throw new ParameterException(spec.commandLine(), "a measurement is missing");
+        throw new ParameterException(spec.commandLine(), "missing subcommand");
     }
 }
--- a/lab/src/main/java/mulleinlever/lab/RestartBenchmark.java
+++ b/lab/src/main/java/mulleinlever/lab/RestartBenchmark.java
@@ -32,54 +32,67 @@
 import picocli.CommandLine.Option;
 
 /**
- * What a restarted sidecar loses by what it remembers. A fleet with a tenth of its pods slow and a
- * tenth hung runs in virtual time; one sidecar or all of them end and start again two seconds
- * later, with nothing, with what they kept, with what they kept while other pods have fallen sick,
- * with what is old, or with a file that is corrupt.
+ * Measures the share of reqs that a restarted sidecar loses, depending on the state that it
+ * restores. A fleet in which a tenth of the pods is slow and a tenth hung runs in virtual time. One
+ * sidecar or all of them end and start again two seconds later: without saved state, with it, with
+ * saved state after other pods have become faulty, with old saved state, or with a corrupt file.
  */
 @Command(
         name = "restarts",
         mixinStandardHelpOptions = true,
         description =
-                "What a restarted sidecar loses, cold and with what it kept, in an emulated fleet.")
+                "The reqs that a restarted sidecar loses with and without saved state, in an"
+                        + " emulated fleet.")
 final class RestartBenchmark implements Callable<Integer> {
-    private static final long SECOND = 1_000_000_000L;
-    private static final long START = 1_790_000_000L * SECOND;
-    private static final long RUN_IN = 20 * SECOND;
-    private static final long DOWN = 2 * SECOND;
-    private static final long[] WINDOWS = {SECOND, 5 * SECOND, 15 * SECOND};
+    private static final long SECOND_NS = 1_000_000_000L;
 
-    /** Sick pods recover and others fall sick, each after so long on average. */
-    private static final double SICK_FOR_S = 300;
+    /** The wall clock at the start of a run. */
+    private static final long START_NS = 1_790_000_000L * SECOND_NS;
 
-    private static final int COLD_PODS = 5;
+    /** How long a fleet runs before the restart. */
+    private static final long WARM_UP_NS = 20 * SECOND_NS;
 
-    @Option(names = "--seeds", description = "Runs of each row (${DEFAULT-VALUE}).")
+    private static final long DOWNTIME_NS = 2 * SECOND_NS;
+
+    /** The windows after the restart for which lost reqs are counted. */
+    private static final long[] WINDOWS_NS = {SECOND_NS, 5 * SECOND_NS, 15 * SECOND_NS};
+
+    /** The mean time until a faulty pod recovers and another one becomes faulty in its place. */
+    private static final double MEAN_FAULT_SECONDS = 300;
+
+    /** The number of pods that restart together with the sidecars. */
+    private static final int COLD_POD_COUNT = 5;
+
+    @Option(names = "--seeds", description = "The number of runs for each row (${DEFAULT-VALUE}).")
     private int seeds = 20;
 
-    @Option(names = "--seed", description = "The first run's seed (${DEFAULT-VALUE}).")
+    @Option(names = "--seed", description = "The seed of the first run (${DEFAULT-VALUE}).")
     private long firstSeed = 1;
 
-    @Option(names = "--pods", description = "Pods, of two cores each (${DEFAULT-VALUE}).")
+    @Option(
+            names = "--pods",
+            description = "The number of pods, with two cores each (${DEFAULT-VALUE}).")
     private int pods = 100;
 
-    @Option(names = "--sidecars", description = "Sidecars (${DEFAULT-VALUE}).")
+    @Option(names = "--sidecars", description = "The number of sidecars (${DEFAULT-VALUE}).")
     private int sidecars = 20;
 
     @Option(
             names = "--load",
             description =
-                    "Reqs, as a part of what the pods that are well can do (${DEFAULT-VALUE}).")
+                    "The rate of reqs, as a share of the healthy pods' capacity"
+                            + " (${DEFAULT-VALUE}).")
     private double load = 0.85;
 
     /**
-     * What a sidecar starts from.
+     * The conditions of a restart; a row of the result.
      *
-     * @param hasSavedState whether it has what it kept
-     * @param extraAgeNs how long before the usual that was captured
-     * @param changedShare the part of the sick pods that others have taken the place of since
-     * @param changesWhileDown whether they did so while the sidecar was down, so that nobody knows
-     *     it yet; else all others do
+     * @param hasSavedState whether the sidecar finds its saved state
+     * @param extraAgeNs how much older than usual the saved state is
+     * @param changedShare the share of faulty pods that have recovered since the state was saved,
+     *     each with another pod that has become faulty in its place
+     * @param changesWhileDown whether that happened while the sidecar was down, so that no sidecar
+     *     knows of it yet; otherwise all other sidecars do
      */
     private record RestartScenario(
             String name,
@@ -90,44 +103,52 @@
             double changedShare,
             boolean changesWhileDown) {
         static RestartScenario withSavedState(
-                String name, boolean corrupt, long olderS, double changed) {
-            return new RestartScenario(name, true, true, corrupt, olderS * SECOND, changed, false);
+                String name, boolean isCorrupt, long extraAgeSeconds, double changedShare) {
+            return new RestartScenario(
+                    name, true, true, isCorrupt, extraAgeSeconds * SECOND_NS, changedShare, false);
         }
     }
 
     /**
-     * Of the reqs that came within each window after the start, how many did not complete in time.
+     * The number of reqs that arrived within each window after the restart, and how many of these
+     * did not complete within the latency objective.
      */
     private static final class LossCounts {
-        private final long[] asked = new long[WINDOWS.length];
-        private final long[] lost = new long[WINDOWS.length];
-        private double mostToCold;
+        private final long[] reqCounts = new long[WINDOWS_NS.length];
+        private final long[] lostCounts = new long[WINDOWS_NS.length];
 
-        private double share(int window) {
-            return asked[window] == 0 ? 0 : (double) lost[window] / asked[window];
+        /**
+         * The maximum of the tries that a cold pod got within a second, divided by its capacity.
+         */
+        private double maxColdPodLoad;
+
+        private double lostShare(int window) {
+            return reqCounts[window] == 0 ? 0 : (double) lostCounts[window] / reqCounts[window];
         }
     }
 
-    private static double changedWithin(double seconds) {
-        return 1 - Math.exp(-seconds / SICK_FOR_S);
+    private static double changedShareAfter(double seconds) {
+        return 1 - Math.exp(-seconds / MEAN_FAULT_SECONDS);
     }
 
-    private static List<RestartScenario> starts() {
+    private static List<RestartScenario> scenarios() {
         List<RestartScenario> all = new ArrayList<>();
         all.add(new RestartScenario("not restarted", false, false, false, 0, 0, false));
         all.add(new RestartScenario("cold", true, false, false, 0, 0, false));
-        all.add(RestartScenario.withSavedState("remembered", false, 0, 0));
-        all.add(RestartScenario.withSavedState("wrong: other pods are sick", false, 0, 1));
-        all.add(RestartScenario.withSavedState("stale by 5 s", false, 5, changedWithin(5)));
-        all.add(RestartScenario.withSavedState("stale by 1 min", false, 60, changedWithin(60)));
-        all.add(RestartScenario.withSavedState("stale by 1 h", false, 3600, changedWithin(3600)));
+        all.add(RestartScenario.withSavedState("saved state", false, 0, 0));
+        all.add(RestartScenario.withSavedState("saved state, other pods faulty", false, 0, 1));
+        all.add(RestartScenario.withSavedState("stale by 5 s", false, 5, changedShareAfter(5)));
+        all.add(RestartScenario.withSavedState("stale by 1 min", false, 60, changedShareAfter(60)));
+        all.add(
+                RestartScenario.withSavedState(
+                        "stale by 1 h", false, 3600, changedShareAfter(3600)));
         all.add(RestartScenario.withSavedState("stale by 3 days", false, 3 * 86_400, 1));
         all.add(RestartScenario.withSavedState("corrupt", true, 0, 0));
         all.add(
                 new RestartScenario(
-                        "all sick pods change meanwhile", false, false, false, 0, 1, true));
+                        "all faulty pods change meanwhile", false, false, false, 0, 1, true));
         all.add(new RestartScenario("  the same, cold", true, false, false, 0, 1, true));
-        all.add(new RestartScenario("  the same, remembered", true, true, false, 0, 1, true));
+        all.add(new RestartScenario("  the same, saved state", true, true, false, 0, 1, true));
         return all;
     }
 
@@ -135,74 +156,81 @@
     public Integer call() throws InterruptedException, ExecutionException {
         System.out.printf(
                 Locale.ROOT,
-                "%d pods of 2 cores, a tenth slow and a tenth hung; %d sidecars; load %.2f; %d runs a row "
-                        + "from seed %d; virtual time%n",
+                "%d pods of 2 cores, a tenth slow and a tenth hung; %d sidecars; load %.2f; "
+                        + "%d runs per row from seed %d; virtual time%n",
                 pods,
                 sidecars,
                 load,
                 seeds,
                 firstSeed);
-        ExecutorService cores =
+        ExecutorService executor =
                 Executors.newFixedThreadPool(Runtime.getRuntime().availableProcessors());
         try {
-            for (boolean all : new boolean[] {false, true}) {
+            for (boolean allRestart : new boolean[] {false, true}) {
                 System.out.printf(
                         "%n%s%n%-32s %23s %23s %23s %10s%n",
-                        all ? "All sidecars restart at once" : "One sidecar restarts",
-                        "share lost, and its spread",
+                        allRestart ? "All sidecars restart at once" : "One sidecar restarts",
+                        "share lost, standard error",
                         "first 1 s",
                         "first 5 s",
                         "first 15 s",
-                        "cold pods");
-                List<RestartScenario> starts = starts();
+                        "cold load");
+                List<RestartScenario> scenarios = scenarios();
                 List<List<Future<LossCounts>>> rows = new ArrayList<>();
-                for (RestartScenario s : starts) {
+                for (RestartScenario scenario : scenarios) {
                     rows.add(
                             IntStream.range(0, seeds)
-                                    .mapToObj(i -> cores.submit(() -> run(firstSeed + i, s, all)))
+                                    .mapToObj(
+                                            i ->
+                                                    executor.submit(
+                                                            () ->
+                                                                    run(
+                                                                            firstSeed + i,
+                                                                            scenario,
+                                                                            allRestart)))
                                     .toList());
                 }
-                for (int i = 0; i < starts.size(); i++) {
-                    System.out.println(row(starts.get(i).name, rows.get(i)));
+                for (int i = 0; i < scenarios.size(); i++) {
+                    System.out.println(formatRow(scenarios.get(i).name, rows.get(i)));
                 }
             }
         } finally {
-            cores.shutdownNow();
+            executor.shutdownNow();
         }
         return 0;
     }
 
-    private static String row(String name, List<Future<LossCounts>> runs)
+    private static String formatRow(String name, List<Future<LossCounts>> runs)
             throws InterruptedException, ExecutionException {
-        StringBuilder s = new StringBuilder(String.format("%-32s", name));
+        StringBuilder row = new StringBuilder(String.format("%-32s", name));
         List<LossCounts> counts = new ArrayList<>();
-        for (Future<LossCounts> f : runs) {
-            counts.add(f.get());
+        for (Future<LossCounts> run : runs) {
+            counts.add(run.get());
         }
-        for (int w = 0; w < WINDOWS.length; w++) {
-            int window = w;
-            double[] shares = counts.stream().mapToDouble(c -> c.share(window)).toArray();
+        for (int i = 0; i < WINDOWS_NS.length; i++) {
+            int window = i;
+            double[] shares = counts.stream().mapToDouble(c -> c.lostShare(window)).toArray();
             double mean = Arrays.stream(shares).average().orElse(0);
             double error =
                     Math.sqrt(
                             Arrays.stream(shares).map(x -> (x - mean) * (x - mean)).sum()
                                     / Math.max(1, shares.length - 1)
                                     / shares.length);
-            s.append(String.format(Locale.ROOT, "       %7.4f +- %6.4f", mean, error));
+            row.append(String.format(Locale.ROOT, "       %7.4f +- %6.4f", mean, error));
         }
-        s.append(
+        row.append(
                 String.format(
                         Locale.ROOT,
                         " %9.2f",
-                        counts.stream().mapToDouble(c -> c.mostToCold).max().orElse(0)));
-        return s.toString();
+                        counts.stream().mapToDouble(c -> c.maxColdPodLoad).max().orElse(0)));
+        return row.toString();
     }
 
-    private LossCounts run(long seed, RestartScenario how, boolean all)
+    private LossCounts run(long seed, RestartScenario scenario, boolean allRestart)
             throws InterruptedException, ExecutionException {
-        LossCounts count = new LossCounts();
-        long back = START + RUN_IN + DOWN;
-        EmulatedFleet.FleetSpec size =
+        LossCounts losses = new LossCounts();
+        long restartNs = START_NS + WARM_UP_NS + DOWNTIME_NS;
+        EmulatedFleet.FleetSpec unloadedSpec =
                 new EmulatedFleet.FleetSpec(
                         pods,
                         2,
@@ -230,134 +258,140 @@
                                         5_000_000,
                                         15_000_000)),
                         0);
-        EmulatedFleet.FleetSpec loaded =
+        EmulatedFleet.FleetSpec spec =
                 new EmulatedFleet.FleetSpec(
-                        size.podCount(),
-                        size.coresPerPod(),
-                        size.sidecarCount(),
-                        size.zones(),
-                        size.traffic(),
-                        load * 0.8 * size.capacityReqsPerSecond());
-        EmulatedFleet world =
+                        unloadedSpec.podCount(),
+                        unloadedSpec.coresPerPod(),
+                        unloadedSpec.sidecarCount(),
+                        unloadedSpec.zones(),
+                        unloadedSpec.traffic(),
+                        load * 0.8 * unloadedSpec.capacityReqsPerSecond());
+        EmulatedFleet fleet =
                 new EmulatedFleet(
-                        loaded,
+                        spec,
                         seed,
-                        START,
-                        (sidecar, route, askedNs, tookNs, answer) -> {
-                            if (askedNs < back || !all && sidecar != 0) {
+                        START_NS,
+                        (sidecar, route, arrivedNs, tookNs, outcome) -> {
+                            if (arrivedNs < restartNs || !allRestart && sidecar != 0) {
                                 return;
                             }
                             boolean lost =
-                                    answer != EmulatedSidecar.ReqOutcome.COMPLETED
+                                    outcome != EmulatedSidecar.ReqOutcome.COMPLETED
                                             || tookNs > route.latencyObjectiveNs();
-                            for (int w = 0; w < WINDOWS.length; w++) {
-                                if (askedNs < back + WINDOWS[w]) {
-                                    count.asked[w]++;
-                                    count.lost[w] += lost ? 1 : 0;
+                            for (int w = 0; w < WINDOWS_NS.length; w++) {
+                                if (arrivedNs < restartNs + WINDOWS_NS[w]) {
+                                    losses.reqCounts[w]++;
+                                    losses.lostCounts[w] += lost ? 1 : 0;
                                 }
                             }
                         });
         SplittableRandom random = new SplittableRandom(seed);
-        int[] sick = drawn(random, pods, pods / 5);
-        sicken(world, sick);
-        List<Integer> restarted = IntStream.range(0, all ? sidecars : 1).boxed().toList();
-        long captured = START + RUN_IN - random.nextLong(10 * SECOND);
+        int[] faultyPods = drawPods(random, pods, pods / 5);
+        makeFaulty(fleet, faultyPods);
+        List<Integer> restarted = IntStream.range(0, allRestart ? sidecars : 1).boxed().toList();
+        long snapshotNs = START_NS + WARM_UP_NS - random.nextLong(10 * SECOND_NS);
         Map<Integer, FaultInjectingDirectory> disks = new HashMap<>();
-        if (how.hasSavedState) {
-            // As it was then: a world of its own, in which other pods were sick.
-            EmulatedFleet then =
+        if (scenario.hasSavedState) {
+            // A second fleet stands for the time of the save, at which other pods were faulty.
+            EmulatedFleet earlierFleet =
                     new EmulatedFleet(
-                            loaded, seed, START, (sidecar, route, askedNs, tookNs, answer) -> {});
-            sicken(then, sick);
-            change(
-                    then,
-                    sick,
-                    how.changesWhileDown ? 0 : how.changedShare,
+                            spec,
+                            seed,
+                            START_NS,
+                            (sidecar, route, arrivedNs, tookNs, outcome) -> {});
+            makeFaulty(earlierFleet, faultyPods);
+            replaceFaultyPods(
+                    earlierFleet,
+                    faultyPods,
+                    scenario.changesWhileDown ? 0 : scenario.changedShare,
                     new SplittableRandom(seed + 1));
-            then.scheduler().runUntil(captured);
+            earlierFleet.scheduler().runUntil(snapshotNs);
             for (int i : restarted) {
-                disks.put(i, keep(then, i, how));
+                disks.put(i, saveState(earlierFleet, i, scenario));
             }
         }
-        world.scheduler().runUntil(START + RUN_IN);
-        if (how.isRestarted) {
-            restarted.forEach(world::killSidecar);
+        fleet.scheduler().runUntil(START_NS + WARM_UP_NS);
+        if (scenario.isRestarted) {
+            restarted.forEach(fleet::killSidecar);
         }
-        world.scheduler().runUntil(START + RUN_IN + DOWN / 2);
-        change(world, sick, how.changesWhileDown ? how.changedShare : 0, random);
-        world.scheduler().runUntil(back);
-        List<EmulatedPod> cold = world.pods().subList(pods - COLD_PODS, pods);
-        cold.forEach(world::restartPod);
+        fleet.scheduler().runUntil(START_NS + WARM_UP_NS + DOWNTIME_NS / 2);
+        replaceFaultyPods(
+                fleet, faultyPods, scenario.changesWhileDown ? scenario.changedShare : 0, random);
+        fleet.scheduler().runUntil(restartNs);
+        List<EmulatedPod> coldPods = fleet.pods().subList(pods - COLD_POD_COUNT, pods);
+        coldPods.forEach(fleet::restartPod);
         for (int i : restarted) {
-            if (how.isRestarted) {
-                EmulatedSidecar s = world.startSidecar(i);
-                if (how.hasSavedState) {
-                    recall(world, i, s, disks.get(i));
+            if (scenario.isRestarted) {
+                EmulatedSidecar restartedSidecar = fleet.startSidecar(i);
+                if (scenario.hasSavedState) {
+                    restoreState(fleet, i, restartedSidecar, disks.get(i));
                 }
             }
         }
-        watchCold(world, cold, count, back);
-        world.scheduler().runUntil(back + WINDOWS[WINDOWS.length - 1] + 2 * SECOND);
-        return count;
+        recordColdPodLoad(fleet, coldPods, losses, restartNs);
+        fleet.scheduler().runUntil(restartNs + WINDOWS_NS[WINDOWS_NS.length - 1] + 2 * SECOND_NS);
+        return losses;
     }
 
     /**
-     * The busiest second of each cold pod, against what it could do then; at 3 it would fall over.
+     * Records the tries that a cold pod gets in its busiest second, divided by its capacity at that
+     * time; a pod breaks down at 3.
      */
-    private static void watchCold(
-            EmulatedFleet world, List<EmulatedPod> cold, LossCounts count, long from) {
-        long step = SECOND / 10;
-        Map<EmulatedPod, long[]> before = new HashMap<>();
-        cold.forEach(p -> before.put(p, new long[12]));
+    private static void recordColdPodLoad(
+            EmulatedFleet fleet, List<EmulatedPod> coldPods, LossCounts losses, long startNs) {
+        long stepNs = SECOND_NS / 10;
+        Map<EmulatedPod, long[]> arrivedCounts = new HashMap<>();
+        coldPods.forEach(p -> arrivedCounts.put(p, new long[12]));
         for (int k = 0; k < 40; k++) {
-            int at = k;
-            world.scheduler()
+            int step = k;
+            fleet.scheduler()
                     .scheduleAt(
-                            from + k * step,
+                            startNs + k * stepNs,
                             () ->
-                                    cold.forEach(
+                                    coldPods.forEach(
                                             p -> {
-                                                long[] seen = before.get(p);
-                                                seen[at % 11] = p.arrivedTryCount();
-                                                if (at >= 10) {
-                                                    long lately =
+                                                long[] counts = arrivedCounts.get(p);
+                                                counts[step % 11] = p.arrivedTryCount();
+                                                if (step >= 10) {
+                                                    long lastSecondCount =
                                                             p.arrivedTryCount()
-                                                                    - seen[(at + 1) % 11];
-                                                    double age = (at - 5) / 40.0;
-                                                    double can =
+                                                                    - counts[(step + 1) % 11];
+                                                    double age = (step - 5) / 40.0;
+                                                    double capacity =
                                                             (0.3 + 0.7 * age)
                                                                     * 2
                                                                     * 1e9
                                                                     / 17_000_000;
-                                                    count.mostToCold =
+                                                    losses.maxColdPodLoad =
                                                             Math.max(
-                                                                    count.mostToCold, lately / can);
+                                                                    losses.maxColdPodLoad,
+                                                                    lastSecondCount / capacity);
                                                 }
                                             }));
         }
     }
 
-    private static int[] drawn(SplittableRandom random, int of, int n) {
-        List<Integer> all =
-                IntStream.range(0, of - COLD_PODS)
+    private static int[] drawPods(SplittableRandom random, int podCount, int drawCount) {
+        List<Integer> candidates =
+                IntStream.range(0, podCount - COLD_POD_COUNT)
                         .boxed()
                         .collect(Collectors.toCollection(ArrayList::new));
-        int[] drawn = new int[n];
-        for (int i = 0; i < n; i++) {
-            drawn[i] = all.remove(random.nextInt(all.size()));
+        int[] drawn = new int[drawCount];
+        for (int i = 0; i < drawCount; i++) {
+            drawn[i] = candidates.remove(random.nextInt(candidates.size()));
         }
         return drawn;
     }
 
-    /** The first half of them is slow, the second hung. */
-    private static void sicken(EmulatedFleet world, int[] sick) {
-        List<EmulatedPod> pods = world.pods();
-        for (int i = 0; i < sick.length; i++) {
-            sicken(pods.get(sick[i]), i < sick.length / 2);
+    /** Makes the first half of the faulty pods slow and the second half hung. */
+    private static void makeFaulty(EmulatedFleet fleet, int[] faultyPods) {
+        List<EmulatedPod> pods = fleet.pods();
+        for (int i = 0; i < faultyPods.length; i++) {
+            makeFaulty(pods.get(faultyPods[i]), i < faultyPods.length / 2);
         }
     }
 
-    private static void sicken(EmulatedPod pod, boolean slow) {
+    private static void makeFaulty(EmulatedPod pod, boolean slow) {
         if (slow) {
             pod.setSpeed(0.2);
         } else {
@@ -365,48 +399,56 @@
         }
     }
 
-    /** Each sick pod recovers by chance, and another falls sick in its place. */
-    private static void change(
-            EmulatedFleet world, int[] sick, double part, SplittableRandom random) {
-        List<EmulatedPod> pods = world.pods();
-        List<Integer> well =
-                IntStream.range(0, pods.size() - COLD_PODS)
+    /**
+     * Lets each faulty pod recover with the given probability, and makes another one faulty in its
+     * place.
+     */
+    private static void replaceFaultyPods(
+            EmulatedFleet fleet, int[] faultyPods, double changedShare, SplittableRandom random) {
+        List<EmulatedPod> pods = fleet.pods();
+        List<Integer> healthyPods =
+                IntStream.range(0, pods.size() - COLD_POD_COUNT)
                         .boxed()
-                        .filter(i -> Arrays.stream(sick).noneMatch(j -> j == i))
+                        .filter(i -> Arrays.stream(faultyPods).noneMatch(j -> j == i))
                         .collect(Collectors.toCollection(ArrayList::new));
-        for (int i = 0; i < sick.length; i++) {
-            if (random.nextDouble() < part) {
-                pods.get(sick[i]).setSpeed(1);
-                pods.get(sick[i]).setHung(false);
-                sicken(pods.get(well.remove(random.nextInt(well.size()))), i < sick.length / 2);
+        for (int i = 0; i < faultyPods.length; i++) {
+            if (random.nextDouble() < changedShare) {
+                pods.get(faultyPods[i]).setSpeed(1);
+                pods.get(faultyPods[i]).setHung(false);
+                makeFaulty(
+                        pods.get(healthyPods.remove(random.nextInt(healthyPods.size()))),
+                        i < faultyPods.length / 2);
             }
         }
     }
 
-    private static FaultInjectingDirectory keep(EmulatedFleet world, int i, RestartScenario how)
+    private static FaultInjectingDirectory saveState(
+            EmulatedFleet fleet, int sidecarIndex, RestartScenario scenario)
             throws InterruptedException, ExecutionException {
         FaultInjectingDirectory disk = new FaultInjectingDirectory(1);
-        StateStore keeper = new StateStore(disk, 3, 1 << 24, "n" + i, l -> {});
-        keeper.openAsync().get();
-        SnapshotBuilder c =
+        StateStore store = new StateStore(disk, 3, 1 << 24, "n" + sidecarIndex, line -> {});
+        store.openAsync().get();
+        SnapshotBuilder builder =
                 new SnapshotBuilder(
-                        world.sidecar(i).policy().exportLearned(world.scheduler().nowNs()),
+                        fleet.sidecar(sidecarIndex)
+                                .policy()
+                                .exportLearned(fleet.scheduler().nowNs()),
                         id -> id + ":1");
-        c.collectUntil(world.scheduler()::nowNs, Long.MAX_VALUE);
-        keeper.offer(
-                c.toSnapshot(
+        builder.collectUntil(fleet.scheduler()::nowNs, Long.MAX_VALUE);
+        store.offer(
+                builder.toSnapshot(
                         new StateSnapshot.Header(
                                 "lab",
-                                "n" + i,
+                                "n" + sidecarIndex,
                                 "",
-                                world.settings(i).zone(),
+                                fleet.settings(sidecarIndex).zone(),
                                 1,
                                 0,
-                                (world.scheduler().nowNs() - how.extraAgeNs) / 1_000_000,
+                                (fleet.scheduler().nowNs() - scenario.extraAgeNs) / 1_000_000,
                                 1),
-                        world.rolloutStatus()));
-        keeper.close(30 * SECOND);
-        if (how.isCorrupt) {
+                        fleet.rolloutStatus()));
+        store.close(30 * SECOND_NS);
+        if (scenario.isCorrupt) {
             String name = StateStore.fileName(1);
             try {
                 byte[] bytes = disk.read(name, 1 << 24);
@@ -419,37 +461,40 @@
         return disk;
     }
 
-    private static void recall(
-            EmulatedFleet world, int i, EmulatedSidecar s, FaultInjectingDirectory disk)
+    private static void restoreState(
+            EmulatedFleet fleet,
+            int sidecarIndex,
+            EmulatedSidecar sidecar,
+            FaultInjectingDirectory disk)
             throws InterruptedException, ExecutionException {
-        StateStore keeper = new StateStore(disk, 3, 1 << 24, "n" + i, l -> {});
-        StateStore.LoadResult found = keeper.openAsync().get();
-        if (found.snapshot() != null) {
-            Map<String, PodEntry> listed = new HashMap<>();
-            Map<String, String> addresses = new HashMap<>();
-            world.pods()
+        StateStore store = new StateStore(disk, 3, 1 << 24, "n" + sidecarIndex, line -> {});
+        StateStore.LoadResult loaded = store.openAsync().get();
+        if (loaded.snapshot() != null) {
+            Map<String, PodEntry> entriesById = new HashMap<>();
+            Map<String, String> addressesById = new HashMap<>();
+            fleet.pods()
                     .forEach(
                             p -> {
-                                listed.put(p.entry().id(), p.entry());
-                                addresses.put(p.entry().id(), p.entry().id() + ":1");
+                                entriesById.put(p.entry().id(), p.entry());
+                                addressesById.put(p.entry().id(), p.entry().id() + ":1");
                             });
-            long now = world.scheduler().nowNs();
-            Settings set = world.settings(i);
-            SnapshotFilter.RestoreResult taken =
+            long nowNs = fleet.scheduler().nowNs();
+            Settings settings = fleet.settings(sidecarIndex);
+            SnapshotFilter.RestoreResult restored =
                     SnapshotFilter.filter(
-                            found.snapshot(),
-                            StateDecay.computeAgeNs(found.snapshot().head().unixMs(), now),
+                            loaded.snapshot(),
+                            StateDecay.computeAgeNs(loaded.snapshot().head().unixMs(), nowNs),
                             new SnapshotFilter.RestoreContext(
-                                    set.zone(),
-                                    set.routes().stream()
+                                    settings.zone(),
+                                    settings.routes().stream()
                                             .map(Settings.RouteSettings::name)
                                             .collect(Collectors.toSet()),
-                                    listed,
-                                    addresses));
-            for (LearnedState l : taken.restoredValues()) {
-                s.policy().restoreLearned(now, l);
+                                    entriesById,
+                                    addressesById));
+            for (LearnedState value : restored.restoredValues()) {
+                sidecar.policy().restoreLearned(nowNs, value);
             }
         }
-        keeper.close(SECOND);
+        store.close(SECOND_NS);
     }
 }
--- a/lab/src/main/java/mulleinlever/lab/emu/EmulatedFleet.java
+++ b/lab/src/main/java/mulleinlever/lab/emu/EmulatedFleet.java
@@ -9,13 +9,20 @@
 import mulleinlever.Settings;
 
 /**
- * Pods, sidecars and clients in virtual time, in one process. Every part draws from a stream of its
- * own, so that two worlds with one seed get the same reqs, whatever their sidecars do.
+ * Pods, sidecars and clients in virtual time, in one process. Each part has a random generator of
+ * its own, so that two fleets with the same seed get the same reqs, whatever their sidecars do. Not
+ * thread-safe.
  */
 public final class EmulatedFleet {
-    private static final long SECOND = 1_000_000_000L;
+    private static final long SECOND_NS = 1_000_000_000L;
 
-    /** What a route's reqs are like, beside its settings. */
+    /**
+     * The traffic of a route.
+     *
+     * @param reqShare the share of all reqs that belong to the route
+     * @param minWorkNs the minimum of the core time that a req needs
+     * @param maxWorkNs the maximum of the core time that a req needs
+     */
     public record RouteTraffic(
             Settings.RouteSettings route, double reqShare, long minWorkNs, long maxWorkNs) {
         double meanWorkNs() {
@@ -23,7 +30,7 @@
         }
     }
 
-    /** What a world consists of. */
+    /** The size and the traffic of a fleet. */
     public record FleetSpec(
             int podCount,
             int coresPerPod,
@@ -31,73 +38,80 @@
             List<String> zones,
             List<RouteTraffic> traffic,
             double reqsPerSecond) {
-        /** Reqs a second that all cores together can do. */
+        /** Returns the number of reqs per second that all cores together can complete. */
         public double capacityReqsPerSecond() {
             double meanNs = traffic.stream().mapToDouble(t -> t.reqShare() * t.meanWorkNs()).sum();
             return podCount * coresPerPod * 1e9 / meanNs;
         }
     }
 
-    /**
-     * Hears of each req's end; without an answer {@code how} is null, at the end of its patience.
-     */
+    /** Is notified of the end of each req. */
     public interface ReqListener {
+        /**
+         * Called when a req was answered, or when its client stops waiting.
+         *
+         * @param arrivedNs when the client sent the req
+         * @param outcome the answer, or null if there was none
+         */
         void onReqEnded(
                 int sidecar,
                 Settings.RouteSettings route,
-                long askedNs,
+                long arrivedNs,
                 long tookNs,
-                EmulatedSidecar.ReqOutcome how);
+                EmulatedSidecar.ReqOutcome outcome);
     }
 
-    private final FleetSpec size;
+    private final FleetSpec spec;
     private final long seed;
-    private final VirtualTimeScheduler agenda;
-    private final ReqListener watch;
+    private final VirtualTimeScheduler scheduler;
+    private final ReqListener listener;
     private final Map<String, EmulatedPod> pods = new LinkedHashMap<>();
     private final EmulatedSidecar[] sidecars;
-    private final int[] starts;
-    private RolloutStatus news =
-            new RolloutStatus(1, 2, RolloutStatus.Phase.RELEASED, 1, 9 * SECOND);
 
-    public EmulatedFleet(FleetSpec size, long seed, long startNs, ReqListener watch) {
-        this.size = size;
+    /** The number of starts of each sidecar. */
+    private final int[] startCounts;
+
+    private RolloutStatus rolloutStatus =
+            new RolloutStatus(1, 2, RolloutStatus.Phase.RELEASED, 1, 9 * SECOND_NS);
+
+    public EmulatedFleet(FleetSpec spec, long seed, long startNs, ReqListener listener) {
+        this.spec = spec;
         this.seed = seed;
-        this.agenda = new VirtualTimeScheduler(startNs);
-        this.watch = watch;
-        this.sidecars = new EmulatedSidecar[size.sidecarCount()];
-        this.starts = new int[size.sidecarCount()];
-        for (int i = 0; i < size.podCount(); i++) {
-            PodEntry e =
+        this.scheduler = new VirtualTimeScheduler(startNs);
+        this.listener = listener;
+        this.sidecars = new EmulatedSidecar[spec.sidecarCount()];
+        this.startCounts = new int[spec.sidecarCount()];
+        for (int i = 0; i < spec.podCount(); i++) {
+            PodEntry entry =
                     new PodEntry(
                             "pod-" + i,
-                            zone(i),
+                            zoneOf(i),
                             "m",
                             i % 4,
                             1,
                             PodEntry.State.READY,
-                            size.coresPerPod(),
+                            spec.coresPerPod(),
                             0);
-            pods.put(e.id(), new EmulatedPod(agenda, e, size.coresPerPod(), 1000));
+            pods.put(entry.id(), new EmulatedPod(scheduler, entry, spec.coresPerPod(), 1000));
         }
-        for (int i = 0; i < size.sidecarCount(); i++) {
+        for (int i = 0; i < spec.sidecarCount(); i++) {
             startSidecar(i);
-            clients(i);
+            startClient(i);
         }
     }
 
-    private String zone(int i) {
-        return size.zones().get(i % size.zones().size());
+    private String zoneOf(int index) {
+        return spec.zones().get(index % spec.zones().size());
     }
 
-    /** A stream of chance for one part of the world. */
-    SplittableRandom random(String part, int no) {
+    /** Returns a random generator for one part of the fleet. */
+    SplittableRandom random(String name, int number) {
         return new SplittableRandom(
-                seed * 0x9E3779B97F4A7C15L + part.hashCode() * 0x632BE59BD9B4E019L + no);
+                seed * 0x9E3779B97F4A7C15L + name.hashCode() * 0x632BE59BD9B4E019L + number);
     }
 
     public VirtualTimeScheduler scheduler() {
-        return agenda;
+        return scheduler;
     }
 
     public EmulatedPod pod(String id) {
@@ -108,121 +122,133 @@
         return List.copyOf(pods.values());
     }
 
-    public EmulatedSidecar sidecar(int i) {
-        return sidecars[i];
+    public EmulatedSidecar sidecar(int index) {
+        return sidecars[index];
     }
 
     public RolloutStatus rolloutStatus() {
-        return news;
+        return rolloutStatus;
     }
 
-    public Settings settings(int i) {
+    public Settings settings(int sidecarIndex) {
         return EmulationSettings.createSettings(
-                i,
-                size.sidecarCount(),
-                zone(i),
-                size.zones(),
-                size.traffic().stream().map(RouteTraffic::route).toList());
+                sidecarIndex,
+                spec.sidecarCount(),
+                zoneOf(sidecarIndex),
+                spec.zones(),
+                spec.traffic().stream().map(RouteTraffic::route).toList());
     }
 
     long oneWayLatencyNs(String from, String to) {
         return from.equals(to) ? 100_000 : 500_000;
     }
 
-    /**
-     * A sidecar's process begins, with the list and the news as they are; it knows nothing else.
-     */
-    public EmulatedSidecar startSidecar(int i) {
-        EmulatedSidecar s =
+    /** Starts a sidecar with the current pod list and rollout status and no other state. */
+    public EmulatedSidecar startSidecar(int index) {
+        EmulatedSidecar sidecar =
                 new EmulatedSidecar(
-                        this, settings(i), random("policy", i + 100_000 * starts[i]++).nextLong());
-        s.replacePodList(pods.values().stream().map(EmulatedPod::entry).toList());
-        s.updateRolloutStatus(news);
-        sidecars[i] = s;
-        return s;
+                        this,
+                        settings(index),
+                        random("policy", index + 100_000 * startCounts[index]++).nextLong());
+        sidecar.replacePodList(pods.values().stream().map(EmulatedPod::entry).toList());
+        sidecar.updateRolloutStatus(rolloutStatus);
+        sidecars[index] = sidecar;
+        return sidecar;
     }
 
-    /** A pod starts anew, cold, and all sidecars are told at once. */
+    /** Restarts a pod, which is then cold, and updates the list of all sidecars at once. */
     public void restartPod(EmulatedPod pod) {
-        PodEntry e = pod.entry();
+        PodEntry oldEntry = pod.entry();
         pod.restart(
                 new PodEntry(
-                        e.id(),
-                        e.zone(),
-                        e.kind(),
-                        e.cell(),
-                        e.build(),
-                        e.state(),
-                        e.weight(),
-                        agenda.nowNs()));
-        for (EmulatedSidecar s : sidecars) {
-            if (s != null) {
-                s.updatePod(pod.entry());
+                        oldEntry.id(),
+                        oldEntry.zone(),
+                        oldEntry.kind(),
+                        oldEntry.cell(),
+                        oldEntry.build(),
+                        oldEntry.state(),
+                        oldEntry.weight(),
+                        scheduler.nowNs()));
+        for (EmulatedSidecar sidecar : sidecars) {
+            if (sidecar != null) {
+                sidecar.updatePod(pod.entry());
             }
         }
     }
 
     /**
-     * A sidecar's process ends without notice; its clients' reqs find nobody until it starts again.
+     * Ends a sidecar without a graceful shutdown. Its clients' reqs get no answer until it starts
+     * again.
      */
-    public void killSidecar(int i) {
-        sidecars[i].kill();
-        sidecars[i] = null;
+    public void killSidecar(int index) {
+        sidecars[index].kill();
+        sidecars[index] = null;
     }
 
-    /** Reqs that come on their own, whether or not those before were answered. */
-    private void clients(int i) {
-        SplittableRandom random = random("clients", i);
-        double rate = size.reqsPerSecond() / size.sidecarCount();
-        next(i, random, rate);
+    /** Starts a client that sends reqs whether or not earlier ones have been answered. */
+    private void startClient(int sidecarIndex) {
+        SplittableRandom random = random("clients", sidecarIndex);
+        double reqsPerSecond = spec.reqsPerSecond() / spec.sidecarCount();
+        scheduleNextReq(sidecarIndex, random, reqsPerSecond);
     }
 
-    private void next(int i, SplittableRandom random, double rate) {
-        agenda.scheduleAfter(
-                (long) (-Math.log(1 - random.nextDouble()) / rate * SECOND),
+    private void scheduleNextReq(int sidecarIndex, SplittableRandom random, double reqsPerSecond) {
+        scheduler.scheduleAfter(
+                (long) (-Math.log(1 - random.nextDouble()) / reqsPerSecond * SECOND_NS),
                 () -> {
-                    RouteTraffic t = pick(random.nextDouble());
+                    RouteTraffic traffic = pickTraffic(random.nextDouble());
                     long workNs =
-                            t.minWorkNs()
+                            traffic.minWorkNs()
                                     + (long)
-                                            (random.nextDouble() * (t.maxWorkNs() - t.minWorkNs()));
+                                            (random.nextDouble()
+                                                    * (traffic.maxWorkNs() - traffic.minWorkNs()));
                     long key = random.nextInt(50_000);
-                    ask(i, t, workNs, key);
-                    next(i, random, rate);
+                    submitReq(sidecarIndex, traffic, workNs, key);
+                    scheduleNextReq(sidecarIndex, random, reqsPerSecond);
                 });
     }
 
-    private RouteTraffic pick(double at) {
-        for (RouteTraffic t : size.traffic()) {
-            at -= t.reqShare();
-            if (at < 0) {
-                return t;
+    private RouteTraffic pickTraffic(double position) {
+        for (RouteTraffic traffic : spec.traffic()) {
+            position -= traffic.reqShare();
+            if (position < 0) {
+                return traffic;
             }
         }
-        return size.traffic().get(size.traffic().size() - 1);
+        return spec.traffic().get(spec.traffic().size() - 1);
     }
 
-    private void ask(int i, RouteTraffic t, long workNs, long key) {
-        long askedNs = agenda.nowNs();
+    private void submitReq(int sidecarIndex, RouteTraffic traffic, long workNs, long key) {
+        long arrivedNs = scheduler.nowNs();
         boolean[] ended = new boolean[1];
-        if (sidecars[i] != null) {
-            sidecars[i].submit(
-                    t.route(),
+        if (sidecars[sidecarIndex] != null) {
+            sidecars[sidecarIndex].submit(
+                    traffic.route(),
                     workNs,
                     key,
-                    how -> {
+                    outcome -> {
                         if (!ended[0]) {
                             ended[0] = true;
-                            watch.onReqEnded(i, t.route(), askedNs, agenda.nowNs() - askedNs, how);
+                            listener.onReqEnded(
+                                    sidecarIndex,
+                                    traffic.route(),
+                                    arrivedNs,
+                                    scheduler.nowNs() - arrivedNs,
+                                    outcome);
                         }
                     });
         }
-        agenda.scheduleAfter(
-                t.route().timeoutNs() + SECOND / 10,
+        scheduler.scheduleAfter(
+                traffic.route().timeoutNs() + SECOND_NS / 10,
                 () -> {
                     if (!ended[0]) {
                         ended[0] = true;
-                        watch.onReqEnded(i, t.route(), askedNs, agenda.nowNs() - askedNs, null);
+                        listener.onReqEnded(
+                                sidecarIndex,
+                                traffic.route(),
+                                arrivedNs,
+                                scheduler.nowNs() - arrivedNs,
+                                null);
                     }
                 });
     }
--- a/lab/src/main/java/mulleinlever/lab/emu/EmulatedPod.java
+++ b/lab/src/main/java/mulleinlever/lab/emu/EmulatedPod.java
@@ -8,136 +8,148 @@
 import mulleinlever.TryOutcome;
 
 /**
- * A pod: some cores that serve one line, first come first served. It can be slow, hung, or fail a
- * share of what it is sent; a pod that was started lately does less.
+ * An emulated pod, whose cores serve one queue in the order of arrival. It can be slow or hung, and
+ * a pod that has just started has a lower speed.
  */
 public final class EmulatedPod {
-    /** One try at the pod, until it is told how that ended. */
+    /** A try at the pod, which is handed out so that it can be cancelled. */
     public static final class PodTry {
         private final long workNs;
-        private final Consumer<TryOutcome> done;
+        private final Consumer<TryOutcome> onEnded;
         private boolean cancelled;
-        private boolean runs;
+        private boolean running;
 
-        PodTry(long workNs, Consumer<TryOutcome> done) {
+        PodTry(long workNs, Consumer<TryOutcome> onEnded) {
             this.workNs = workNs;
-            this.done = done;
+            this.onEnded = onEnded;
         }
     }
 
-    private final VirtualTimeScheduler agenda;
+    private final VirtualTimeScheduler scheduler;
     private final int cores;
-    private final int mostWaiting;
-    private final ArrayDeque<PodTry> line = new ArrayDeque<>();
-    private final List<PodTry> atHang = new ArrayList<>();
+    private final int maxQueueLength;
+    private final ArrayDeque<PodTry> queue = new ArrayDeque<>();
+
+    /** Tries whose work is done while the pod hangs. */
+    private final List<PodTry> hungTries = new ArrayList<>();
+
     private PodEntry entry;
     private double speed = 1;
     private boolean hung;
-    private int busy;
-    private long arrived;
-    private int start;
+    private int busyCoreCount;
+    private long arrivedTryCount;
+    private int startCount;
 
-    EmulatedPod(VirtualTimeScheduler agenda, PodEntry entry, int cores, int mostWaiting) {
-        this.agenda = agenda;
+    EmulatedPod(VirtualTimeScheduler scheduler, PodEntry entry, int cores, int maxQueueLength) {
+        this.scheduler = scheduler;
         this.entry = entry;
         this.cores = cores;
-        this.mostWaiting = mostWaiting;
+        this.maxQueueLength = maxQueueLength;
     }
 
     public PodEntry entry() {
         return entry;
     }
 
-    /** Another start of the pod, from now on: what lay at the one before is lost without a sign. */
-    void restart(PodEntry next) {
-        entry = next;
-        line.clear();
-        atHang.clear();
-        busy = 0;
-        start++;
+    /** Restarts the pod. Tries at the instance before are lost without an answer. */
+    void restart(PodEntry newEntry) {
+        entry = newEntry;
+        queue.clear();
+        hungTries.clear();
+        busyCoreCount = 0;
+        startCount++;
     }
 
-    /** The part of its usual speed that a pod has which was started lately. */
-    private double warmth() {
-        double age =
-                (agenda.nowNs() - entry.startedNs()) / (double) EmulationSettings.SLOW_START_NS;
-        return entry.startedNs() == 0 || age >= 1
+    /** Returns the speed as a share of the usual one; below 1 during slow start. */
+    private double slowStartFactor() {
+        double ageShare =
+                (scheduler.nowNs() - entry.startedNs()) / (double) EmulationSettings.SLOW_START_NS;
+        return entry.startedNs() == 0 || ageShare >= 1
                 ? 1
                 : EmulationSettings.COLD_CAPACITY_SHARE
-                        + (1 - EmulationSettings.COLD_CAPACITY_SHARE) * Math.max(0, age);
+                        + (1 - EmulationSettings.COLD_CAPACITY_SHARE) * Math.max(0, ageShare);
     }
 
-    /** 1 is usual; 0.2 takes five times as long. */
-    public void setSpeed(double of) {
-        speed = of;
+    /** Sets the speed as a multiple of the usual one; at 0.2 tries take five times as long. */
+    public void setSpeed(double factor) {
+        speed = factor;
     }
 
-    /** Takes what is sent and answers nothing, until it hangs no more. */
-    public void setHung(boolean from) {
-        hung = from;
+    /**
+     * Sets whether the pod hangs: it then accepts tries, and answers none until it stops hanging.
+     */
+    public void setHung(boolean hangs) {
+        hung = hangs;
         if (!hung) {
-            List<PodTry> held = List.copyOf(atHang);
-            atHang.clear();
-            held.forEach(j -> finish(j, TryOutcome.OK));
-            serve();
+            List<PodTry> ended = List.copyOf(hungTries);
+            hungTries.clear();
+            ended.forEach(podTry -> finish(podTry, TryOutcome.OK));
+            startQueuedTries();
         }
     }
 
-    /** How many tries have come. */
+    /** Returns the number of tries that have arrived. */
     public long arrivedTryCount() {
-        return arrived;
+        return arrivedTryCount;
     }
 
-    PodTry submit(long workNs, Consumer<TryOutcome> done) {
-        PodTry job = new PodTry(workNs, done);
-        arrived++;
-        if (line.size() >= mostWaiting) {
-            done.accept(TryOutcome.FULL);
-            return job;
+    /**
+     * Adds a try to the queue; it is rejected at once with {@link TryOutcome#FULL} if the queue is
+     * full.
+     *
+     * @param workNs the core time that it needs
+     * @param onEnded called with the outcome, unless the try is cancelled
+     */
+    PodTry submit(long workNs, Consumer<TryOutcome> onEnded) {
+        PodTry podTry = new PodTry(workNs, onEnded);
+        arrivedTryCount++;
+        if (queue.size() >= maxQueueLength) {
+            onEnded.accept(TryOutcome.FULL);
+            return podTry;
         }
-        line.add(job);
-        serve();
-        return job;
+        queue.add(podTry);
+        startQueuedTries();
+        return podTry;
     }
 
-    /** What waits is dropped, what is at work goes on to its end for nothing. */
-    void cancel(PodTry job) {
-        job.cancelled = true;
-        if (!job.runs) {
-            line.remove(job);
+    /** Cancels a try: a queued one is removed, a running one occupies its core to the end. */
+    void cancel(PodTry podTry) {
+        podTry.cancelled = true;
+        if (!podTry.running) {
+            queue.remove(podTry);
         }
     }
 
-    private void serve() {
-        while (!hung && busy < cores && !line.isEmpty()) {
-            PodTry job = line.poll();
-            job.runs = true;
-            busy++;
-            int in = start;
-            agenda.scheduleAfter(
-                    (long) (job.workNs / speed / warmth()),
+    private void startQueuedTries() {
+        while (!hung && busyCoreCount < cores && !queue.isEmpty()) {
+            PodTry podTry = queue.poll();
+            podTry.running = true;
+            busyCoreCount++;
+            int startNo = startCount;
+            scheduler.scheduleAfter(
+                    (long) (podTry.workNs / speed / slowStartFactor()),
                     () -> {
-                        if (in == start) {
-                            ends(job);
+                        if (startNo == startCount) {
+                            onWorkDone(podTry);
                         }
                     });
         }
     }
 
-    private void ends(PodTry job) {
+    private void onWorkDone(PodTry podTry) {
         if (hung) {
-            // Its core hangs with it.
-            atHang.add(job);
+            // The try keeps its core while the pod hangs.
+            hungTries.add(podTry);
             return;
         }
-        finish(job, TryOutcome.OK);
-        serve();
+        finish(podTry, TryOutcome.OK);
+        startQueuedTries();
     }
 
-    private void finish(PodTry job, TryOutcome ending) {
-        busy--;
-        if (!job.cancelled) {
-            job.done.accept(ending);
+    private void finish(PodTry podTry, TryOutcome outcome) {
+        busyCoreCount--;
+        if (!podTry.cancelled) {
+            podTry.onEnded.accept(outcome);
         }
     }
 }
--- a/lab/src/main/java/mulleinlever/lab/emu/EmulatedSidecar.java
+++ b/lab/src/main/java/mulleinlever/lab/emu/EmulatedSidecar.java
@@ -14,63 +14,70 @@
 import mulleinlever.Settings;
 import mulleinlever.TryOutcome;
 
-/** One start of a sidecar: a policy of the real program, with a network that only delays. */
+/**
+ * An emulated sidecar from its start to its end: a {@link Policy} with a network that delays
+ * messages and loses none.
+ */
 public final class EmulatedSidecar implements PolicyActions {
-    /** A req in hand, from its client's view. */
+    /** A req in hand. */
     private static final class PendingReq {
         private final Settings.RouteSettings route;
         private final long workNs;
-        private final long takenNs;
-        private final Consumer<ReqOutcome> answered;
+        private final long arrivedNs;
+        private final Consumer<ReqOutcome> onAnswer;
         private final List<SentTry> tries = new ArrayList<>(1);
-        private boolean done;
+        private boolean answered;
 
         PendingReq(
                 Settings.RouteSettings route,
                 long workNs,
-                long takenNs,
-                Consumer<ReqOutcome> answered) {
+                long arrivedNs,
+                Consumer<ReqOutcome> onAnswer) {
             this.route = route;
             this.workNs = workNs;
-            this.takenNs = takenNs;
-            this.answered = answered;
+            this.arrivedNs = arrivedNs;
+            this.onAnswer = onAnswer;
         }
     }
 
+    /** A try on its way to a pod or at it. */
     private static final class SentTry {
-        private final int no;
+        private final int tryNo;
         private final EmulatedPod pod;
         private final long sentNs;
-        private EmulatedPod.PodTry job;
+
+        /** Null until the try has reached the pod. */
+        private EmulatedPod.PodTry podTry;
+
         private boolean ended;
 
-        SentTry(int no, EmulatedPod pod, long sentNs) {
-            this.no = no;
+        SentTry(int tryNo, EmulatedPod pod, long sentNs) {
+            this.tryNo = tryNo;
             this.pod = pod;
             this.sentNs = sentNs;
         }
     }
 
-    /** The one final answer to a req, as its sidecar gave it. */
+    /** The sidecar's answer to a req. */
     public enum ReqOutcome {
         COMPLETED,
         SHED,
         ERRORED
     }
 
-    private final EmulatedFleet world;
-    private final VirtualTimeScheduler agenda;
+    private final EmulatedFleet fleet;
+    private final VirtualTimeScheduler scheduler;
     private final Settings settings;
     private final Policy policy;
-    private final Map<String, PendingReq> held = new HashMap<>();
-    private boolean gone;
-    private long reqs;
+    private final Map<String, PendingReq> pendingReqs = new HashMap<>();
+    private boolean killed;
+    private long nextReqNo;
 
-    EmulatedSidecar(EmulatedFleet world, Settings settings, long seed) {
-        this.world = world;
-        this.agenda = world.scheduler();
+    EmulatedSidecar(EmulatedFleet fleet, Settings settings, long seed) {
+        this.fleet = fleet;
+        this.scheduler = fleet.scheduler();
         this.settings = settings;
-        this.policy = new Policy(settings, seed, agenda.nowNs(), this);
+        this.policy = new Policy(settings, seed, scheduler.nowNs(), this);
     }
 
     public Policy policy() {
@@ -78,137 +85,154 @@
     }
 
     void replacePodList(List<PodEntry> entries) {
-        if (!gone) {
-            policy.onPodListReplaced(agenda.nowNs(), entries);
+        if (!killed) {
+            policy.onPodListReplaced(scheduler.nowNs(), entries);
         }
     }
 
     void updatePod(PodEntry entry) {
-        if (!gone) {
-            policy.onPodListUpdated(agenda.nowNs(), List.of(entry));
+        if (!killed) {
+            policy.onPodListUpdated(scheduler.nowNs(), List.of(entry));
         }
     }
 
-    void updateRolloutStatus(RolloutStatus news) {
-        if (!gone) {
-            policy.onRolloutStatus(agenda.nowNs(), news);
+    void updateRolloutStatus(RolloutStatus status) {
+        if (!killed) {
+            policy.onRolloutStatus(scheduler.nowNs(), status);
         }
     }
 
-    /** The process ends: what it had in hand gets no answer, its tries are cut off. */
+    /** Ends the process: reqs in hand get no answer, and their tries are cut off. */
     void kill() {
-        gone = true;
-        for (PendingReq h : held.values()) {
-            for (SentTry s : h.tries) {
-                cutOff(s);
+        killed = true;
+        for (PendingReq req : pendingReqs.values()) {
+            for (SentTry sentTry : req.tries) {
+                cutOffTry(sentTry);
             }
         }
-        held.clear();
+        pendingReqs.clear();
     }
 
+    /**
+     * Takes a req of a client.
+     *
+     * @param workNs the core time that each of its tries needs
+     * @param onAnswer called with the answer, if there is any
+     */
     void submit(
-            Settings.RouteSettings route, long workNs, long key, Consumer<ReqOutcome> answered) {
-        String id = Long.toString(reqs++);
-        held.put(id, new PendingReq(route, workNs, agenda.nowNs(), answered));
+            Settings.RouteSettings route, long workNs, long key, Consumer<ReqOutcome> onAnswer) {
+        String id = Long.toString(nextReqNo++);
+        pendingReqs.put(id, new PendingReq(route, workNs, scheduler.nowNs(), onAnswer));
         policy.onReq(
-                agenda.nowNs(),
+                scheduler.nowNs(),
                 new Req(id, route.name(), false, false, route.timeoutNs(), 0, key, null));
     }
 
     @Override
-    public void startTry(String rq, String pod, long writeWithinNs, long limitNs) {
-        PendingReq h = held.get(rq);
-        EmulatedPod at = world.pod(pod);
-        SentTry s = new SentTry(h.tries.size(), at, agenda.nowNs());
-        h.tries.add(s);
-        long oneWayNs = world.oneWayLatencyNs(settings.zone(), at.entry().zone());
-        agenda.scheduleAfter(
+    public void startTry(String reqId, String podId, long writeWithinNs, long timeoutNs) {
+        PendingReq req = pendingReqs.get(reqId);
+        EmulatedPod pod = fleet.pod(podId);
+        SentTry sentTry = new SentTry(req.tries.size(), pod, scheduler.nowNs());
+        req.tries.add(sentTry);
+        long oneWayNs = fleet.oneWayLatencyNs(settings.zone(), pod.entry().zone());
+        scheduler.scheduleAfter(
                 oneWayNs,
                 () -> {
-                    if (!s.ended) {
-                        s.job =
-                                at.submit(
-                                        h.workNs,
-                                        ending ->
-                                                agenda.scheduleAfter(
-                                                        oneWayNs, () -> ended(rq, h, s, ending)));
+                    if (!sentTry.ended) {
+                        sentTry.podTry =
+                                pod.submit(
+                                        req.workNs,
+                                        outcome ->
+                                                scheduler.scheduleAfter(
+                                                        oneWayNs,
+                                                        () ->
+                                                                endTry(
+                                                                        reqId, req, sentTry,
+                                                                        outcome)));
                     }
                 });
-        agenda.scheduleAfter(limitNs, () -> ended(rq, h, s, TryOutcome.TIMEOUT));
+        scheduler.scheduleAfter(timeoutNs, () -> endTry(reqId, req, sentTry, TryOutcome.TIMEOUT));
     }
 
-    private void ended(String rq, PendingReq h, SentTry s, TryOutcome ending) {
-        if (s.ended || gone) {
+    private void endTry(String reqId, PendingReq req, SentTry sentTry, TryOutcome outcome) {
+        if (sentTry.ended || killed) {
             return;
         }
-        if (ending == TryOutcome.TIMEOUT) {
-            cutOff(s);
+        if (outcome == TryOutcome.TIMEOUT) {
+            cutOffTry(sentTry);
         }
-        s.ended = true;
-        if (ending == TryOutcome.OK) {
-            answer(h, ReqOutcome.COMPLETED);
+        sentTry.ended = true;
+        if (outcome == TryOutcome.OK) {
+            answer(req, ReqOutcome.COMPLETED);
         }
-        policy.onTryEnded(agenda.nowNs(), rq, s.no, ending, agenda.nowNs() - s.sentNs, h.done);
-        settle(rq, h);
+        policy.onTryEnded(
+                scheduler.nowNs(),
+                reqId,
+                sentTry.tryNo,
+                outcome,
+                scheduler.nowNs() - sentTry.sentNs,
+                req.answered);
+        removeIfEnded(reqId, req);
     }
 
-    private void cutOff(SentTry s) {
-        s.ended = true;
-        if (s.job != null) {
-            s.pod.cancel(s.job);
+    private void cutOffTry(SentTry sentTry) {
+        sentTry.ended = true;
+        if (sentTry.podTry != null) {
+            sentTry.pod.cancel(sentTry.podTry);
         }
     }
 
-    private void settle(String rq, PendingReq h) {
-        if (h.done && h.tries.stream().allMatch(s -> s.ended)) {
-            held.remove(rq, h);
+    /** Removes the req once it has been answered and all its tries have ended. */
+    private void removeIfEnded(String reqId, PendingReq req) {
+        if (req.answered && req.tries.stream().allMatch(s -> s.ended)) {
+            pendingReqs.remove(reqId, req);
         }
     }
 
-    private void answer(PendingReq h, ReqOutcome how) {
-        if (!h.done) {
-            h.done = true;
-            h.answered.accept(how);
+    private void answer(PendingReq req, ReqOutcome outcome) {
+        if (!req.answered) {
+            req.answered = true;
+            req.onAnswer.accept(outcome);
         }
     }
 
     @Override
-    public void shedReq(String rq, long backoffNs) {
-        answered(rq, ReqOutcome.SHED);
+    public void shedReq(String reqId, long backoffNs) {
+        answerFromPolicy(reqId, ReqOutcome.SHED);
     }
 
     @Override
-    public void failReq(String rq) {
-        answered(rq, ReqOutcome.ERRORED);
+    public void failReq(String reqId) {
+        answerFromPolicy(reqId, ReqOutcome.ERRORED);
     }
 
-    private void answered(String rq, ReqOutcome how) {
-        PendingReq h = held.get(rq);
-        answer(h, how);
-        agenda.scheduleAfter(0, () -> settle(rq, h));
+    private void answerFromPolicy(String reqId, ReqOutcome outcome) {
+        PendingReq req = pendingReqs.get(reqId);
+        answer(req, outcome);
+        scheduler.scheduleAfter(0, () -> removeIfEnded(reqId, req));
     }
 
     @Override
-    public void cancelTry(String rq, int tryNo) {
-        PendingReq h = held.get(rq);
-        SentTry s = h.tries.get(tryNo);
-        if (s.ended) {
+    public void cancelTry(String reqId, int tryNo) {
+        PendingReq req = pendingReqs.get(reqId);
+        SentTry sentTry = req.tries.get(tryNo);
+        if (sentTry.ended) {
             return;
         }
-        // Told after the call that asked for it, as on sockets.
-        cutOff(s);
-        agenda.scheduleAfter(
+        // The policy learns the outcome after this call has returned, as it does with sockets.
+        cutOffTry(sentTry);
+        scheduler.scheduleAfter(
                 0,
                 () -> {
-                    if (!gone) {
+                    if (!killed) {
                         policy.onTryEnded(
-                                agenda.nowNs(),
-                                rq,
-                                s.no,
+                                scheduler.nowNs(),
+                                reqId,
+                                sentTry.tryNo,
                                 TryOutcome.CANCELLED,
-                                agenda.nowNs() - s.sentNs,
-                                h.done);
-                        settle(rq, h);
+                                scheduler.nowNs() - sentTry.sentNs,
+                                req.answered);
+                        removeIfEnded(reqId, req);
                     }
                 });
     }
@@ -221,11 +245,11 @@
 
     @Override
     public void scheduleTimer(long atNs, String token) {
-        agenda.scheduleAt(
+        scheduler.scheduleAt(
                 atNs,
                 () -> {
-                    if (!gone) {
-                        policy.onTimer(agenda.nowNs(), token);
+                    if (!killed) {
+                        policy.onTimer(scheduler.nowNs(), token);
                     }
                 });
     }
--- a/lab/src/main/java/mulleinlever/lab/emu/EmulationSettings.java
+++ b/lab/src/main/java/mulleinlever/lab/emu/EmulationSettings.java
@@ -3,43 +3,45 @@
 import java.util.List;
 import mulleinlever.Settings;
 
-/** Settings for sidecars in an emulated world: ordinary ones, of no site. Times are nanoseconds. */
+/** Typical settings for the sidecars of an emulated fleet. */
 public final class EmulationSettings {
-    private static final long MS = 1_000_000L;
-    private static final long SECOND = 1_000 * MS;
+    private static final long MILLISECOND_NS = 1_000_000L;
+    private static final long SECOND_NS = 1_000 * MILLISECOND_NS;
     static final double COLD_CAPACITY_SHARE = 0.3;
-    static final long SLOW_START_NS = 4 * SECOND;
+    static final long SLOW_START_NS = 4 * SECOND_NS;
 
     /**
-     * A cold pod that gets more than so many times what it can do then, for a second, falls over.
+     * A cold pod breaks down if it gets more than this multiple of its current capacity for a
+     * second.
      */
-    private static final double FALL_MULTIPLE = 3;
+    private static final double OVERLOAD_MULTIPLE = 3;
 
     private EmulationSettings() {}
 
-    /** A route whose repeats may run, or are dropped by pods of the same zone. */
+    /** Creates the settings of a route; if it is deduplicated, its dedup scope is the zone. */
     public static Settings.RouteSettings createRoute(
             String name,
-            Settings.RetrySafety repeat,
+            Settings.RetrySafety retrySafety,
             long objectiveMs,
             long timeoutMs,
-            double earnings) {
+            double value) {
         return new Settings.RouteSettings(
                 name,
-                objectiveMs * MS,
+                objectiveMs * MILLISECOND_NS,
                 0,
-                timeoutMs * MS,
-                repeat,
+                timeoutMs * MILLISECOND_NS,
+                retrySafety,
                 Settings.DedupScope.ZONE,
-                SECOND,
+                SECOND_NS,
                 false,
                 0.1,
-                earnings);
+                value);
     }
 
+    /** Creates the settings of the sidecar with the given rank. */
     static Settings createSettings(
             int rank,
-            int sidecars,
+            int sidecarCount,
             String zone,
             List<String> zones,
             List<Settings.RouteSettings> routes) {
@@ -47,21 +49,21 @@
                 new Settings.RolloutSettings(
                         Settings.VoteControl.MAJORITY,
                         false,
-                        Math.max(1, sidecars * 2 / 5),
-                        Math.max(1, sidecars / 4),
+                        Math.max(1, sidecarCount * 2 / 5),
+                        Math.max(1, sidecarCount / 4),
                         0,
-                        2 * SECOND,
-                        3 * SECOND,
-                        6 * SECOND,
-                        2 * SECOND,
+                        2 * SECOND_NS,
+                        3 * SECOND_NS,
+                        6 * SECOND_NS,
+                        2 * SECOND_NS,
                         100,
-                        2 * SECOND,
-                        2 * SECOND,
+                        2 * SECOND_NS,
+                        2 * SECOND_NS,
                         0.2,
                         0.15,
                         List.of(0.1, 0.5, 1.0),
                         List.of(0.2, 0.7, 1.0),
-                        4 * SECOND,
+                        4 * SECOND_NS,
                         3,
                         false,
                         0,
@@ -69,30 +71,39 @@
                         false,
                         0.3,
                         5);
-        Settings.Contract rules =
+        Settings.Contract contract =
                 new Settings.Contract(
-                        20 * MS,
-                        250 * MS,
+                        20 * MILLISECOND_NS,
+                        250 * MILLISECOND_NS,
                         COLD_CAPACITY_SHARE,
                         SLOW_START_NS,
-                        FALL_MULTIPLE,
-                        SECOND,
-                        10 * SECOND);
+                        OVERLOAD_MULTIPLE,
+                        SECOND_NS,
+                        10 * SECOND_NS);
         Settings.PolicyLimits limits =
                 new Settings.PolicyLimits(
-                        4, 20_000, true, false, false, true, SECOND, 1, 250 * MS, 15 * SECOND);
+                        4,
+                        20_000,
+                        true,
+                        false,
+                        false,
+                        true,
+                        SECOND_NS,
+                        1,
+                        250 * MILLISECOND_NS,
+                        15 * SECOND_NS);
         return new Settings(
                 rank,
-                sidecars,
+                sidecarCount,
                 zone,
                 zones,
                 false,
-                MS,
+                MILLISECOND_NS,
                 0.2,
                 routes,
                 List.of(),
                 rollout,
-                rules,
+                contract,
                 limits,
                 new Settings.CostWeights(0.02, 0.08, 0.01, 0.08),
                 Settings.ReportSource.OFF,
--- a/lab/src/main/java/mulleinlever/lab/emu/VirtualTimeScheduler.java
+++ b/lab/src/main/java/mulleinlever/lab/emu/VirtualTimeScheduler.java
@@ -3,56 +3,59 @@
 import java.util.PriorityQueue;
 
 /**
- * What happens in virtual time, in the order of the time and then of the asking: the same on every
- * machine.
+ * Runs actions in virtual time, ordered by time and then by the order in which they were scheduled,
+ * so that a run is the same on every machine. Not thread-safe.
  */
 public final class VirtualTimeScheduler {
+    /** An action with its due time. */
     private static final class ScheduledTask implements Comparable<ScheduledTask> {
         private final long atNs;
-        private final long no;
-        private final Runnable what;
+        private final long sequenceNo;
+        private final Runnable action;
 
-        ScheduledTask(long atNs, long no, Runnable what) {
+        ScheduledTask(long atNs, long sequenceNo, Runnable action) {
             this.atNs = atNs;
-            this.no = no;
-            this.what = what;
+            this.sequenceNo = sequenceNo;
+            this.action = action;
         }
 
         @Override
         public int compareTo(ScheduledTask other) {
-            return atNs != other.atNs ? Long.compare(atNs, other.atNs) : Long.compare(no, other.no);
+            return atNs != other.atNs
+                    ? Long.compare(atNs, other.atNs)
+                    : Long.compare(sequenceNo, other.sequenceNo);
         }
     }
 
-    private final PriorityQueue<ScheduledTask> entries = new PriorityQueue<>(1024);
+    private final PriorityQueue<ScheduledTask> tasks = new PriorityQueue<>(1024);
     private long nowNs;
-    private long asked;
+    private long nextSequenceNo;
 
     public VirtualTimeScheduler(long startNs) {
         this.nowNs = startNs;
     }
 
-    /** Virtual time, in nanoseconds. */
+    /** Returns the virtual time. */
     public long nowNs() {
         return nowNs;
     }
 
-    /** What is asked for in the past happens now. */
-    public void scheduleAt(long ns, Runnable what) {
-        entries.add(new ScheduledTask(Math.max(ns, nowNs), asked++, what));
+    /** Schedules an action; if {@code atNs} is in the past, it is due now. */
+    public void scheduleAt(long atNs, Runnable action) {
+        tasks.add(new ScheduledTask(Math.max(atNs, nowNs), nextSequenceNo++, action));
     }
 
-    public void scheduleAfter(long ns, Runnable what) {
-        scheduleAt(nowNs + ns, what);
+    public void scheduleAfter(long delayNs, Runnable action) {
+        scheduleAt(nowNs + delayNs, action);
     }
 
-    /** Lets happen all that is due until a time, and goes to that time. */
-    public void runUntil(long ns) {
-        while (!entries.isEmpty() && entries.peek().atNs <= ns) {
-            ScheduledTask e = entries.poll();
-            nowNs = e.atNs;
-            e.what.run();
+    /** Runs all actions that are due up to a time, and advances the virtual time to it. */
+    public void runUntil(long untilNs) {
+        while (!tasks.isEmpty() && tasks.peek().atNs <= untilNs) {
+            ScheduledTask task = tasks.poll();
+            nowNs = task.atNs;
+            task.action.run();
         }
-        nowNs = Math.max(nowNs, ns);
+        nowNs = Math.max(nowNs, untilNs);
     }
 }
--- a/lab/src/test/java/mulleinlever/lab/FleetLogTest.java
+++ b/lab/src/test/java/mulleinlever/lab/FleetLogTest.java
@@ -11,8 +11,12 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
+/** Tests {@link FleetLog} on the logs of two sidecars. */
 class FleetLogTest {
-    /** The first with a time of the collector's own; its sidecar started later than the other's. */
+    /**
+     * Guards against summing and ordering lines by the time since the start of each sidecar: the
+     * lines of n1 begin with a time of the log collector, and n1 started later than n2.
+     */
     @Test
     void sumsCountsPerSecondAndListsOneReqInTimeOrder(@TempDir Path folder) throws IOException {
         Files.writeString(
@@ -27,7 +31,7 @@
                 """
                    8.100 count: in=1 completed=1 try_ok=1 clients=2 links=4 room=4.0 open=0 ease=0.30
                    8.200 req: 00aa errored after 3 ms
-                no line of ours
+                not a log line
                 """);
         Files.writeString(folder.resolve("other.txt"), "8.1 count: in=100");
         var out = new ByteArrayOutputStream();
--- a/lab/src/test/java/mulleinlever/lab/emu/EmulatedFleetTest.java
+++ b/lab/src/test/java/mulleinlever/lab/emu/EmulatedFleetTest.java
@@ -9,16 +9,20 @@
 import mulleinlever.Settings;
 import org.junit.jupiter.api.Test;
 
+/** Tests that {@link EmulatedFleet} is deterministic and accounts for each req. */
 class EmulatedFleetTest {
-    private static final long SECOND = 1_000_000_000L;
+    private static final long SECOND_NS = 1_000_000_000L;
 
-    /** How each req ended, in order, while a pod hangs and a sidecar is killed and starts again. */
-    private static List<String> ends(long seed) {
-        List<String> ends = new ArrayList<>();
+    /**
+     * Returns how each req ended, in order, in a run in which a pod hangs and a sidecar is killed
+     * and restarted.
+     */
+    private static List<String> runAndCollectOutcomes(long seed) {
+        List<String> outcomes = new ArrayList<>();
         var route =
                 EmulationSettings.createRoute(
                         "read", Settings.RetrySafety.IDEMPOTENT, 150, 1000, 1);
-        EmulatedFleet w =
+        EmulatedFleet fleet =
                 new EmulatedFleet(
                         new EmulatedFleet.FleetSpec(
                                 6,
@@ -30,27 +34,30 @@
                                                 route, 1, 10_000_000, 30_000_000)),
                                 200),
                         seed,
-                        1000 * SECOND,
-                        (sidecar, r, askedNs, tookNs, how) ->
-                                ends.add(sidecar + " " + askedNs + " " + tookNs + " " + how));
-        w.pods().get(0).setHung(true);
-        w.scheduler().runUntil(1002 * SECOND);
-        w.killSidecar(1);
-        w.scheduler().runUntil(1003 * SECOND);
-        w.startSidecar(1);
-        w.scheduler().runUntil(1006 * SECOND);
-        return ends;
+                        1000 * SECOND_NS,
+                        (sidecar, r, arrivedNs, tookNs, outcome) ->
+                                outcomes.add(
+                                        sidecar + " " + arrivedNs + " " + tookNs + " " + outcome));
+        fleet.pods().get(0).setHung(true);
+        fleet.scheduler().runUntil(1002 * SECOND_NS);
+        fleet.killSidecar(1);
+        fleet.scheduler().runUntil(1003 * SECOND_NS);
+        fleet.startSidecar(1);
+        fleet.scheduler().runUntil(1006 * SECOND_NS);
+        return outcomes;
     }
 
     @Test
     void sameSeedGivesTheSameRunAndEachReqEndsOnce() {
-        List<String> once = ends(1);
-        assertEquals(once, ends(1));
-        assertNotEquals(once, ends(2));
-        assertTrue(once.size() > 800, once.size() + " reqs");
-        assertTrue(once.stream().filter(e -> e.endsWith("COMPLETED")).count() > 0.7 * once.size());
+        List<String> outcomes = runAndCollectOutcomes(1);
+        assertEquals(outcomes, runAndCollectOutcomes(1));
+        assertNotEquals(outcomes, runAndCollectOutcomes(2));
+        assertTrue(outcomes.size() > 800, outcomes.size() + " reqs");
         assertTrue(
-                once.stream().anyMatch(e -> e.startsWith("1 ") && e.endsWith("null")),
-                "nobody met the dead sidecar");
+                outcomes.stream().filter(e -> e.endsWith("COMPLETED")).count()
+                        > 0.7 * outcomes.size());
+        assertTrue(
+                outcomes.stream().anyMatch(e -> e.startsWith("1 ") && e.endsWith("null")),
+                "no req arrived while the sidecar was down");
     }
 }
