--- a/core/src/main/java/mulleinlever/ExposureBudget.java
+++ b/core/src/main/java/mulleinlever/ExposureBudget.java
@@ -4,41 +4,50 @@
 import java.util.Map;
 
 /**
- * What may still be sent to builds on trial. Each req earns its share and only the free number is
- * saved, so that no window whatever its length exceeds the rule.
+ * Limits the number of tries that may be sent to builds on trial. Each build on trial has a token
+ * bucket, or one for each route. Each req that arrives adds the build's exposure cap to it, and
+ * each try at the build takes one token. No more tokens are kept than the exposure burst, which the
+ * exposure rule does not count, so that the rule holds in windows of any length. Used by {@link
+ * Policy} on the event loop.
  */
 final class ExposureBudget {
     private final Settings.RolloutSettings rollout;
-    private final int routes;
-    private final Map<Integer, double[]> left = new HashMap<>();
+    private final int routeCount;
+    private final Map<Integer, double[]> tokensByBuild = new HashMap<>();
 
-    ExposureBudget(Settings.RolloutSettings rollout, int routes) {
+    ExposureBudget(Settings.RolloutSettings rollout, int routeCount) {
         this.rollout = rollout;
-        this.routes = routes;
+        this.routeCount = routeCount;
     }
 
+    /**
+     * Returns the tokens of a build by route, or in element 0 if all routes share a bucket. The
+     * first call for a build creates its buckets, which are empty.
+     */
     double[] tokensOf(int build) {
-        return left.computeIfAbsent(build, b -> new double[routes]);
+        return tokensByBuild.computeIfAbsent(build, b -> new double[routeCount]);
     }
 
-    void accrue(RolloutStatus news, int route) {
-        left.forEach(
-                (build, saved) ->
-                        saved[lane(route)] =
+    /** Adds the tokens for a req of a route that has arrived. */
+    void accrue(RolloutStatus status, int route) {
+        tokensByBuild.forEach(
+                (build, tokens) ->
+                        tokens[tokenIndex(route)] =
                                 Math.min(
                                         rollout.exposureBurst(),
-                                        saved[lane(route)] + news.capOf(build, rollout)));
+                                        tokens[tokenIndex(route)] + status.capOf(build, rollout)));
     }
 
     boolean hasToken(int build, int route) {
-        return tokensOf(build)[lane(route)] >= 1;
+        return tokensOf(build)[tokenIndex(route)] >= 1;
     }
 
+    /** Takes a token for a try that is sent. */
     void consume(int build, int route) {
-        tokensOf(build)[lane(route)]--;
+        tokensOf(build)[tokenIndex(route)]--;
     }
 
-    private int lane(int route) {
+    private int tokenIndex(int route) {
         return rollout.isExposurePerRoute() ? route : 0;
     }
 }
--- a/core/src/main/java/mulleinlever/Pod.java
+++ b/core/src/main/java/mulleinlever/Pod.java
@@ -2,52 +2,79 @@
 
 import java.util.SplittableRandom;
 
-/** A pod as this sidecar knows it: its line of the list, and what its tries have shown. */
+/**
+ * A pod as this sidecar knows it: its entry in the pod list and what tries have shown of it.
+ * Changed by {@link Policy} on the event loop. Times are nanoseconds.
+ */
 final class Pod {
     final String id;
     PodEntry listEntry;
 
-    /** When it started, by our own clock; 0 for long ago. */
+    /** When the pod started, by the clock of this sidecar; 0 for long ago. */
     long startedNs;
 
-    /** One for all pods that lie there. */
+    /** Shared by all pods of the zone; null until the first {@link #update}. */
     ZoneReachability zoneReachability;
 
     int openTryCount;
-    long unansweredSinceNs;
-    long lastAnswerNs = Long.MIN_VALUE / 2;
 
     /**
-     * When the last request that it has served was sent, and when a connection to it last failed.
+     * Since when the pod has given no answer to any of its open tries; meaningless while none is
+     * open.
      */
+    long unansweredSinceNs;
+
+    /** When the pod last answered; long ago if a connection attempt has failed since. */
+    long lastAnswerNs = Long.MIN_VALUE / 2;
+
+    /** When the latest of the tries that the pod has served was sent. */
     long lastServedSentNs = Long.MIN_VALUE / 2;
 
+    /** When a connection to the pod last failed. */
     long lastConnectionFailureNs = Long.MIN_VALUE / 2;
+
+    /** Raised by failed tries and lowered by successful ones; a high score ejects the pod. */
     int failureScore;
+
     long ejectedUntilNs;
+
+    /** The mean of try time divided by the mean try time of the route. */
     final DecayingMean relativeLatency;
+
     final DecayingMean lateShare;
+
+    /** The number of tries that may be sent at this moment during slow start. */
     double slowStartTokens;
-    private long coldAtNs;
+
+    /** When {@link #slowStartTokens} was last refilled; 0 before the first time. */
+    private long lastRefillNs;
+
+    /** When the time that {@link #idleSinceGoneNs} returns began; 0 before its first call. */
     private long goneSinceNs;
 
-    Pod(PodEntry is, long halfLifeNs) {
-        this.id = is.id();
-        this.listEntry = is;
-        this.startedNs = is.startedNs();
+    Pod(PodEntry entry, long halfLifeNs) {
+        this.id = entry.id();
+        this.listEntry = entry;
+        this.startedNs = entry.startedNs();
         this.relativeLatency = new DecayingMean(halfLifeNs);
         this.lateShare = new DecayingMean(2 * halfLifeNs);
     }
 
-    /** It owes answers and has given none for long. */
-    boolean isUnresponsive(long nowNs, double afterNs) {
-        return openTryCount > 0 && nowNs - unansweredSinceNs > afterNs;
+    /** Returns whether the pod has open tries and has answered none for {@code thresholdNs}. */
+    boolean isUnresponsive(long nowNs, double thresholdNs) {
+        return openTryCount > 0 && nowNs - unansweredSinceNs > thresholdNs;
     }
 
-    void onTryEnded(long nowNs, boolean unanswered, boolean unreached) {
+    /**
+     * Called when a try at the pod has ended.
+     *
+     * @param unanswered whether it timed out or was cancelled
+     * @param connectFailed whether no connection could be opened
+     */
+    void onTryEnded(long nowNs, boolean unanswered, boolean connectFailed) {
         if (!unanswered) {
             unansweredSinceNs = nowNs;
-            lastAnswerNs = unreached ? Long.MIN_VALUE / 2 : nowNs;
+            lastAnswerNs = connectFailed ? Long.MIN_VALUE / 2 : nowNs;
         }
     }
 
@@ -59,19 +86,27 @@
                 failureScore);
     }
 
-    /** Takes what was remembered of it; false where that was of another machine under its id. */
-    boolean restore(long nowNs, LearnedState.PodStats was, double most, int mostStrikes) {
-        if (isSameInstance(was.is())) {
-            relativeLatency.restore(nowNs, was.slowness(), most);
-            lateShare.restore(nowNs, was.late(), most);
-            failureScore = Math.min(mostStrikes, was.strikes());
+    /**
+     * Restores what an earlier process learned of the pod, unless that is about another instance
+     * under the same id.
+     *
+     * @param maxWeight the maximum weight that a remembered mean gets
+     * @param maxFailureScore the maximum failure score after the restore
+     * @return false if it is about another instance
+     */
+    boolean restore(
+            long nowNs, LearnedState.PodStats learned, double maxWeight, int maxFailureScore) {
+        if (isSameInstance(learned.is())) {
+            relativeLatency.restore(nowNs, learned.slowness(), maxWeight);
+            lateShare.restore(nowNs, learned.late(), maxWeight);
+            failureScore = Math.min(maxFailureScore, learned.strikes());
         }
-        return isSameInstance(was.is());
+        return isSameInstance(learned.is());
     }
 
-    /** Whether this still is the pod of which that was learned. */
-    boolean isSameInstance(PodEntry then) {
-        return listEntry.startedNs() == then.startedNs() && listEntry.build() == then.build();
+    /** Returns whether the entry describes the same start and build of the pod. */
+    boolean isSameInstance(PodEntry entry) {
+        return listEntry.startedNs() == entry.startedNs() && listEntry.build() == entry.build();
     }
 
     boolean isReady() {
@@ -79,7 +114,8 @@
     }
 
     /**
-     * How long it has been gone with nothing left open, as far as it was asked; 0 while it is not.
+     * Returns for how long the pod has been gone without open tries, counted from the first call
+     * that found it so; 0 while it is not.
      */
     long idleSinceGoneNs(long nowNs) {
         boolean gone = listEntry.state() == PodEntry.State.GONE && openTryCount == 0;
@@ -88,37 +124,43 @@
     }
 
     /**
-     * What is saved up for a cold pod at a rate a second, up to a limit, from a random start below
+     * Refills the slow-start tokens and returns their number. They start at a random number below
      * 1.
      */
-    double refillSlowStartTokens(long nowNs, double rate, double most, SplittableRandom random) {
+    double refillSlowStartTokens(
+            long nowNs, double tokensPerSecond, double maxTokens, SplittableRandom random) {
         slowStartTokens =
-                coldAtNs == 0
+                lastRefillNs == 0
                         ? random.nextDouble()
-                        : Math.min(most, slowStartTokens + rate * (nowNs - coldAtNs) / 1e9);
-        coldAtNs = nowNs;
+                        : Math.min(
+                                maxTokens,
+                                slowStartTokens + tokensPerSecond * (nowNs - lastRefillNs) / 1e9);
+        lastRefillNs = nowNs;
         return slowStartTokens;
     }
 
     /**
-     * Takes a new line of the list. An id may come back as another machine: its past counts for
-     * nothing.
+     * Takes over a new list entry. The same id may come back as another machine: the failure score,
+     * the slow-start tokens and the latest served try then start afresh.
+     *
+     * @param reachability of the zone in the entry
+     * @param listConfirmedNs when the list was last known to be correct without this entry
      */
     void update(
             PodEntry entry,
-            ZoneReachability in,
-            PodStartEstimator starts,
-            long listTrueNs,
+            ZoneReachability reachability,
+            PodStartEstimator startEstimator,
+            long listConfirmedNs,
             long nowNs) {
         if (zoneReachability == null || !isSameInstance(entry)) {
-            startedNs = starts.estimateStartNs(entry.startedNs(), listTrueNs, nowNs);
+            startedNs = startEstimator.estimateStartNs(entry.startedNs(), listConfirmedNs, nowNs);
         }
         if (!isSameInstance(entry)) {
             lastServedSentNs = Long.MIN_VALUE / 2;
             failureScore = 0;
-            coldAtNs = 0;
+            lastRefillNs = 0;
         }
         listEntry = entry;
-        zoneReachability = in;
+        zoneReachability = reachability;
     }
 }
--- a/core/src/main/java/mulleinlever/RouteState.java
+++ b/core/src/main/java/mulleinlever/RouteState.java
@@ -1,22 +1,35 @@
 package mulleinlever;
 
-/** One route: its settings, its place in the table and what its tries take. */
+/**
+ * A route: its settings, its index among the routes and the times of its tries. Changed by {@link
+ * Policy} on the event loop. Times are nanoseconds.
+ */
 final class RouteState {
     final Settings.RouteSettings settings;
     final int index;
     final DecayingMean tryTimes;
+
+    /** The times of tries outside trials, from which the late threshold is derived. */
     final DecayingMean baselineTryTimes;
+
+    /** The time above which a try counts as late. */
     double lateThresholdNs;
 
-    private double firstNs;
+    /** The mean try time that is assumed before any try has been seen. */
+    private double initialMeanNs;
 
-    RouteState(Settings.RouteSettings is, int at, long halfLifeNs, double firstMean) {
-        this.settings = is;
-        this.index = at;
-        this.lateThresholdNs = is.latencyObjectiveNs();
+    /**
+     * @param initialMeanRatio the mean try time that is assumed at first, divided by the latency
+     *     objective
+     */
+    RouteState(
+            Settings.RouteSettings settings, int index, long halfLifeNs, double initialMeanRatio) {
+        this.settings = settings;
+        this.index = index;
+        this.lateThresholdNs = settings.latencyObjectiveNs();
         this.tryTimes = new DecayingMean(halfLifeNs);
         this.baselineTryTimes = new DecayingMean(2 * halfLifeNs);
-        this.firstNs = firstMean * is.latencyObjectiveNs();
+        this.initialMeanNs = initialMeanRatio * settings.latencyObjectiveNs();
     }
 
     LearnedState.RouteStats toLearned(long nowNs, int build) {
@@ -25,22 +38,32 @@
     }
 
     /**
-     * What was remembered stands in for the settings' guess, so that the first answer counts as
-     * much. The mark of lateness, so many times the usual mean, is taken where that is above 0.
+     * Restores what an earlier process learned of the route. The remembered mean is merged into the
+     * initial mean, which keeps its weight, so that the first answers count as much as without it.
+     *
+     * @param maxWeight the maximum weight that the remembered baseline gets
+     * @param lateMeanMultiple the late threshold as a multiple of the baseline's mean; 0 to leave
+     *     baseline and threshold as they are
      */
-    void restore(long nowNs, LearnedState.RouteStats was, double most, double lateMeans) {
-        firstNs =
-                (firstNs + was.times().mean() * was.times().weight()) / (1 + was.times().weight());
-        if (lateMeans > 0 && was.usual().weight() > 0) {
-            baselineTryTimes.restore(nowNs, was.usual(), most);
-            lateThresholdNs = lateMeans * was.usual().mean();
+    void restore(
+            long nowNs,
+            LearnedState.RouteStats learned,
+            double maxWeight,
+            double lateMeanMultiple) {
+        initialMeanNs =
+                (initialMeanNs + learned.times().mean() * learned.times().weight())
+                        / (1 + learned.times().weight());
+        if (lateMeanMultiple > 0 && learned.usual().weight() > 0) {
+            baselineTryTimes.restore(nowNs, learned.usual(), maxWeight);
+            lateThresholdNs = lateMeanMultiple * learned.usual().mean();
         }
     }
 
     double meanTryTimeNs(long nowNs) {
-        return tryTimes.meanAt(nowNs, firstNs, 1);
+        return tryTimes.meanAt(nowNs, initialMeanNs, 1);
     }
 
+    /** Returns the value of a completed req per nanosecond of mean try time. */
     double valuePerNs(long nowNs) {
         return settings.value() / meanTryTimeNs(nowNs);
     }
