--- a/sidecar/src/main/java/mulleinlever/sidecar/ChunkedHttpConnection.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/ChunkedHttpConnection.java
@@ -14,15 +14,16 @@
         TRAILERS
     }
 
-    private static final int MOST_HEAD = 8192;
+    private static final int MAX_PROTOCOL_LINE_LENGTH = 8192;
 
-    private final StringBuilder head = new StringBuilder();
-    private ParseState part = ParseState.STATUS;
+    private final StringBuilder protocolLine = new StringBuilder();
+    private ParseState state = ParseState.STATUS;
     private boolean chunked;
-    private int left;
+    private int remainingChunkBytes;
 
-    ChunkedHttpConnection(NettyTransport net, int longest, RateLimitedLog log, String about) {
-        super(net, longest, log, about);
+    ChunkedHttpConnection(
+            NettyTransport transport, int maxLineBytes, RateLimitedLog log, String logLabel) {
+        super(transport, maxLineBytes, log, logLabel);
     }
 
     /** The last chunk has come. */
@@ -31,61 +32,61 @@
     @Override
     final void decode(ByteBuf in) {
         while (in.isReadable()) {
-            if (part == ParseState.CHUNK_DATA) {
-                int n = Math.min(left, in.readableBytes());
-                for (int i = 0; i < n; i++) {
+            if (state == ParseState.CHUNK_DATA) {
+                int readableChunkBytes = Math.min(remainingChunkBytes, in.readableBytes());
+                for (int i = 0; i < readableChunkBytes; i++) {
                     appendByte(in.readByte());
                 }
-                left -= n;
-                part = left == 0 ? ParseState.CHUNK_END : part;
+                remainingChunkBytes -= readableChunkBytes;
+                state = remainingChunkBytes == 0 ? ParseState.CHUNK_END : state;
             } else {
-                headLetter((char) in.readUnsignedByte());
+                appendProtocolChar((char) in.readUnsignedByte());
             }
         }
     }
 
-    private void headLetter(char c) {
+    private void appendProtocolChar(char c) {
         if (c != '\n') {
-            if (head.length() == MOST_HEAD) {
-                throw new InvalidInputException("a head longer than " + MOST_HEAD);
+            if (protocolLine.length() == MAX_PROTOCOL_LINE_LENGTH) {
+                throw new InvalidInputException("a head longer than " + MAX_PROTOCOL_LINE_LENGTH);
             }
-            head.append(c);
+            protocolLine.append(c);
             return;
         }
-        String text = head.toString().trim();
-        head.setLength(0);
-        switch (part) {
+        String line = protocolLine.toString().trim();
+        protocolLine.setLength(0);
+        switch (state) {
             case STATUS -> {
-                if (!text.matches("HTTP/1\\.[01] 200( .*)?")) {
-                    throw new UnexpectedStatusException(text);
+                if (!line.matches("HTTP/1\\.[01] 200( .*)?")) {
+                    throw new UnexpectedStatusException(line);
                 }
-                part = ParseState.HEADERS;
+                state = ParseState.HEADERS;
             }
             case HEADERS -> {
-                chunked |= text.matches("(?i)transfer-encoding:\\s*chunked");
-                if (text.isEmpty() && !chunked) {
+                chunked |= line.matches("(?i)transfer-encoding:\\s*chunked");
+                if (line.isEmpty() && !chunked) {
                     throw new InvalidInputException("discovery answers in one piece");
                 }
-                part = text.isEmpty() ? ParseState.CHUNK_SIZE : part;
+                state = line.isEmpty() ? ParseState.CHUNK_SIZE : state;
             }
             case CHUNK_SIZE -> {
-                left = size(text);
-                part = left == 0 ? ParseState.TRAILERS : ParseState.CHUNK_DATA;
+                remainingChunkBytes = parseChunkSize(line);
+                state = remainingChunkBytes == 0 ? ParseState.TRAILERS : ParseState.CHUNK_DATA;
             }
-            case CHUNK_END -> part = ParseState.CHUNK_SIZE;
+            case CHUNK_END -> state = ParseState.CHUNK_SIZE;
             default -> {
-                if (text.isEmpty()) {
+                if (line.isEmpty()) {
                     onResponseComplete();
                 }
             }
         }
     }
 
-    private static int size(String text) {
+    private static int parseChunkSize(String text) {
         try {
-            int n = Integer.parseInt(text.replaceAll("\\s*;.*", ""), 16);
-            if (n >= 0) {
-                return n;
+            int chunkSize = Integer.parseInt(text.replaceAll("\\s*;.*", ""), 16);
+            if (chunkSize >= 0) {
+                return chunkSize;
             }
         } catch (NumberFormatException e) {
             throw new InvalidInputException("a chunk of size " + text);
--- a/sidecar/src/main/java/mulleinlever/sidecar/Clock.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/Clock.java
@@ -10,19 +10,19 @@
  */
 final class Clock {
     /** A wall clock that is kept in step by small corrections moves less against the steady one. */
-    private static final long STEP_NS = 500_000_000L;
+    private static final long MIN_STEP_NS = 500_000_000L;
 
-    private final LongSupplier wallNs;
-    private final long aheadNs;
+    private final LongSupplier wallClockNs;
+    private final long unixOffsetNs;
 
     Clock() {
         this(Clock::unixNs);
     }
 
     /** With another source of Unix time, in nanoseconds. */
-    Clock(LongSupplier wallNs) {
-        this.wallNs = wallNs;
-        aheadNs = wallNs.getAsLong() - System.nanoTime();
+    Clock(LongSupplier wallClockNs) {
+        this.wallClockNs = wallClockNs;
+        unixOffsetNs = wallClockNs.getAsLong() - System.nanoTime();
     }
 
     private static long unixNs() {
@@ -31,7 +31,7 @@
     }
 
     long nowNs() {
-        return System.nanoTime() + aheadNs;
+        return System.nanoTime() + unixOffsetNs;
     }
 
     /**
@@ -39,12 +39,12 @@
      * not.
      */
     long wallClockStepNs() {
-        long byNs = wallNs.getAsLong() - nowNs();
-        return Math.abs(byNs) < STEP_NS ? 0 : byNs;
+        long stepNs = wallClockNs.getAsLong() - nowNs();
+        return Math.abs(stepNs) < MIN_STEP_NS ? 0 : stepNs;
     }
 
     /** A moment told in Unix milliseconds; 0 stays 0, which means long ago. */
-    static long unixMsToNs(long ms) {
-        return ms * 1_000_000L;
+    static long unixMsToNs(long unixMs) {
+        return unixMs * 1_000_000L;
     }
 }
--- a/sidecar/src/main/java/mulleinlever/sidecar/ConfigReloader.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/ConfigReloader.java
@@ -12,26 +12,29 @@
  */
 final class ConfigReloader {
     private final Map<String, String> env;
-    private final NettyTransport net;
+    private final NettyTransport transport;
     private final RateLimitedLog log;
-    private SidecarConfig at;
+    private SidecarConfig config;
 
     /** Null while the sidecar starts. */
-    private SidecarComponents stages;
+    private SidecarComponents components;
 
     ConfigReloader(
-            Map<String, String> env, SidecarConfig at, NettyTransport net, RateLimitedLog log) {
+            Map<String, String> env,
+            SidecarConfig config,
+            NettyTransport transport,
+            RateLimitedLog log) {
         this.env = env;
-        this.at = at;
-        this.net = net;
+        this.config = config;
+        this.transport = transport;
         this.log = log;
     }
 
     /** What was told until now counts for these. */
-    void applyTo(SidecarComponents started) {
-        stages = started;
-        stages.discovery.updateAddress(at.discoveryAddress());
-        stages.releasePlatform.updateAddress(at.releaseApiAddress());
+    void applyTo(SidecarComponents startedComponents) {
+        components = startedComponents;
+        components.discovery.updateAddress(config.discoveryAddress());
+        components.releasePlatform.updateAddress(config.releaseApiAddress());
     }
 
     /**
@@ -40,18 +43,22 @@
      */
     void installSignalHandler() {
         try {
-            Class<?> signal = Class.forName("sun.misc.Signal");
-            Class<?> handler = Class.forName("sun.misc.SignalHandler");
-            Object ours =
+            Class<?> signalClass = Class.forName("sun.misc.Signal");
+            Class<?> handlerClass = Class.forName("sun.misc.SignalHandler");
+            Object handler =
                     Proxy.newProxyInstance(
-                            handler.getClassLoader(),
-                            new Class<?>[] {handler},
+                            handlerClass.getClassLoader(),
+                            new Class<?>[] {handlerClass},
                             (self, method, args) -> {
-                                heard();
+                                reload();
                                 return null;
                             });
-            signal.getMethod("handle", signal, handler)
-                    .invoke(null, signal.getConstructor(String.class).newInstance("HUP"), ours);
+            signalClass
+                    .getMethod("handle", signalClass, handlerClass)
+                    .invoke(
+                            null,
+                            signalClass.getConstructor(String.class).newInstance("HUP"),
+                            handler);
         } catch (ReflectiveOperationException | IllegalArgumentException e) {
             log.info("reload", "SIGHUP can't be heard here: " + e);
         }
@@ -62,10 +69,10 @@
      * the file read last is the one taken last. Whatever is wrong with the file, what was told
      * before stands.
      */
-    private synchronized void heard() {
-        SidecarConfig next;
+    private synchronized void reload() {
+        SidecarConfig newConfig;
         try {
-            next = SidecarConfig.load(env);
+            newConfig = SidecarConfig.load(env);
         } catch (RuntimeException e) {
             log.info(
                     "reload",
@@ -73,31 +80,31 @@
                             + (e instanceof InvalidInputException ? e.getMessage() : e.toString()));
             return;
         }
-        net.execute(() -> take(next));
+        transport.execute(() -> applyConfig(newConfig));
     }
 
-    private void take(SidecarConfig next) {
-        List<String> left = new ArrayList<>();
+    private void applyConfig(SidecarConfig newConfig) {
+        List<String> restartKeys = new ArrayList<>();
         for (String key : SidecarConfig.RESTART_REQUIRED.keySet()) {
             if (!SidecarConfig.RESTART_REQUIRED
                     .get(key)
-                    .apply(next)
-                    .equals(SidecarConfig.RESTART_REQUIRED.get(key).apply(at))) {
-                left.add(key);
+                    .apply(newConfig)
+                    .equals(SidecarConfig.RESTART_REQUIRED.get(key).apply(config))) {
+                restartKeys.add(key);
             }
         }
         log.info(
                 "reload",
                 "discovery at "
-                        + next.discoveryAddress()
+                        + newConfig.discoveryAddress()
                         + ", platform at "
-                        + next.releaseApiAddress()
-                        + (left.isEmpty()
+                        + newConfig.releaseApiAddress()
+                        + (restartKeys.isEmpty()
                                 ? ""
-                                : "; a restart is needed for " + String.join(", ", left)));
-        at = next;
-        if (stages != null) {
-            applyTo(stages);
+                                : "; a restart is needed for " + String.join(", ", restartKeys)));
+        config = newConfig;
+        if (components != null) {
+            applyTo(components);
         }
     }
 }
--- a/sidecar/src/main/java/mulleinlever/sidecar/DiscoveryClient.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/DiscoveryClient.java
@@ -10,101 +10,101 @@
  * Watches the list of pods. When a watch ends the module is told, and asks again when it wants to.
  */
 final class DiscoveryClient {
-    private static final int LONGEST = 4 << 20;
-    private static final long CONNECT_NS = 1_000_000_000L;
+    private static final int MAX_OBJECT_LENGTH = 4 << 20;
+    private static final long CONNECT_TIMEOUT_NS = 1_000_000_000L;
 
     /**
      * An empty line comes every 2 s; after this long without one, the other end is gone or cut off.
      */
-    private static final long SILENT_NS = 2_700_000_000L;
+    private static final long SILENCE_TIMEOUT_NS = 2_700_000_000L;
 
     /**
      * How often the wait for the first byte doubles while calls end without one: the line may be
      * long.
      */
-    private static final int MOST_DOUBLINGS = 2;
+    private static final int MAX_TIMEOUT_DOUBLINGS = 2;
 
     /** An answer that comes slowly is waited for, but not for ever. */
-    private static final long OBJECT_NS = 20_000_000_000L;
+    private static final long OBJECT_TIMEOUT_NS = 20_000_000_000L;
 
-    private final NettyTransport net;
+    private final NettyTransport transport;
     private final Clock clock;
     private final RateLimitedLog log;
     private InetSocketAddress address;
-    private final PodConnectionPool pods;
+    private final PodConnectionPool connectionPool;
     private Policy policy;
-    private long version;
+    private long listVersion;
     private Watch watch;
 
     /** Calls in a row that ended in silence without a byte. */
-    private int unanswered;
+    private int unansweredWatchCount;
 
-    private int watches;
+    private int watchCount;
 
     /**
      * When the last line of a watch came, which is when the list was last known to be true; the
      * start before any.
      */
-    private long heardNs;
+    private long lastConfirmedNs;
 
-    private boolean heard;
+    private boolean confirmed;
 
     /** Whether nobody listened at its address when it was asked last. */
-    private boolean unreached;
+    private boolean unreachable;
 
     DiscoveryClient(
-            NettyTransport net,
+            NettyTransport transport,
             Clock clock,
             RateLimitedLog log,
             InetSocketAddress address,
-            PodConnectionPool pods) {
-        this.net = net;
+            PodConnectionPool connectionPool) {
+        this.transport = transport;
         this.clock = clock;
         this.log = log;
         this.address = address;
-        this.pods = pods;
-        this.heardNs = clock.nowNs();
+        this.connectionPool = connectionPool;
+        this.lastConfirmedNs = clock.nowNs();
     }
 
-    void setPolicy(Policy decides) {
-        this.policy = decides;
+    void setPolicy(Policy policy) {
+        this.policy = policy;
     }
 
     /** Takes the list of the configuration, which nobody has confirmed yet. */
-    void applyInitialList(PodList known) {
-        take(known);
+    void applyInitialList(PodList list) {
+        applyList(list);
         policy.onPodListNeverConfirmed();
     }
 
     /** Takes a list from a watch. */
-    private void take(PodList list) {
+    private void applyList(PodList list) {
         log.info(
                 "discovery",
                 String.format(
                         Locale.ROOT,
                         "list: generation %d after %d, %s, %d entries",
                         list.version(),
-                        version,
+                        listVersion,
                         list.isFull() ? "whole" : "changes",
                         list.entries().size()));
-        version = list.version();
-        pods.updateAddresses(list);
+        listVersion = list.version();
+        connectionPool.updateAddresses(list);
         if (list.isFull()) {
             policy.onPodListReplaced(clock.nowNs(), list.entries());
         } else {
             policy.onPodListUpdated(clock.nowNs(), list.entries());
         }
-        pods.closeToLeavingPods(list);
+        connectionPool.closeToLeavingPods(list);
     }
 
     /** Of the list as last had. */
     long listVersion() {
-        return version;
+        return listVersion;
     }
 
     /** Whether the list is known to be true, or nobody is there who could tell. */
     boolean isListConfirmedOrUnreachable() {
-        return heard || unreached;
+        return confirmed || unreachable;
     }
 
     /**
@@ -112,7 +112,7 @@
      * since the start.
      */
     long listAgeNs() {
-        return clock.nowNs() - heardNs;
+        return clock.nowNs() - lastConfirmedNs;
     }
 
     /**
@@ -123,15 +123,18 @@
         if (watch != null) {
             watch.cancel();
         }
-        watch = new Watch(++watches);
-        log.info("discovery", watch + " opens at generation " + version);
-        watch.connect(address, CONNECT_NS, SILENT_NS << Math.min(unanswered, MOST_DOUBLINGS));
+        watch = new Watch(++watchCount);
+        log.info("discovery", watch + " opens at generation " + listVersion);
+        watch.connect(
+                address,
+                CONNECT_TIMEOUT_NS,
+                SILENCE_TIMEOUT_NS << Math.min(unansweredWatchCount, MAX_TIMEOUT_DOUBLINGS));
     }
 
     /** The list had so far stands; what changed behind its version is told at the other address. */
-    void updateAddress(InetSocketAddress to) {
-        if (!to.equals(address)) {
-            address = to;
+    void updateAddress(InetSocketAddress newAddress) {
+        if (!newAddress.equals(address)) {
+            address = newAddress;
             policy.onDiscoveryChanged();
             openWatch();
         }
@@ -139,13 +142,13 @@
 
     private final class Watch extends ChunkedHttpConnection {
         private final int number;
-        private final JsonObjectAssembler objects = new JsonObjectAssembler(LONGEST);
+        private final JsonObjectAssembler assembler = new JsonObjectAssembler(MAX_OBJECT_LENGTH);
 
         /** When the object under way began, at the latest when the one before was whole. */
-        private long objectNs = clock.nowNs();
+        private long objectStartNs = clock.nowNs();
 
         Watch(int number) {
-            super(net, LONGEST, log, "discovery");
+            super(transport, MAX_OBJECT_LENGTH, log, "discovery");
             this.number = number;
         }
 
@@ -157,7 +160,7 @@
         @Override
         String initialRequest() {
             return "GET /discovery/hosts?stream=1&index="
-                    + version
+                    + listVersion
                     + " HTTP/1.1\r\nHost: "
                     + address.getHostString()
                     + ":"
@@ -167,23 +170,25 @@
 
         @Override
         void onBytesReceived() {
-            resetTimeout(Math.min(SILENT_NS, objectNs + OBJECT_NS - clock.nowNs()));
+            resetTimeout(
+                    Math.min(
+                            SILENCE_TIMEOUT_NS, objectStartNs + OBJECT_TIMEOUT_NS - clock.nowNs()));
         }
 
         @Override
-        void onLine(String text) {
-            String object = objects.addLine(text);
-            if (object == null) {
+        void onLine(String line) {
+            String json = assembler.addLine(line);
+            if (json == null) {
                 return;
             }
-            if (object.isBlank()) {
+            if (json.isBlank()) {
                 policy.onPodListConfirmed(clock.nowNs());
             } else {
-                take(PodList.fromJson(new JsonFieldReader("discovery: ", Json.parse(object))));
+                applyList(PodList.fromJson(new JsonFieldReader("discovery: ", Json.parse(json))));
             }
-            heardNs = clock.nowNs();
-            heard = true;
-            objectNs = heardNs;
+            lastConfirmedNs = clock.nowNs();
+            confirmed = true;
+            objectStartNs = lastConfirmedNs;
         }
 
         @Override
@@ -201,13 +206,16 @@
                             + " "
                             + describeProgress()
                             + ", list "
-                            + (heard ? "confirmed " : "never confirmed, taken ")
+                            + (confirmed ? "confirmed " : "never confirmed, taken ")
                             + listAgeNs() / 1_000_000
                             + " ms ago");
-            policy.onPodListUnconfirmed(heardNs);
-            unanswered = reason == EndReason.SILENT && !hasReceivedBytes() ? unanswered + 1 : 0;
-            unreached = reason == EndReason.REFUSED;
-            policy.onDiscoveryCallEnded(clock.nowNs(), !unreached);
+            policy.onPodListUnconfirmed(lastConfirmedNs);
+            unansweredWatchCount =
+                    reason == EndReason.SILENT && !hasReceivedBytes()
+                            ? unansweredWatchCount + 1
+                            : 0;
+            unreachable = reason == EndReason.REFUSED;
+            policy.onDiscoveryCallEnded(clock.nowNs(), !unreachable);
             policy.onPodListWatchFailed(clock.nowNs());
         }
     }
--- a/sidecar/src/main/java/mulleinlever/sidecar/JsonObjectAssembler.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/JsonObjectAssembler.java
@@ -4,17 +4,17 @@
 
 /** Puts JSON objects together from lines: one may take a single line or, indented, many. */
 final class JsonObjectAssembler {
-    private final int longest;
-    private final StringBuilder begun = new StringBuilder();
+    private final int maxLength;
+    private final StringBuilder partialObject = new StringBuilder();
     private int depth;
-    private boolean quoted;
+    private boolean inString;
     private boolean escaped;
 
     /**
-     * @param longest characters of an object at most
+     * @param maxLength characters of an object at most
      */
-    JsonObjectAssembler(int longest) {
-        this.longest = longest;
+    JsonObjectAssembler(int maxLength) {
+        this.maxLength = maxLength;
     }
 
     /**
@@ -26,33 +26,33 @@
      */
     String addLine(String line) {
         for (int i = 0; i < line.length(); i++) {
-            look(line.charAt(i));
+            updateNesting(line.charAt(i));
         }
-        if (depth <= 0 && begun.isEmpty()) {
+        if (depth <= 0 && partialObject.isEmpty()) {
             depth = 0;
             return line;
         }
-        if (begun.length() + line.length() > longest) {
-            throw new InvalidInputException("an object longer than " + longest);
+        if (partialObject.length() + line.length() > maxLength) {
+            throw new InvalidInputException("an object longer than " + maxLength);
         }
-        begun.append(line).append('\n');
+        partialObject.append(line).append('\n');
         if (depth > 0) {
             return null;
         }
-        String whole = begun.toString();
-        begun.setLength(0);
-        begun.trimToSize();
-        return whole;
+        String object = partialObject.toString();
+        partialObject.setLength(0);
+        partialObject.trimToSize();
+        return object;
     }
 
-    private void look(char c) {
-        if (quoted) {
-            quoted = escaped || c != '"';
+    private void updateNesting(char c) {
+        if (inString) {
+            inString = escaped || c != '"';
             escaped = !escaped && c == '\\';
             return;
         }
         switch (c) {
-            case '"' -> quoted = true;
+            case '"' -> inString = true;
             case '{', '[' -> depth++;
             case '}', ']' -> depth--;
             default -> {}
--- a/sidecar/src/main/java/mulleinlever/sidecar/Lifecycle.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/Lifecycle.java
@@ -22,8 +22,8 @@
         this.log = log;
     }
 
-    boolean isIn(Phase other) {
-        return phase == other;
+    boolean isIn(Phase expected) {
+        return phase == expected;
     }
 
     /** Phases only go forward; whether this one is new. */
--- a/sidecar/src/main/java/mulleinlever/sidecar/LineConnection.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/LineConnection.java
@@ -50,29 +50,30 @@
     private long bytesRead;
     private int linesRead;
     private String connectError = "";
-    private EndReason brokenBy = EndReason.CLOSED_BY_PEER;
+    private EndReason closeReason = EndReason.CLOSED_BY_PEER;
 
-    private final NettyTransport net;
-    private final int longest;
+    private final NettyTransport transport;
+    private final int maxLineBytes;
     private final RateLimitedLog log;
-    private final String about;
-    private byte[] line = new byte[256];
-    private int length;
+    private final String logLabel;
+    private byte[] lineBuffer = new byte[256];
+    private int lineLength;
     private Channel channel;
-    private Future<?> limit;
-    private boolean over;
+    private Future<?> timeoutTask;
+    private boolean ended;
 
-    LineConnection(NettyTransport net, int longest, RateLimitedLog log, String about) {
-        this.net = net;
-        this.longest = longest;
+    LineConnection(
+            NettyTransport transport, int maxLineBytes, RateLimitedLog log, String logLabel) {
+        this.transport = transport;
+        this.maxLineBytes = maxLineBytes;
         this.log = log;
-        this.about = about;
+        this.logLabel = logLabel;
     }
 
     abstract String initialRequest();
 
     /** Not called any more once the connection has ended or was dropped. */
-    abstract void onLine(String text);
+    abstract void onLine(String line);
 
     /** Bytes came, be it the middle of a line. */
     void onBytesReceived() {}
@@ -80,13 +81,13 @@
     /** Called once, when the connection has ended for whatever reason but {@link #cancel}. */
     abstract void onEnd(EndReason reason);
 
-    final void connect(InetSocketAddress to, long withinNs, long limitNs) {
+    final void connect(InetSocketAddress address, long connectTimeoutNs, long timeoutNs) {
         openedNs = System.nanoTime();
-        resetTimeout(limitNs);
+        resetTimeout(timeoutNs);
         channel =
-                net.connect(
-                        to,
-                        withinNs,
+                transport.connect(
+                        address,
+                        connectTimeoutNs,
                         this,
                         cause -> {
                             connectError = ": " + cause.getMessage();
@@ -98,18 +99,18 @@
     }
 
     /** It ends after this long, in place of any limit before. */
-    final void resetTimeout(long ns) {
-        if (limit != null) {
-            limit.cancel(false);
+    final void resetTimeout(long timeoutNs) {
+        if (timeoutTask != null) {
+            timeoutTask.cancel(false);
         }
-        limit = net.schedule(ns, () -> terminate(EndReason.SILENT));
+        timeoutTask = transport.schedule(timeoutNs, () -> terminate(EndReason.SILENT));
     }
 
     /** Without a word about it: whoever drops it needs none. */
     final void cancel() {
-        over = true;
-        if (limit != null) {
-            limit.cancel(false);
+        ended = true;
+        if (timeoutTask != null) {
+            timeoutTask.cancel(false);
         }
         if (channel != null) {
             channel.close();
@@ -117,7 +118,7 @@
     }
 
     final void terminate(EndReason reason) {
-        if (!over) {
+        if (!ended) {
             cancel();
             onEnd(reason);
         }
@@ -134,16 +135,16 @@
                         Locale.ROOT,
                         "after %d ms (connected %s, first byte %s, last byte %s; %d bytes, %d lines)",
                         (System.nanoTime() - openedNs) / 1_000_000,
-                        sinceOpened(connectedNs),
-                        sinceOpened(firstByteNs),
-                        sinceOpened(lastByteNs),
+                        formatSinceOpened(connectedNs),
+                        formatSinceOpened(firstByteNs),
+                        formatSinceOpened(lastByteNs),
                         bytesRead,
                         linesRead)
                 + connectError;
     }
 
-    private String sinceOpened(long atNs) {
-        return atNs == 0 ? "never" : (atNs - openedNs) / 1_000_000 + " ms";
+    private String formatSinceOpened(long timestampNs) {
+        return timestampNs == 0 ? "never" : (timestampNs - openedNs) / 1_000_000 + " ms";
     }
 
     /** What arrives is text already, unless a transfer coding lies around it. */
@@ -155,21 +156,24 @@
 
     final void appendByte(byte b) {
         if (b == '\n') {
-            int end = length > 0 && line[length - 1] == '\r' ? length - 1 : length;
-            length = 0;
-            if (!over) {
+            int end =
+                    lineLength > 0 && lineBuffer[lineLength - 1] == '\r'
+                            ? lineLength - 1
+                            : lineLength;
+            lineLength = 0;
+            if (!ended) {
                 linesRead++;
-                onLine(new String(line, 0, end, StandardCharsets.UTF_8));
+                onLine(new String(lineBuffer, 0, end, StandardCharsets.UTF_8));
             }
             return;
         }
-        if (length == longest) {
-            throw new InvalidInputException("a line longer than " + longest);
+        if (lineLength == maxLineBytes) {
+            throw new InvalidInputException("a line longer than " + maxLineBytes);
         }
-        if (length == line.length) {
-            line = Arrays.copyOf(line, 2 * length);
+        if (lineLength == lineBuffer.length) {
+            lineBuffer = Arrays.copyOf(lineBuffer, 2 * lineLength);
         }
-        line[length++] = b;
+        lineBuffer[lineLength++] = b;
     }
 
     @Override
@@ -186,7 +190,7 @@
         firstByteNs = firstByteNs == 0 ? lastByteNs : firstByteNs;
         bytesRead += in.readableBytes();
         try {
-            if (!over) {
+            if (!ended) {
                 onBytesReceived();
             }
             decode(in);
@@ -197,19 +201,19 @@
 
     @Override
     public final void channelInactive(ChannelHandlerContext ctx) {
-        terminate(brokenBy);
+        terminate(closeReason);
     }
 
     /** What can't be read costs the connection, and what it was for is asked anew. */
     @Override
     public final void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
         if (cause instanceof IOException) {
-            brokenBy = EndReason.RESET;
+            closeReason = EndReason.RESET;
         } else if (cause instanceof UnexpectedStatusException) {
-            brokenBy = EndReason.STATUS;
+            closeReason = EndReason.STATUS;
         } else {
-            brokenBy = EndReason.UNREADABLE;
-            log.internalError(about, cause);
+            closeReason = EndReason.UNREADABLE;
+            log.internalError(logLabel, cause);
         }
         ctx.close();
     }
--- a/sidecar/src/main/java/mulleinlever/sidecar/PodList.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/PodList.java
@@ -19,10 +19,10 @@
     /** Before any list was told: discovery is asked for all of it. */
     static final PodList EMPTY = new PodList(0, true, List.of(), Map.of());
 
-    static PodList fromJson(JsonFieldReader from) {
+    static PodList fromJson(JsonFieldReader reader) {
         List<PodEntry> entries = new ArrayList<>();
         Map<String, String> addresses = new LinkedHashMap<>();
-        for (JsonFieldReader pod : from.getObjects("instances")) {
+        for (JsonFieldReader pod : reader.getObjects("instances")) {
             String id = pod.getString("instanceId");
             PodEntry.State state = pod.getEnum("lifecycle", PodEntry.State.class);
             entries.add(
@@ -40,6 +40,9 @@
             }
         }
         return new PodList(
-                from.getLong("generation"), from.getBoolean("reset", false), entries, addresses);
+                reader.getLong("generation"),
+                reader.getBoolean("reset", false),
+                entries,
+                addresses);
     }
 }
--- a/sidecar/src/main/java/mulleinlever/sidecar/RateLimitedLog.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/RateLimitedLog.java
@@ -8,14 +8,14 @@
  * event loop.
  */
 final class RateLimitedLog {
-    private static final int MOST_A_SECOND = 20;
+    private static final int MAX_LINES_PER_SECOND = 20;
 
     private final PrintStream out;
     private final Clock clock;
     private final long startNs;
-    private long second;
-    private int said;
-    private int leftOut;
+    private long currentSecond;
+    private int lineCount;
+    private int droppedLineCount;
 
     RateLimitedLog(PrintStream out, Clock clock) {
         this.out = out;
@@ -24,29 +24,29 @@
     }
 
     /** A fault of our own: with where it was thrown, which is what its mender asks first. */
-    void internalError(String about, Throwable e) {
-        StackTraceElement[] at = e.getStackTrace();
-        info(about, "fault: " + e + (at.length > 0 ? " at " + at[0] : ""));
+    void internalError(String label, Throwable error) {
+        StackTraceElement[] stackTrace = error.getStackTrace();
+        info(label, "fault: " + error + (stackTrace.length > 0 ? " at " + stackTrace[0] : ""));
     }
 
-    synchronized void info(String about, String text) {
-        long sinceMs = (clock.nowNs() - startNs) / 1_000_000;
-        if (sinceMs / 1000 != second) {
-            second = sinceMs / 1000;
-            said = 0;
+    synchronized void info(String label, String message) {
+        long elapsedMs = (clock.nowNs() - startNs) / 1_000_000;
+        if (elapsedMs / 1000 != currentSecond) {
+            currentSecond = elapsedMs / 1000;
+            lineCount = 0;
         }
-        if (++said > MOST_A_SECOND) {
-            leftOut++;
+        if (++lineCount > MAX_LINES_PER_SECOND) {
+            droppedLineCount++;
             return;
         }
-        String before = leftOut > 0 ? "(" + leftOut + " lines left out) " : "";
-        leftOut = 0;
+        String prefix = droppedLineCount > 0 ? "(" + droppedLineCount + " lines left out) " : "";
+        droppedLineCount = 0;
         out.println(
                 String.format(
                         Locale.ROOT,
                         "%8.3f %s: %s",
-                        sinceMs / 1e3,
-                        about,
-                        before + text.replaceAll("[\\r\\n\\t]+", " ")));
+                        elapsedMs / 1e3,
+                        label,
+                        prefix + message.replaceAll("[\\r\\n\\t]+", " ")));
     }
 }
--- a/sidecar/src/main/java/mulleinlever/sidecar/ReleasePlatformClient.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/ReleasePlatformClient.java
@@ -12,70 +12,70 @@
 
 /** The platform that stages builds: its news on one connection, each vote on one of its own. */
 final class ReleasePlatformClient {
-    private static final int LONGEST = 8192;
-    private static final long CONNECT_NS = 1_000_000_000L;
+    private static final int MAX_LINE_BYTES = 8192;
+    private static final long CONNECT_TIMEOUT_NS = 1_000_000_000L;
 
     /**
      * A sign of life comes each second: two missed, and what the platform tells may not reach us
      * any more.
      */
-    private static final long SILENT_NS = 2_000_000_000L;
+    private static final long SILENCE_TIMEOUT_NS = 2_000_000_000L;
 
-    private static final long RETRY_NS = 300_000_000L;
-    private static final long ORDER_NS = 1_000_000_000L;
-    private static final long MS = 1_000_000L;
+    private static final long INITIAL_RECONNECT_DELAY_NS = 300_000_000L;
+    private static final long REORDER_WINDOW_NS = 1_000_000_000L;
+    private static final long MILLISECOND_NS = 1_000_000L;
 
     /** On trial, then released, or on the way back from either. */
-    private static final List<RolloutStatus.Phase> PHASES =
+    private static final List<RolloutStatus.Phase> PHASE_ORDER =
             List.of(
                     RolloutStatus.Phase.ON_TRIAL,
                     RolloutStatus.Phase.RELEASED,
                     RolloutStatus.Phase.REVERTING,
                     RolloutStatus.Phase.WITHDRAWN);
 
-    private static final Comparator<RolloutStatus> FORWARD =
+    private static final Comparator<RolloutStatus> PROGRESS_ORDER =
             Comparator.comparingInt(RolloutStatus::build)
-                    .thenComparingInt(n -> PHASES.indexOf(n.phase()))
+                    .thenComparingInt(n -> PHASE_ORDER.indexOf(n.phase()))
                     .thenComparingInt(RolloutStatus::stage);
 
-    private final NettyTransport net;
+    private final NettyTransport transport;
     private final Clock clock;
     private final RateLimitedLog log;
     private InetSocketAddress address;
-    private final long voteWaitNs;
+    private final long voteTimeoutNs;
     private Policy policy;
-    private RolloutStatus last;
-    private long lastNs;
-    private NotificationConnection listener;
-    private final ReconnectBackoff again;
+    private RolloutStatus latestStatus;
+    private long latestStatusNs;
+    private NotificationConnection notifications;
+    private final ReconnectBackoff reconnectBackoff;
 
     ReleasePlatformClient(
-            NettyTransport net, Clock clock, RateLimitedLog log, SidecarConfig config) {
-        this.net = net;
+            NettyTransport transport, Clock clock, RateLimitedLog log, SidecarConfig config) {
+        this.transport = transport;
         this.clock = clock;
         this.log = log;
         this.address = config.releaseApiAddress();
-        Settings set = config.settings();
-        this.voteWaitNs = set.rollout().voteTimeoutNs();
-        this.again =
+        Settings settings = config.settings();
+        this.voteTimeoutNs = settings.rollout().voteTimeoutNs();
+        this.reconnectBackoff =
                 new ReconnectBackoff(
-                        RETRY_NS,
+                        INITIAL_RECONNECT_DELAY_NS,
                         ReconnectBackoff.maxDelayNs(
-                                set.sidecarCount(), set.rollout().votesPerSecond()),
+                                settings.sidecarCount(), settings.rollout().votesPerSecond()),
                         config.seed());
     }
 
-    void setPolicy(Policy decides) {
-        this.policy = decides;
+    void setPolicy(Policy policy) {
+        this.policy = policy;
     }
 
-    static RolloutStatus.Phase parsePhase(String word, FieldReader at) {
+    static RolloutStatus.Phase parsePhase(String word, FieldReader reader) {
         return switch (word) {
             case "testing" -> RolloutStatus.Phase.ON_TRIAL;
             case "recalling" -> RolloutStatus.Phase.REVERTING;
             case "live" -> RolloutStatus.Phase.RELEASED;
             case "recalled" -> RolloutStatus.Phase.WITHDRAWN;
-            default -> throw at.fieldError("phase", "testing, recalling, live or recalled");
+            default -> throw reader.fieldError("phase", "testing, recalling, live or recalled");
         };
     }
 
@@ -85,54 +85,56 @@
      * what lies behind the news just heard is left out; not for long, lest one odd line make us
      * deaf.
      */
-    private void tell(RolloutStatus n) {
-        long now = clock.nowNs();
-        if (last == null || now - lastNs > ORDER_NS || FORWARD.compare(n, last) >= 0) {
-            last = n;
-            lastNs = now;
-            policy.onRolloutStatus(now, n);
+    private void applyStatus(RolloutStatus status) {
+        long nowNs = clock.nowNs();
+        if (latestStatus == null
+                || nowNs - latestStatusNs > REORDER_WINDOW_NS
+                || PROGRESS_ORDER.compare(status, latestStatus) >= 0) {
+            latestStatus = status;
+            latestStatusNs = nowNs;
+            policy.onRolloutStatus(nowNs, status);
         }
     }
 
     /** Where the newest build stood when last told, be it at the start. */
-    RolloutStatus latestStatusOr(RolloutStatus atFirst) {
-        return last == null ? atFirst : last;
+    RolloutStatus latestStatusOr(RolloutStatus initialStatus) {
+        return latestStatus == null ? initialStatus : latestStatus;
     }
 
     /** The news behind a line's first words. */
-    private static RolloutStatus news(String[] words, int from) {
+    private static RolloutStatus parseStatus(String[] words, int firstIndex) {
         RolloutStatus.Phase phase =
-                parsePhase(words[from + 2], new JsonFieldReader("platform: ", null));
+                parsePhase(words[firstIndex + 2], new JsonFieldReader("platform: ", null));
         return new RolloutStatus(
-                Integer.parseInt(words[from]),
-                Integer.parseInt(words[from + 1]),
+                Integer.parseInt(words[firstIndex]),
+                Integer.parseInt(words[firstIndex + 1]),
                 phase,
-                Double.parseDouble(words[from + 3]),
-                age(words[from + 4]));
+                Double.parseDouble(words[firstIndex + 3]),
+                parseAgeNs(words[firstIndex + 4]));
     }
 
-    private static long age(String ms) {
-        return (long) (Math.max(0, Double.parseDouble(ms)) * MS);
+    private static long parseAgeNs(String ageMs) {
+        return (long) (Math.max(0, Double.parseDouble(ageMs)) * MILLISECOND_NS);
     }
 
     void subscribe() {
-        listener = new NotificationConnection();
-        again.recordOpened(clock.nowNs());
-        listener.connect(address, CONNECT_NS, SILENT_NS);
+        notifications = new NotificationConnection();
+        reconnectBackoff.recordOpened(clock.nowNs());
+        notifications.connect(address, CONNECT_TIMEOUT_NS, SILENCE_TIMEOUT_NS);
     }
 
     /** Votes under way at the old address are still answered there, or end and may have counted. */
-    void updateAddress(InetSocketAddress to) {
-        if (!to.equals(address)) {
-            address = to;
-            listener.cancel();
+    void updateAddress(InetSocketAddress newAddress) {
+        if (!newAddress.equals(address)) {
+            address = newAddress;
+            notifications.cancel();
             subscribe();
         }
     }
 
-    void sendVote(int build, int stage, RolloutVote verdict) {
+    void sendVote(int build, int stage, RolloutVote vote) {
         String word =
-                switch (verdict) {
+                switch (vote) {
                     case NONE -> "clear";
                     case ON -> "approve";
                     case HOLD -> "wait";
@@ -140,36 +142,36 @@
                 };
         log.info("platform", "vote: build " + build + " stage " + stage + " " + word);
         new VoteConnection("BALLOT " + build + " " + stage + " " + word)
-                .connect(address, Math.min(CONNECT_NS, voteWaitNs), voteWaitNs);
+                .connect(address, Math.min(CONNECT_TIMEOUT_NS, voteTimeoutNs), voteTimeoutNs);
     }
 
     private final class VoteConnection extends LineConnection {
-        private final String ballot;
+        private final String command;
 
-        VoteConnection(String ballot) {
-            super(net, LONGEST, log, "platform");
-            this.ballot = ballot;
+        VoteConnection(String command) {
+            super(transport, MAX_LINE_BYTES, log, "platform");
+            this.command = command;
         }
 
         @Override
         String initialRequest() {
-            return ballot + "\r\n";
+            return command + "\r\n";
         }
 
         @Override
-        void onLine(String text) {
-            if (text.startsWith("*")) {
+        void onLine(String line) {
+            if (line.startsWith("*")) {
                 return;
             }
-            String[] words = text.split(" ");
-            boolean counts = words[0].equals("OK") && words.length >= 6;
-            RolloutStatus n = counts ? news(words, 1) : null;
+            String[] words = line.split(" ");
+            boolean accepted = words[0].equals("OK") && words.length >= 6;
+            RolloutStatus status = accepted ? parseStatus(words, 1) : null;
             cancel();
-            policy.onVoteAnswered(clock.nowNs(), counts);
-            if (counts) {
-                tell(n);
+            policy.onVoteAnswered(clock.nowNs(), accepted);
+            if (accepted) {
+                applyStatus(status);
             } else {
-                log.info("platform", "vote not taken: " + text);
+                log.info("platform", "vote not taken: " + line);
             }
         }
 
@@ -183,7 +185,7 @@
 
     private final class NotificationConnection extends LineConnection {
         NotificationConnection() {
-            super(net, LONGEST, log, "platform");
+            super(transport, MAX_LINE_BYTES, log, "platform");
         }
 
         @Override
@@ -192,22 +194,22 @@
         }
 
         @Override
-        void onLine(String text) {
-            resetTimeout(SILENT_NS);
-            String[] w = text.split(" ");
-            long now = clock.nowNs();
-            switch (w.length > 1 && w[0].equals("*") ? w[1] : "") {
-                case "progress" -> tell(news(w, 2));
+        void onLine(String line) {
+            resetTimeout(SILENCE_TIMEOUT_NS);
+            String[] words = line.split(" ");
+            long nowNs = clock.nowNs();
+            switch (words.length > 1 && words[0].equals("*") ? words[1] : "") {
+                case "progress" -> applyStatus(parseStatus(words, 2));
                 case "metrics" ->
                         policy.onPlatformTally(
-                                now,
-                                w[3],
-                                Integer.parseInt(w[2]),
-                                Double.parseDouble(w[4]),
-                                Double.parseDouble(w[5]),
-                                age(w[6]),
-                                age(w[7]));
-                case "complaint" -> policy.onComplaint(now, w[2], w[3]);
+                                nowNs,
+                                words[3],
+                                Integer.parseInt(words[2]),
+                                Double.parseDouble(words[4]),
+                                Double.parseDouble(words[5]),
+                                parseAgeNs(words[6]),
+                                parseAgeNs(words[7]));
+                case "complaint" -> policy.onComplaint(nowNs, words[2], words[3]);
                 default -> {}
             }
         }
@@ -215,12 +217,12 @@
         @Override
         void onEnd(EndReason reason) {
             log.info("platform", "the news have ended: " + reason + " " + describeProgress());
-            net.schedule(
-                    again.nextDelayNs(clock.nowNs()),
+            transport.schedule(
+                    reconnectBackoff.nextDelayNs(clock.nowNs()),
                     () -> {
                         // Unless the platform has moved meanwhile: news heard twice would count
                         // twice.
-                        if (listener == this) {
+                        if (notifications == this) {
                             subscribe();
                         }
                     });
--- a/sidecar/src/main/java/mulleinlever/sidecar/SidecarComponents.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/SidecarComponents.java
@@ -11,77 +11,81 @@
     /**
      * Descriptors for clients and for pods; the rest is for the files, the platform and discovery.
      */
-    private static final double CLIENTS_PART = 0.55;
+    private static final double CLIENT_SOCKET_SHARE = 0.55;
 
-    private static final double PODS_PART = 0.35;
+    private static final double POD_SOCKET_SHARE = 0.35;
 
     final ClientConnections clientConnections;
     final ReqRegistry reqRegistry;
     final DiscoveryClient discovery;
     final ReleasePlatformClient releasePlatform;
     final Policy policy;
-    private final PodConnectionPool pods;
-    private final ReqMemoryLimiter flow = new ReqMemoryLimiter();
-    private final QueryHandler admit;
-    private final SidecarMetrics counts;
+    private final PodConnectionPool connectionPool;
+    private final ReqMemoryLimiter memoryLimiter = new ReqMemoryLimiter();
+    private final QueryHandler queryHandler;
+    private final SidecarMetrics metrics;
     private final Clock clock;
     private final RateLimitedLog log;
     private boolean wallClockStepped;
 
     SidecarComponents(
             SidecarConfig config,
-            NettyTransport net,
+            NettyTransport transport,
             Clock clock,
             RateLimitedLog log,
-            Lifecycle life) {
+            Lifecycle lifecycle) {
         this.clock = clock;
         this.log = log;
-        Settings set = config.settings();
-        clientConnections = new ClientConnections((int) (CLIENTS_PART * config.maxSockets()), life);
-        counts = new SidecarMetrics(clock, log);
-        reqRegistry = new ReqRegistry(clock, counts);
-        pods =
+        Settings settings = config.settings();
+        clientConnections =
+                new ClientConnections((int) (CLIENT_SOCKET_SHARE * config.maxSockets()), lifecycle);
+        metrics = new SidecarMetrics(clock, log);
+        reqRegistry = new ReqRegistry(clock, metrics);
+        connectionPool =
                 new PodConnectionPool(
-                        net,
+                        transport,
                         clock,
                         log,
                         new PodResponseHandler(reqRegistry),
-                        (int) (PODS_PART * config.maxSockets()),
-                        set.policyLimits(),
-                        counts);
-        discovery = new DiscoveryClient(net, clock, log, config.discoveryAddress(), pods);
-        releasePlatform = new ReleasePlatformClient(net, clock, log, config);
-        SidecarPolicyActions route =
+                        (int) (POD_SOCKET_SHARE * config.maxSockets()),
+                        settings.policyLimits(),
+                        metrics);
+        discovery =
+                new DiscoveryClient(
+                        transport, clock, log, config.discoveryAddress(), connectionPool);
+        releasePlatform = new ReleasePlatformClient(transport, clock, log, config);
+        SidecarPolicyActions policyActions =
                 new SidecarPolicyActions(
-                        net,
+                        transport,
                         clock,
                         reqRegistry,
-                        new TryDispatcher(net, clock, reqRegistry, pods),
+                        new TryDispatcher(transport, clock, reqRegistry, connectionPool),
                         discovery,
                         releasePlatform,
                         log);
-        policy = new Policy(set, config.seed(), clock.nowNs(), route);
+        policy = new Policy(settings, config.seed(), clock.nowNs(), policyActions);
         reqRegistry.setPolicy(policy);
-        route.setPolicy(policy);
+        policyActions.setPolicy(policy);
         discovery.setPolicy(policy);
         releasePlatform.setPolicy(policy);
         discovery.applyInitialList(config.initialPodList());
         policy.onRolloutStatus(clock.nowNs(), config.initialRolloutStatus());
-        admit = new QueryHandler(set, reqRegistry, route);
+        queryHandler = new QueryHandler(settings, reqRegistry, policyActions);
     }
 
     /** For one client's connection. */
     ChannelHandler newClientHandler() {
-        return new ClientConnection(admit, clientConnections, flow, reqRegistry, clock, log);
+        return new ClientConnection(
+                queryHandler, clientConnections, memoryLimiter, reqRegistry, clock, log);
     }
 
     /** Where a pod listens; null where that is not known. */
-    String podAddress(String pod) {
-        return pods.podAddress(pod);
+    String podAddress(String podId) {
+        return connectionPool.podAddress(podId);
     }
 
     /** A step is told to the policy once: it can't be undone. */
-    private void watchWallClock() {
+    private void reportWallClockStep() {
         long steppedNs = clock.wallClockStepNs();
         if (steppedNs != 0 && !wallClockStepped) {
             wallClockStepped = true;
@@ -91,13 +95,13 @@
     }
 
     void runMaintenance() {
-        watchWallClock();
+        reportWallClockStep();
         clientConnections.closeStalled(clock.nowNs());
-        pods.evictExpired(clock.nowNs());
-        counts.logAndReset(
+        connectionPool.evictExpired(clock.nowNs());
+        metrics.logAndReset(
                 policy.stats(clock.nowNs()),
                 clientConnections.connectionCount(),
-                pods.connectionCount(),
+                connectionPool.connectionCount(),
                 discovery.listAgeNs());
     }
 }
--- a/sidecar/src/main/java/mulleinlever/sidecar/SidecarConfig.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/SidecarConfig.java
@@ -29,25 +29,26 @@
         RolloutStatus initialRolloutStatus,
         Settings settings) {
     /** Taken where no limit is told: what a process may usually open. */
-    private static final int SOCKETS = 1024;
+    private static final int DEFAULT_MAX_SOCKETS = 1024;
 
-    private static final int FEWEST_SOCKETS = 64;
+    private static final int MIN_SOCKETS = 64;
 
     /** What is taken at the start only, in the order of the keys. */
-    static final Map<String, Function<SidecarConfig, Object>> RESTART_REQUIRED = kept();
+    static final Map<String, Function<SidecarConfig, Object>> RESTART_REQUIRED =
+            restartRequiredSettings();
 
-    private static Map<String, Function<SidecarConfig, Object>> kept() {
-        Map<String, Function<SidecarConfig, Object>> all = new LinkedHashMap<>();
-        all.put("name", SidecarConfig::name);
-        all.put("listen", SidecarConfig::listenAddress);
-        all.put("seed", SidecarConfig::seed);
-        all.put("limits.sockets", SidecarConfig::maxSockets);
-        all.put("settings", SidecarConfig::settings);
-        return all;
+    private static Map<String, Function<SidecarConfig, Object>> restartRequiredSettings() {
+        Map<String, Function<SidecarConfig, Object>> getters = new LinkedHashMap<>();
+        getters.put("name", SidecarConfig::name);
+        getters.put("listen", SidecarConfig::listenAddress);
+        getters.put("seed", SidecarConfig::seed);
+        getters.put("limits.sockets", SidecarConfig::maxSockets);
+        getters.put("settings", SidecarConfig::settings);
+        return getters;
     }
 
     /** The same, but started from another list and other news. */
-    SidecarConfig withInitialState(PodList list, RolloutStatus stands) {
+    SidecarConfig withInitialState(PodList podList, RolloutStatus rolloutStatus) {
         return new SidecarConfig(
                 name,
                 listenAddress,
@@ -55,18 +56,18 @@
                 releaseApiAddress,
                 seed,
                 maxSockets,
-                list,
-                stands,
+                podList,
+                rolloutStatus,
                 settings);
     }
 
     static SidecarConfig load(Map<String, String> env) {
-        String file = env.get("LB_CONFIG");
-        if (file == null) {
+        String path = env.get("LB_CONFIG");
+        if (path == null) {
             throw new InvalidInputException("LB_CONFIG needs the path of the configuration");
         }
         try {
-            return parse(Files.readString(Path.of(file)), env);
+            return parse(Files.readString(Path.of(path)), env);
         } catch (IOException e) {
             throw new InvalidInputException("LB_CONFIG names a file that can't be read: " + e);
         }
@@ -76,79 +77,92 @@
         if (!(Json.parse(text) instanceof Map<?, ?> root)) {
             throw new InvalidInputException("the configuration needs to be one object");
         }
-        JsonFieldReader all = new JsonFieldReader("configuration: ", root);
-        long sockets = all.getLong("limits.sockets", SOCKETS);
-        if (sockets < FEWEST_SOCKETS) {
-            throw all.fieldError("limits.sockets", "at least " + FEWEST_SOCKETS);
+        JsonFieldReader reader = new JsonFieldReader("configuration: ", root);
+        long maxSockets = reader.getLong("limits.sockets", DEFAULT_MAX_SOCKETS);
+        if (maxSockets < MIN_SOCKETS) {
+            throw reader.fieldError("limits.sockets", "at least " + MIN_SOCKETS);
         }
         return new SidecarConfig(
-                all.getString("name", env.getOrDefault("LB_NAME", "sidecar")),
-                address(all, "listen", env.get("LB_LISTEN")),
-                address(all, "discovery", env.get("LB_DISCOVERY")),
-                address(all, "release_api.address", null),
-                seed(all),
-                (int) Math.min(1 << 20, sockets),
-                all.hasField("known") ? PodList.fromJson(all.getObject("known")) : PodList.EMPTY,
-                news(all.getObject("release_api.news")),
-                settings(all.getObject("settings")));
+                reader.getString("name", env.getOrDefault("LB_NAME", "sidecar")),
+                readAddress(reader, "listen", env.get("LB_LISTEN")),
+                readAddress(reader, "discovery", env.get("LB_DISCOVERY")),
+                readAddress(reader, "release_api.address", null),
+                seed(reader),
+                (int) Math.min(1 << 20, maxSockets),
+                reader.hasField("known")
+                        ? PodList.fromJson(reader.getObject("known"))
+                        : PodList.EMPTY,
+                readRolloutStatus(reader.getObject("release_api.news")),
+                settings(reader.getObject("settings")));
     }
 
     /** What would make the module divide by nothing, or wait for nothing, is found here. */
-    private static Settings settings(JsonFieldReader from) {
-        Settings set = SettingsReader.read(from);
-        check(from, "grades", "at least one route", !set.routes().isEmpty());
-        for (int i = 0; i < set.routes().size(); i++) {
-            Settings.RouteSettings r = set.routes().get(i);
-            check(from, "grades." + i + ".aimNs", "more than 0", r.latencyObjectiveNs() > 0);
-            check(from, "grades." + i + ".deadlineNs", "more than 0", r.timeoutNs() > 0);
+    private static Settings settings(JsonFieldReader reader) {
+        Settings settings = SettingsReader.read(reader);
+        require(reader, "grades", "at least one route", !settings.routes().isEmpty());
+        for (int i = 0; i < settings.routes().size(); i++) {
+            Settings.RouteSettings route = settings.routes().get(i);
+            require(
+                    reader,
+                    "grades." + i + ".aimNs",
+                    "more than 0",
+                    route.latencyObjectiveNs() > 0);
+            require(reader, "grades." + i + ".deadlineNs", "more than 0", route.timeoutNs() > 0);
         }
-        check(
-                from,
+        require(
+                reader,
                 "balancers",
                 "more than rank",
-                set.sidecarCount() > set.rank() && set.rank() >= 0);
-        check(from, "stepNs", "0 or more", set.clockStepNs() >= 0);
-        Settings.RolloutSettings rollout = set.rollout();
-        check(
-                from,
+                settings.sidecarCount() > settings.rank() && settings.rank() >= 0);
+        require(reader, "stepNs", "0 or more", settings.clockStepNs() >= 0);
+        Settings.RolloutSettings rollout = settings.rollout();
+        require(
+                reader,
                 "familyInfo.mostShares",
                 "as many as steps",
                 !rollout.stageExposureCaps().isEmpty()
                         && rollout.stageExposureCaps().size() == rollout.stageShares().size());
-        check(from, "familyInfo.voteWaitNs", "more than 0", rollout.voteTimeoutNs() > 0);
-        check(from, "policyLimits.maxAttempts", "1 or more", set.policyLimits().maxTries() > 0);
-        return set;
+        require(reader, "familyInfo.voteWaitNs", "more than 0", rollout.voteTimeoutNs() > 0);
+        require(
+                reader,
+                "policyLimits.maxAttempts",
+                "1 or more",
+                settings.policyLimits().maxTries() > 0);
+        return settings;
     }
 
-    private static void check(JsonFieldReader from, String key, String needs, boolean holds) {
-        if (!holds) {
-            throw from.fieldError(key, needs);
+    private static void require(
+            JsonFieldReader reader, String key, String requirement, boolean valid) {
+        if (!valid) {
+            throw reader.fieldError(key, requirement);
         }
     }
 
-    private static RolloutStatus news(JsonFieldReader from) {
+    private static RolloutStatus readRolloutStatus(JsonFieldReader reader) {
         return new RolloutStatus(
-                from.getInt("build"),
-                from.getInt("stage"),
-                ReleasePlatformClient.parsePhase(from.getString("phase"), from),
-                from.getDouble("cap", 0),
-                Math.max(0, from.getLong("age_ms", 0)) * 1_000_000L);
+                reader.getInt("build"),
+                reader.getInt("stage"),
+                ReleasePlatformClient.parsePhase(reader.getString("phase"), reader),
+                reader.getDouble("cap", 0),
+                Math.max(0, reader.getLong("age_ms", 0)) * 1_000_000L);
     }
 
-    private static long seed(JsonFieldReader all) {
+    private static long seed(JsonFieldReader reader) {
         try {
-            return Long.parseUnsignedLong(all.getString("seed"), 16);
+            return Long.parseUnsignedLong(reader.getString("seed"), 16);
         } catch (NumberFormatException e) {
-            throw all.fieldError("seed", "up to 16 hex digits");
+            throw reader.fieldError("seed", "up to 16 hex digits");
         }
     }
 
-    private static InetSocketAddress address(JsonFieldReader all, String key, String absent) {
-        String v = absent == null ? all.getString(key) : all.getString(key, absent);
-        InetSocketAddress a = SocketAddresses.parse(v);
-        if (a == null) {
-            throw all.fieldError(key, "an IP address and port, not " + v);
+    private static InetSocketAddress readAddress(
+            JsonFieldReader reader, String key, String defaultValue) {
+        String text =
+                defaultValue == null ? reader.getString(key) : reader.getString(key, defaultValue);
+        InetSocketAddress address = SocketAddresses.parse(text);
+        if (address == null) {
+            throw reader.fieldError(key, "an IP address and port, not " + text);
         }
-        return a;
+        return address;
     }
 }
--- a/sidecar/src/main/java/mulleinlever/sidecar/SidecarServer.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/SidecarServer.java
@@ -13,149 +13,157 @@
 
 /** The real sidecar: puts its parts together, starts and ends. */
 public final class SidecarServer {
-    private static final long MS = 1_000_000L;
-    private static final long SECOND = 1_000 * MS;
+    private static final long MILLISECOND_NS = 1_000_000L;
+    private static final long SECOND_NS = 1_000 * MILLISECOND_NS;
 
     /** Who sends to us hears late that we leave. */
-    private static final long LEAVING_NS = 500 * MS;
+    private static final long LEAVING_DURATION_NS = 500 * MILLISECOND_NS;
 
     /** What was taken last may be answered this much after its route timeout. */
-    private static final long SLACK_NS = 100 * MS;
+    private static final long FINISHING_SLACK_NS = 100 * MILLISECOND_NS;
 
     /** From the start of the process: until then it waits for a list that is known to be true. */
-    private static final long LIST_WITHIN_NS = 5 * SECOND;
+    private static final long MAX_LIST_WAIT_NS = 5 * SECOND_NS;
 
-    private static final long LIST_LOOK_NS = 20 * MS;
-    private static final long LISTEN_AGAIN_NS = 250 * MS;
-    private static final int LISTEN_TRIES = 40;
-    private static final long WATCH_NS = 50 * MS;
-    private static final long LATE_NS = 50 * MS;
+    private static final long LIST_CHECK_INTERVAL_NS = 20 * MILLISECOND_NS;
+    private static final long BIND_RETRY_DELAY_NS = 250 * MILLISECOND_NS;
+    private static final int MAX_BIND_ATTEMPTS = 40;
+    private static final long LOOP_CHECK_INTERVAL_NS = 50 * MILLISECOND_NS;
+    private static final long LOGGED_LOOP_DELAY_NS = 50 * MILLISECOND_NS;
 
     private final SidecarConfig config;
 
     /** Null where nothing is remembered. */
-    private final StatePersistence memory;
+    private final StatePersistence persistence;
 
     private final Clock clock;
     private final RateLimitedLog log;
-    private final Lifecycle life;
-    private final NettyTransport net;
-    private final ConfigReloader reload;
-    private final CountDownLatch done = new CountDownLatch(1);
+    private final Lifecycle lifecycle;
+    private final NettyTransport transport;
+    private final ConfigReloader reloader;
+    private final CountDownLatch endedLatch = new CountDownLatch(1);
     private final long startedNs;
-    private SidecarComponents stages;
-    private long lastNs;
+    private SidecarComponents components;
+    private long lastLoopCheckNs;
 
     private SidecarServer(
             Map<String, String> env,
             SidecarConfig config,
-            StatePersistence memory,
+            StatePersistence persistence,
             Clock clock,
             RateLimitedLog log) {
         this.config = config;
-        this.memory = memory;
+        this.persistence = persistence;
         this.clock = clock;
         this.startedNs = clock.nowNs();
         this.log = log;
-        this.life = new Lifecycle(log);
-        this.net = new NettyTransport(log);
-        this.reload = new ConfigReloader(env, config, net, log);
+        this.lifecycle = new Lifecycle(log);
+        this.transport = new NettyTransport(log);
+        this.reloader = new ConfigReloader(env, config, transport, log);
     }
 
     /**
      * Serves until the process is told to stop; the exit code is 0 then, 2 where it can't start.
      *
-     * @param with files of ours, in TOML, that switch on what is off without them
+     * @param featureFiles files of ours, in TOML, that switch on what is off without them
      */
-    public static int run(Map<String, String> env, List<Path> with) throws InterruptedException {
+    public static int run(Map<String, String> env, List<Path> featureFiles)
+            throws InterruptedException {
         Clock clock = new Clock();
         RateLimitedLog log = new RateLimitedLog(System.err, clock);
         NettyLogHandler.install(log);
         SidecarConfig config;
-        FeatureSettings ours;
+        FeatureSettings features;
         try {
             config = SidecarConfig.load(env);
-            ours = with.isEmpty() ? FeatureSettings.NONE : FeatureSettings.read(with);
+            features =
+                    featureFiles.isEmpty()
+                            ? FeatureSettings.NONE
+                            : FeatureSettings.read(featureFiles);
         } catch (RuntimeException e) {
             log.info("config", e instanceof InvalidInputException ? e.getMessage() : e.toString());
             return 2;
         }
         // Not even named where it is off: what it needs is not on the bare daemon's class path.
-        StatePersistence memory =
-                ours.stateSettings() == null
+        StatePersistence persistence =
+                features.stateSettings() == null
                         ? null
-                        : new StatePersistence(ours.stateSettings(), config, clock, log);
-        SidecarServer serve = new SidecarServer(env, config, memory, clock, log);
-        Runtime.getRuntime().addShutdownHook(new Thread(serve::stop, "stop"));
-        AtomicInteger code = new AtomicInteger();
-        serve.reload.installSignalHandler();
-        if (memory == null) {
+                        : new StatePersistence(features.stateSettings(), config, clock, log);
+        SidecarServer server = new SidecarServer(env, config, persistence, clock, log);
+        Runtime.getRuntime().addShutdownHook(new Thread(server::stop, "stop"));
+        AtomicInteger exitCode = new AtomicInteger();
+        server.reloader.installSignalHandler();
+        if (persistence == null) {
             // Discovery may have a long line, so it is asked while the rehearsal goes on.
-            serve.net.execute(serve::prepare);
+            server.transport.execute(server::createComponents);
         }
         WarmUp.run(
                 config,
-                played -> {
-                    log.info("life", played.toString());
-                    serve.remember();
-                    serve.net.execute(
+                rehearsal -> {
+                    log.info("life", rehearsal.toString());
+                    server.awaitLoadedState();
+                    server.transport.execute(
                             () -> {
                                 try {
-                                    serve.start(code);
+                                    server.start(exitCode);
                                 } catch (RuntimeException e) {
                                     log.info("life", "can't start: " + e);
-                                    code.set(2);
-                                    serve.end();
+                                    exitCode.set(2);
+                                    server.end();
                                 }
                             });
                 });
-        serve.done.await();
-        serve.forgo();
-        return code.get();
+        server.endedLatch.await();
+        server.awaitFinalWrite();
+        return exitCode.get();
     }
 
     /** On the rehearsal's thread, which may wait. */
-    private void remember() {
+    private void awaitLoadedState() {
         try {
-            if (memory != null) {
-                memory.awaitLoaded();
+            if (persistence != null) {
+                persistence.awaitLoaded();
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
-    private void forgo() throws InterruptedException {
-        if (memory != null) {
-            memory.awaitFinalWrite();
+    private void awaitFinalWrite() throws InterruptedException {
+        if (persistence != null) {
+            persistence.awaitFinalWrite();
         }
     }
 
-    private void start(AtomicInteger code) {
-        if (life.isIn(Lifecycle.Phase.ENDED)) {
+    private void start(AtomicInteger exitCode) {
+        if (lifecycle.isIn(Lifecycle.Phase.ENDED)) {
             return;
         }
-        if (stages == null) {
-            prepare();
+        if (components == null) {
+            createComponents();
         }
-        if (memory != null) {
-            memory.restoreAndScheduleSnapshots(net, stages);
+        if (persistence != null) {
+            persistence.restoreAndScheduleSnapshots(transport, components);
         }
-        stages.releasePlatform.subscribe();
-        reload.applyTo(stages);
-        net.scheduleAtFixedRate(SECOND, stages::runMaintenance);
-        lastNs = clock.nowNs();
-        net.scheduleAtFixedRate(WATCH_NS, this::watchLoop);
-        listenOnceListed(code);
+        components.releasePlatform.subscribe();
+        reloader.applyTo(components);
+        transport.scheduleAtFixedRate(SECOND_NS, components::runMaintenance);
+        lastLoopCheckNs = clock.nowNs();
+        transport.scheduleAtFixedRate(LOOP_CHECK_INTERVAL_NS, this::checkLoopDelay);
+        listenWhenListConfirmed(exitCode);
     }
 
     /** Puts the stages together and asks discovery for the list. */
-    private void prepare() {
-        stages =
+    private void createComponents() {
+        components =
                 new SidecarComponents(
-                        memory == null ? config : memory.initialConfig(), net, clock, log, life);
+                        persistence == null ? config : persistence.initialConfig(),
+                        transport,
+                        clock,
+                        log,
+                        lifecycle);
         if (!config.settings().requiresListWatch()) {
-            stages.discovery.openWatch();
+            components.discovery.openWatch();
         }
     }
 
@@ -163,100 +171,102 @@
      * Without a list that is known to be true requests are better served elsewhere; but not for
      * long.
      */
-    private void listenOnceListed(AtomicInteger code) {
-        if (life.isIn(Lifecycle.Phase.ENDED)) {
+    private void listenWhenListConfirmed(AtomicInteger exitCode) {
+        if (lifecycle.isIn(Lifecycle.Phase.ENDED)) {
             return;
         }
-        if (stages.discovery.isListConfirmedOrUnreachable()
-                || clock.nowNs() >= startedNs + LIST_WITHIN_NS) {
-            listen(LISTEN_TRIES, code);
+        if (components.discovery.isListConfirmedOrUnreachable()
+                || clock.nowNs() >= startedNs + MAX_LIST_WAIT_NS) {
+            listen(MAX_BIND_ATTEMPTS, exitCode);
         } else {
-            net.schedule(LIST_LOOK_NS, () -> listenOnceListed(code));
+            transport.schedule(LIST_CHECK_INTERVAL_NS, () -> listenWhenListConfirmed(exitCode));
         }
     }
 
     /** A predecessor may hold the address for a moment after it was told to go. */
-    private void listen(int tries, AtomicInteger code) {
-        ChannelFuture listening = net.bind(config.listenAddress(), stages::newClientHandler);
-        listening.addListener(
+    private void listen(int remainingAttempts, AtomicInteger exitCode) {
+        ChannelFuture bindFuture =
+                transport.bind(config.listenAddress(), components::newClientHandler);
+        bindFuture.addListener(
                 f -> {
                     if (f.isSuccess()) {
-                        stages.clientConnections.setListener(listening.channel());
-                        life.advanceTo(Lifecycle.Phase.SERVING);
-                    } else if (tries > 1) {
-                        net.schedule(LISTEN_AGAIN_NS, () -> listen(tries - 1, code));
+                        components.clientConnections.setListener(bindFuture.channel());
+                        lifecycle.advanceTo(Lifecycle.Phase.SERVING);
+                    } else if (remainingAttempts > 1) {
+                        transport.schedule(
+                                BIND_RETRY_DELAY_NS, () -> listen(remainingAttempts - 1, exitCode));
                     } else {
                         log.info(
                                 "life",
                                 "can't listen at " + config.listenAddress() + ": " + f.cause());
-                        code.set(2);
+                        exitCode.set(2);
                         end();
                     }
                 });
     }
 
     /** All time limits are as late as the loop is. */
-    private void watchLoop() {
-        long now = clock.nowNs();
-        long late = now - lastNs - WATCH_NS;
-        if (late > LATE_NS) {
+    private void checkLoopDelay() {
+        long nowNs = clock.nowNs();
+        long delayNs = nowNs - lastLoopCheckNs - LOOP_CHECK_INTERVAL_NS;
+        if (delayNs > LOGGED_LOOP_DELAY_NS) {
             log.info(
                     "loop",
                     "late by "
-                            + late / MS
+                            + delayNs / MILLISECOND_NS
                             + " ms, "
-                            + stages.reqRegistry.inFlightCount()
+                            + components.reqRegistry.inFlightCount()
                             + " reqs in hand");
         }
-        lastNs = now;
+        lastLoopCheckNs = nowNs;
     }
 
     /** Runs when the process is told to stop, which it does when this returns. */
     private void stop() {
-        if (life.isIn(Lifecycle.Phase.ENDED)) {
+        if (lifecycle.isIn(Lifecycle.Phase.ENDED)) {
             return;
         }
-        net.execute(
+        transport.execute(
                 () -> {
-                    if (life.isIn(Lifecycle.Phase.STARTING)) {
+                    if (lifecycle.isIn(Lifecycle.Phase.STARTING)) {
                         end();
-                    } else if (life.advanceTo(Lifecycle.Phase.LEAVING)) {
-                        net.schedule(LEAVING_NS, this::finish);
+                    } else if (lifecycle.advanceTo(Lifecycle.Phase.LEAVING)) {
+                        transport.schedule(LEAVING_DURATION_NS, this::finish);
                     }
                 });
         try {
-            done.await(1, TimeUnit.MINUTES);
-            forgo();
+            endedLatch.await(1, TimeUnit.MINUTES);
+            awaitFinalWrite();
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
     private void finish() {
-        life.advanceTo(Lifecycle.Phase.FINISHING);
-        stages.clientConnections.shutDown();
-        long longest =
+        lifecycle.advanceTo(Lifecycle.Phase.FINISHING);
+        components.clientConnections.shutDown();
+        long maxTimeoutNs =
                 config.settings().routes().stream()
                         .mapToLong(Settings.RouteSettings::timeoutNs)
                         .max()
                         .orElse(0);
-        net.schedule(longest + SLACK_NS, this::end);
-        net.scheduleAtFixedRate(
-                10 * MS,
+        transport.schedule(maxTimeoutNs + FINISHING_SLACK_NS, this::end);
+        transport.scheduleAtFixedRate(
+                10 * MILLISECOND_NS,
                 () -> {
-                    if (stages.clientConnections.connectionCount() == 0) {
+                    if (components.clientConnections.connectionCount() == 0) {
                         end();
                     }
                 });
     }
 
     private void end() {
-        if (life.advanceTo(Lifecycle.Phase.ENDED)) {
-            if (memory != null) {
-                memory.writeFinalSnapshot();
+        if (lifecycle.advanceTo(Lifecycle.Phase.ENDED)) {
+            if (persistence != null) {
+                persistence.writeFinalSnapshot();
             }
-            net.close();
-            done.countDown();
+            transport.close();
+            endedLatch.countDown();
         }
     }
 }
--- a/sidecar/src/main/java/mulleinlever/sidecar/StatePersistence.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/StatePersistence.java
@@ -29,69 +29,70 @@
  * What is kept over a restart: read before the first client comes, and captured from time to time.
  */
 final class StatePersistence {
-    private static final Path MACHINE = Path.of("/etc/machine-id");
+    private static final Path MACHINE_ID_FILE = Path.of("/etc/machine-id");
 
     /** Between two slices of a capture the loop turns to its connections. */
-    private static final long PAUSE_NS = 1_000_000L;
+    private static final long SLICE_PAUSE_NS = 1_000_000L;
 
-    private static final int MOST_LINES = 3;
+    private static final int MAX_LOGGED_SKIPPED_FILES = 3;
 
-    private final FeatureSettings.StateSettings set;
+    private final FeatureSettings.StateSettings stateSettings;
     private final SidecarConfig config;
     private final Clock clock;
     private final RateLimitedLog log;
-    private final StateStore keeper;
+    private final StateStore store;
     private final SplittableRandom random;
-    private final long start;
-    private final Future<StateStore.LoadResult> opening;
-    private StateStore.LoadResult found;
-    private long ageNs;
-    private NettyTransport net;
-    private SidecarComponents stages;
+    private final long startId;
+    private final Future<StateStore.LoadResult> pendingLoad;
+    private StateStore.LoadResult loaded;
+    private long snapshotAgeNs;
+    private NettyTransport transport;
+    private SidecarComponents components;
 
     /** Begins to read, on a thread of its own. */
     StatePersistence(
-            FeatureSettings.StateSettings set,
+            FeatureSettings.StateSettings stateSettings,
             SidecarConfig config,
             Clock clock,
             RateLimitedLog log) {
-        this.set = set;
+        this.stateSettings = stateSettings;
         this.config = config;
         this.clock = clock;
         this.log = log;
-        FileSystemDirectory disk = new FileSystemDirectory(set.folder());
+        FileSystemDirectory directory = new FileSystemDirectory(stateSettings.folder());
         try {
-            disk.createDirectories();
+            directory.createDirectories();
         } catch (IOException e) {
             // The keeper says so at each step that needs it.
         }
-        keeper =
+        store =
                 new StateStore(
-                        disk,
-                        set.retainedFileCount(),
-                        set.maxFileBytes(),
+                        directory,
+                        stateSettings.retainedFileCount(),
+                        stateSettings.maxFileBytes(),
                         config.name(),
                         l -> log.info("state", l));
         // The seed alone may stand in a file and be the same at each start.
         random = new SplittableRandom(config.seed() ^ clock.nowNs());
-        start = random.nextLong();
-        opening = keeper.openAsync();
+        startId = random.nextLong();
+        pendingLoad = store.openAsync();
     }
 
     /** Not on the loop: waits for what is read, for a time that is bounded. */
     void awaitLoaded() throws InterruptedException {
-        found = keeper.awaitLoad(opening, set.readTimeoutNs());
-        if (found == null) {
+        loaded = store.awaitLoad(pendingLoad, stateSettings.readTimeoutNs());
+        if (loaded == null) {
             return;
         }
-        found.skippedFiles().stream()
-                .limit(MOST_LINES)
+        loaded.skippedFiles().stream()
+                .limit(MAX_LOGGED_SKIPPED_FILES)
                 .forEach(l -> log.info("state", "passed over " + l));
-        if (found.snapshot() == null) {
-            log.info("state", "nothing taken: no whole file in " + set.folder());
-            found = null;
+        if (loaded.snapshot() == null) {
+            log.info("state", "nothing taken: no whole file in " + stateSettings.folder());
+            loaded = null;
         } else {
-            ageNs = StateDecay.computeAgeNs(found.snapshot().head().unixMs(), clock.nowNs());
+            snapshotAgeNs =
+                    StateDecay.computeAgeNs(loaded.snapshot().head().unixMs(), clock.nowNs());
         }
     }
 
@@ -100,77 +101,85 @@
      * less.
      */
     SidecarConfig initialConfig() {
-        if (found == null) {
+        if (loaded == null) {
             return config;
         }
-        StateSnapshot kept = found.snapshot();
-        RolloutStatus tighter =
+        StateSnapshot snapshot = loaded.snapshot();
+        RolloutStatus stricterStatus =
                 SnapshotFilter.selectIfStricter(
-                        kept.rolloutStatus(), config.initialRolloutStatus());
-        if (tighter != null) {
+                        snapshot.rolloutStatus(), config.initialRolloutStatus());
+        if (stricterStatus != null) {
             log.info(
                     "state",
-                    "build " + tighter.build() + " stays " + tighter.phase() + ", as it was kept");
+                    "build "
+                            + stricterStatus.build()
+                            + " stays "
+                            + stricterStatus.phase()
+                            + ", as it was kept");
         }
-        boolean list =
-                SnapshotFilter.isPodListUsable(kept, ageNs, config.initialPodList().version());
-        if (list) {
+        boolean listUsable =
+                SnapshotFilter.isPodListUsable(
+                        snapshot, snapshotAgeNs, config.initialPodList().version());
+        if (listUsable) {
             log.info(
                     "state",
-                    "starting from list " + kept.head().listVersion() + ", as it was kept");
+                    "starting from list " + snapshot.head().listVersion() + ", as it was kept");
         }
         return config.withInitialState(
-                list ? list(kept) : config.initialPodList(),
-                tighter == null ? config.initialRolloutStatus() : tighter);
+                listUsable ? toPodList(snapshot) : config.initialPodList(),
+                stricterStatus == null ? config.initialRolloutStatus() : stricterStatus);
     }
 
-    private static PodList list(StateSnapshot kept) {
+    private static PodList toPodList(StateSnapshot snapshot) {
         Map<String, String> addresses = new LinkedHashMap<>();
-        kept.pods().forEach(p -> addresses.put(p.learned().is().id(), p.address()));
-        List<PodEntry> entries = kept.pods().stream().map(p -> p.learned().is()).toList();
-        return new PodList(kept.head().listVersion(), true, entries, addresses);
+        snapshot.pods().forEach(p -> addresses.put(p.learned().is().id(), p.address()));
+        List<PodEntry> entries = snapshot.pods().stream().map(p -> p.learned().is()).toList();
+        return new PodList(snapshot.head().listVersion(), true, entries, addresses);
     }
 
     /**
      * On the loop, before the first client: gives the policy what still holds, then captures from
      * time to time.
      */
-    void restoreAndScheduleSnapshots(NettyTransport on, SidecarComponents of) {
-        net = on;
-        stages = of;
-        if (found != null) {
-            SnapshotFilter.RestoreResult taken =
-                    SnapshotFilter.filter(found.snapshot(), ageNs, here());
-            taken.restoredValues().forEach(l -> stages.policy.restoreLearned(clock.nowNs(), l));
-            boolean moved = !found.snapshot().head().machine().equals(machine());
+    void restoreAndScheduleSnapshots(
+            NettyTransport nettyTransport, SidecarComponents sidecarComponents) {
+        transport = nettyTransport;
+        components = sidecarComponents;
+        if (loaded != null) {
+            SnapshotFilter.RestoreResult restored =
+                    SnapshotFilter.filter(loaded.snapshot(), snapshotAgeNs, restoreContext());
+            restored.restoredValues()
+                    .forEach(l -> components.policy.restoreLearned(clock.nowNs(), l));
+            boolean fromOtherMachine = !loaded.snapshot().head().machine().equals(machineHash());
             log.info(
                     "state",
-                    found.fileName()
-                            + (moved ? ", written on another machine, " : ", ")
-                            + age()
+                    loaded.fileName()
+                            + (fromOtherMachine ? ", written on another machine, " : ", ")
+                            + describeAge()
                             + ": "
-                            + taken);
-            found = null;
+                            + restored);
+            loaded = null;
         }
-        later();
+        scheduleCapture();
     }
 
-    private String age() {
-        return ageNs == StateDecay.UNKNOWN_AGE_NS
+    private String describeAge() {
+        return snapshotAgeNs == StateDecay.UNKNOWN_AGE_NS
                 ? "of unknown age"
-                : ageNs / 1_000_000 / 1e3 + " s old";
+                : snapshotAgeNs / 1_000_000 / 1e3 + " s old";
     }
 
-    private SnapshotFilter.RestoreContext here() {
+    private SnapshotFilter.RestoreContext restoreContext() {
         Map<String, PodEntry> pods = new HashMap<>();
         Map<String, String> addresses = new HashMap<>();
-        stages.policy
+        components
+                .policy
                 .exportLearned(clock.nowNs())
                 .forEachRemaining(
                         l -> {
                             if (l instanceof LearnedState.PodStats p) {
                                 pods.put(p.is().id(), p.is());
-                                addresses.put(p.is().id(), stages.podAddress(p.is().id()));
+                                addresses.put(p.is().id(), components.podAddress(p.is().id()));
                             }
                         });
         return new SnapshotFilter.RestoreContext(
@@ -183,68 +192,69 @@
     }
 
     /** With jitter, so that sidecars that started together do not write together. */
-    private void later() {
-        double part = 1 + set.jitterRatio() * (2 * random.nextDouble() - 1);
-        net.schedule(
-                (long) (set.captureIntervalNs() * part),
+    private void scheduleCapture() {
+        double jitterFactor = 1 + stateSettings.jitterRatio() * (2 * random.nextDouble() - 1);
+        transport.schedule(
+                (long) (stateSettings.captureIntervalNs() * jitterFactor),
                 () -> {
-                    if (keeper.isIdle()) {
-                        slice(capture());
+                    if (store.isIdle()) {
+                        captureSlice(newSnapshotBuilder());
                     } else {
-                        later();
+                        scheduleCapture();
                     }
                 });
     }
 
-    private SnapshotBuilder capture() {
-        return new SnapshotBuilder(stages.policy.exportLearned(clock.nowNs()), stages::podAddress);
+    private SnapshotBuilder newSnapshotBuilder() {
+        return new SnapshotBuilder(
+                components.policy.exportLearned(clock.nowNs()), components::podAddress);
     }
 
-    private void slice(SnapshotBuilder c) {
-        if (c.collectUntil(clock::nowNs, clock.nowNs() + set.maxCaptureSliceNs())) {
-            keeper.offer(kept(c));
-            later();
+    private void captureSlice(SnapshotBuilder builder) {
+        if (builder.collectUntil(clock::nowNs, clock.nowNs() + stateSettings.maxCaptureSliceNs())) {
+            store.offer(toSnapshot(builder));
+            scheduleCapture();
         } else {
-            net.schedule(PAUSE_NS, () -> slice(c));
+            transport.schedule(SLICE_PAUSE_NS, () -> captureSlice(builder));
         }
     }
 
-    private StateSnapshot kept(SnapshotBuilder c) {
-        return c.toSnapshot(
+    private StateSnapshot toSnapshot(SnapshotBuilder builder) {
+        return builder.toSnapshot(
                 new StateSnapshot.Header(
                         Version.TEXT,
                         config.name(),
-                        machine(),
+                        machineHash(),
                         config.settings().zone(),
-                        start,
+                        startId,
                         0,
                         clock.nowNs() / 1_000_000,
-                        stages.discovery.listVersion()),
-                stages.releasePlatform.latestStatusOr(config.initialRolloutStatus()));
+                        components.discovery.listVersion()),
+                components.releasePlatform.latestStatusOr(config.initialRolloutStatus()));
     }
 
     /** When nothing is in hand any more; all at once, since nobody waits. */
     void writeFinalSnapshot() {
-        if (stages != null) {
-            SnapshotBuilder c = capture();
-            c.collectUntil(clock::nowNs, Long.MAX_VALUE);
-            keeper.offer(kept(c));
+        if (components != null) {
+            SnapshotBuilder builder = newSnapshotBuilder();
+            builder.collectUntil(clock::nowNs, Long.MAX_VALUE);
+            store.offer(toSnapshot(builder));
         }
     }
 
     /** Not on the loop: waits for the last write, for a time that is bounded. */
     void awaitFinalWrite() throws InterruptedException {
-        keeper.close(set.finalWriteTimeoutNs());
+        store.close(stateSettings.finalWriteTimeoutNs());
     }
 
     /** Tells a machine from another without telling its name. */
-    private static String machine() {
+    private static String machineHash() {
         try {
-            CRC32C mark = new CRC32C();
-            mark.update(
-                    Files.readString(MACHINE, StandardCharsets.ISO_8859_1)
+            CRC32C checksum = new CRC32C();
+            checksum.update(
+                    Files.readString(MACHINE_ID_FILE, StandardCharsets.ISO_8859_1)
                             .getBytes(StandardCharsets.ISO_8859_1));
-            return Long.toHexString(mark.getValue());
+            return Long.toHexString(checksum.getValue());
         } catch (IOException e) {
             return "";
         }
--- a/sidecar/src/test/java/mulleinlever/sidecar/ClockTest.java
+++ b/sidecar/src/test/java/mulleinlever/sidecar/ClockTest.java
@@ -13,16 +13,16 @@
     // noticed.
     @Test
     void wallClockStepIsDetectedAndDoesNotShiftTime() {
-        AtomicLong stepNs = new AtomicLong();
-        Clock clock = new Clock(() -> System.nanoTime() + stepNs.get());
+        AtomicLong currentStepNs = new AtomicLong();
+        Clock clock = new Clock(() -> System.nanoTime() + currentStepNs.get());
         assertEquals(0, clock.wallClockStepNs());
-        for (long by : new long[] {HOUR_NS, -HOUR_NS, 5_000_000_000L, -5_000_000_000L}) {
+        for (long stepByNs : new long[] {HOUR_NS, -HOUR_NS, 5_000_000_000L, -5_000_000_000L}) {
             long beforeNs = clock.nowNs();
-            stepNs.set(by);
-            assertEquals(by, clock.wallClockStepNs(), 1e8);
+            currentStepNs.set(stepByNs);
+            assertEquals(stepByNs, clock.wallClockStepNs(), 1e8);
             assertTrue(clock.nowNs() - beforeNs < 1e9);
         }
-        stepNs.set(1_000_000);
+        currentStepNs.set(1_000_000);
         assertEquals(0, clock.wallClockStepNs());
     }
 }
--- a/sidecar/src/test/java/mulleinlever/sidecar/ServeMain.java
+++ b/sidecar/src/test/java/mulleinlever/sidecar/ServeMain.java
@@ -12,8 +12,8 @@
     private ServeMain() {}
 
     public static void main(String[] args) throws InterruptedException {
-        List<Path> with =
+        List<Path> featureFiles =
                 Arrays.stream(args).skip(1).filter(a -> !a.equals("--with")).map(Path::of).toList();
-        System.exit(SidecarServer.run(System.getenv(), with));
+        System.exit(SidecarServer.run(System.getenv(), featureFiles));
     }
 }
--- a/sidecar/src/test/java/mulleinlever/sidecar/SoakRun.java
+++ b/sidecar/src/test/java/mulleinlever/sidecar/SoakRun.java
@@ -21,21 +21,21 @@
  * milliseconds of the monotonic clock.
  */
 final class SoakRun extends SidecarTestBase {
-    private static final Pattern ID = Pattern.compile("'([^']*)'.*id=([0-9a-f]+),c=(\\w+)");
-    private static final int SERVERS = 6;
-    private static final int CLIENTS = 4;
-    private static final long FAULTS_MS = 20_000;
-    private static final long CALM_MS = 9_000;
-    private static final long TOLD_MS = 6_000;
-    private static final long TOLD_MOVED_MS = 4_000;
-    private static final long GRACE_MS = 250;
-    private static final long WINDOW_MS = 400;
-    private static final long LATE_MS = 500;
+    private static final Pattern STATEMENT = Pattern.compile("'([^']*)'.*id=([0-9a-f]+),c=(\\w+)");
+    private static final int POD_COUNT = 6;
+    private static final int CLIENT_COUNT = 4;
+    private static final long FAULT_PHASE_MS = 20_000;
+    private static final long RECOVERY_MS = 9_000;
+    private static final long PROPAGATION_DEADLINE_MS = 6_000;
+    private static final long PROPAGATION_DEADLINE_AFTER_MOVE_MS = 4_000;
+    private static final long STOP_SENDING_GRACE_MS = 250;
+    private static final long DEDUP_WINDOW_MS = 400;
+    private static final long ANSWER_SLACK_MS = 500;
 
     /** How late the threads of this rig may see what happened. */
-    private static final long RIG_MS = 100;
+    private static final long OBSERVATION_SLACK_MS = 100;
 
-    private static final long FOREVER = Long.MAX_VALUE / 2;
+    private static final long NEVER_MS = Long.MAX_VALUE / 2;
 
     private enum DiscoveryMode {
         HEALTHY,
@@ -48,45 +48,48 @@
     private final class FaultyPod {
         final int index;
         volatile String lifecycle = "ready";
-        volatile long notReadySinceMs = FOREVER;
+        volatile long notReadySinceMs = NEVER_MS;
 
         /** When discovery wrote to the sidecar that it leaves. */
-        volatile long removalSentMs = FOREVER;
+        volatile long removalSentMs = NEVER_MS;
 
         volatile int resetsLeft;
         volatile int errorsLeft;
         volatile long responseDelayMs;
 
-        FaultyPod(int number) throws IOException {
-            this.index = number;
+        FaultyPod(int index) throws IOException {
+            this.index = index;
             startPod(this::handleQuery);
         }
 
         boolean handleQuery(String query, DataOutputStream out) throws Exception {
-            long now = now();
-            Matcher m = ID.matcher(query);
-            if (!m.find()) {
-                broken("unknown statement " + query);
+            long nowMs = elapsedMs();
+            Matcher matcher = STATEMENT.matcher(query);
+            if (!matcher.find()) {
+                addViolation("unknown statement " + query);
                 return false;
             }
-            long toldMs =
+            long propagatedMs =
                     Math.min(
-                            Math.min(removalSentMs, notReadySinceMs + TOLD_MS),
-                            movedMs > notReadySinceMs ? movedMs + TOLD_MOVED_MS : FOREVER);
-            if (!lifecycle.equals("ready") && now > toldMs + GRACE_MS + RIG_MS) {
-                broken(
+                            Math.min(removalSentMs, notReadySinceMs + PROPAGATION_DEADLINE_MS),
+                            discoveryMovedMs > notReadySinceMs
+                                    ? discoveryMovedMs + PROPAGATION_DEADLINE_AFTER_MOVE_MS
+                                    : NEVER_MS);
+            if (!lifecycle.equals("ready")
+                    && nowMs > propagatedMs + STOP_SENDING_GRACE_MS + OBSERVATION_SLACK_MS) {
+                addViolation(
                         "drain: p"
                                 + index
                                 + " got "
-                                + m.group(2)
+                                + matcher.group(2)
                                 + " "
-                                + (now - toldMs)
+                                + (nowMs - propagatedMs)
                                 + " ms after told");
             }
             if (lifecycle.equals("draining")) {
                 return sendError(out, "53300");
             }
-            ran(m.group(2), m.group(3), now);
+            recordExecution(matcher.group(2), matcher.group(3), nowMs);
             if (responseDelayMs > 0) {
                 Thread.sleep(responseDelayMs);
             }
@@ -98,20 +101,21 @@
                 errorsLeft--;
                 return sendError(out, "XX000");
             }
-            return sendRow(out, m.group(1));
+            return sendRow(out, matcher.group(1));
         }
 
-        private void ran(String id, String route, long now) {
-            long[] first = ran.computeIfAbsent(id, i -> new long[] {now, index});
+        private void recordExecution(String reqId, String route, long nowMs) {
+            long[] first = firstExecutions.computeIfAbsent(reqId, i -> new long[] {nowMs, index});
             if (route.equals("put")
-                    && (first[1] % 2 != index % 2 || now > first[0] + WINDOW_MS + RIG_MS)) {
-                broken(
+                    && (first[1] % 2 != index % 2
+                            || nowMs > first[0] + DEDUP_WINDOW_MS + OBSERVATION_SLACK_MS)) {
+                addViolation(
                         "duplicate: put "
-                                + id
+                                + reqId
                                 + " at p"
                                 + first[1]
                                 + ", "
-                                + (now - first[0])
+                                + (nowMs - first[0])
                                 + " ms later at p"
                                 + index);
             }
@@ -120,166 +124,169 @@
 
     private final long seed;
     private final SplittableRandom random;
-    private final List<FaultyPod> servers = new ArrayList<>();
-    private final Map<String, long[]> ran = new ConcurrentHashMap<>();
-    private final Queue<String> broken = new ConcurrentLinkedQueue<>();
-    private final Queue<String> story = new ConcurrentLinkedQueue<>();
-    private final AtomicInteger served = new AtomicInteger();
-    private final AtomicInteger asked = new AtomicInteger();
-    private final AtomicInteger ids = new AtomicInteger();
+    private final List<FaultyPod> faultyPods = new ArrayList<>();
+    private final Map<String, long[]> firstExecutions = new ConcurrentHashMap<>();
+    private final Queue<String> violations = new ConcurrentLinkedQueue<>();
+    private final Queue<String> events = new ConcurrentLinkedQueue<>();
+    private final AtomicInteger servedCount = new AtomicInteger();
+    private final AtomicInteger reqCount = new AtomicInteger();
+    private final AtomicInteger reqNumbers = new AtomicInteger();
     private final long startMs = System.nanoTime() / 1_000_000;
-    private volatile DiscoveryMode mode = DiscoveryMode.HEALTHY;
-    private volatile int version = 7;
-    private volatile long outageEndsMs;
-    private volatile long movedMs = -FOREVER;
-    private volatile long killedMs = -FOREVER;
-    private volatile boolean over;
+    private volatile DiscoveryMode discoveryState = DiscoveryMode.HEALTHY;
+    private volatile int listVersion = 7;
+    private volatile long outageEndMs;
+    private volatile long discoveryMovedMs = -NEVER_MS;
+    private volatile long restartedMs = -NEVER_MS;
+    private volatile boolean stopped;
 
     SoakRun(long seed) throws IOException {
         this.seed = seed;
         this.random = new SplittableRandom(seed);
         this.folder = Files.createTempDirectory("soak");
         this.discovery = new FakeServer(this::serveList);
-        for (int i = 0; i < SERVERS; i++) {
-            servers.add(new FaultyPod(i));
+        for (int i = 0; i < POD_COUNT; i++) {
+            faultyPods.add(new FaultyPod(i));
         }
     }
 
-    private long now() {
+    private long elapsedMs() {
         return System.nanoTime() / 1_000_000 - startMs;
     }
 
-    private void broken(String what) {
-        broken.add("seed " + seed + " at " + now() + " ms: " + what);
+    private void addViolation(String description) {
+        violations.add("seed " + seed + " at " + elapsedMs() + " ms: " + description);
     }
 
-    private void tell(String what) {
-        story.add(now() + " " + what);
+    private void addEvent(String description) {
+        events.add(elapsedMs() + " " + description);
     }
 
     private void serveList(DataInputStream in, DataOutputStream out) throws Exception {
         readLine(in);
         while (!readLine(in).isEmpty()) {}
-        if (mode == DiscoveryMode.OVERLOADED) {
+        if (discoveryState == DiscoveryMode.OVERLOADED) {
             Thread.sleep(1_000);
             out.writeBytes("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
             return;
         }
         out.writeBytes("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-        int told = -1;
+        int sentVersion = -1;
         while (true) {
-            while (mode == DiscoveryMode.SILENT) {
+            while (discoveryState == DiscoveryMode.SILENT) {
                 Thread.sleep(20);
             }
-            int at = version;
-            if (at == told) {
-                chunk(out, "\n");
+            int version = listVersion;
+            if (version == sentVersion) {
+                writeChunks(out, "\n");
             } else {
                 String[] entries =
-                        servers.stream()
+                        faultyPods.stream()
                                 .filter(s -> !s.lifecycle.equals("gone"))
                                 .map(s -> podJson(s.index, 1, s.lifecycle))
                                 .toArray(String[]::new);
-                List<FaultyPod> leaving =
-                        servers.stream().filter(s -> !s.lifecycle.equals("ready")).toList();
-                chunk(out, podListJson(at, true, entries) + "\n");
-                leaving.stream()
+                List<FaultyPod> notReady =
+                        faultyPods.stream().filter(s -> !s.lifecycle.equals("ready")).toList();
+                writeChunks(out, podListJson(version, true, entries) + "\n");
+                notReady.stream()
                         .filter(s -> !s.lifecycle.equals("ready"))
-                        .forEach(s -> s.removalSentMs = Math.min(s.removalSentMs, now()));
-                told = at;
+                        .forEach(s -> s.removalSentMs = Math.min(s.removalSentMs, elapsedMs()));
+                sentVersion = version;
             }
-            for (int i = 0; i < 20 && version == told; i++) {
+            for (int i = 0; i < 20 && listVersion == sentVersion; i++) {
                 Thread.sleep(50);
             }
         }
     }
 
-    private void chunk(DataOutputStream out, String text) throws Exception {
-        int step = mode == DiscoveryMode.SLOW ? 150 : text.length();
-        for (int i = 0; i < text.length(); i += step) {
-            String part = text.substring(i, Math.min(text.length(), i + step));
-            out.writeBytes(Integer.toHexString(part.length()) + "\r\n" + part + "\r\n");
-            Thread.sleep(mode == DiscoveryMode.SLOW ? 200 : 0);
+    private void writeChunks(DataOutputStream out, String text) throws Exception {
+        int chunkLength = discoveryState == DiscoveryMode.SLOW ? 150 : text.length();
+        for (int i = 0; i < text.length(); i += chunkLength) {
+            String chunk = text.substring(i, Math.min(text.length(), i + chunkLength));
+            out.writeBytes(Integer.toHexString(chunk.length()) + "\r\n" + chunk + "\r\n");
+            Thread.sleep(discoveryState == DiscoveryMode.SLOW ? 200 : 0);
         }
     }
 
     /** The list changes, and with it what the server does. */
-    private void change(FaultyPod s, String state) {
-        if (s.notReadySinceMs == FOREVER && !state.equals("ready")) {
-            s.notReadySinceMs = now();
+    private void setLifecycle(FaultyPod pod, String lifecycle) {
+        if (pod.notReadySinceMs == NEVER_MS && !lifecycle.equals("ready")) {
+            pod.notReadySinceMs = elapsedMs();
         }
-        s.lifecycle = state;
-        if (state.equals("ready")) {
-            s.notReadySinceMs = FOREVER;
-            s.removalSentMs = FOREVER;
+        pod.lifecycle = lifecycle;
+        if (lifecycle.equals("ready")) {
+            pod.notReadySinceMs = NEVER_MS;
+            pod.removalSentMs = NEVER_MS;
         }
-        version++;
-        tell("p" + s.index + " " + state);
+        listVersion++;
+        addEvent("p" + pod.index + " " + lifecycle);
     }
 
     /** It drains, ends, listens again before it is listed, and is listed. */
-    private void replace(FaultyPod s, long drainsMs, long gone, long unlisted) {
+    private void restartPod(FaultyPod pod, long drainingMs, long goneMs, long unlistedMs) {
         startDaemonThread(
                 () -> {
-                    change(s, "draining");
-                    Thread.sleep(drainsMs);
-                    change(s, "gone");
-                    pods.get(s.index).close();
-                    Thread.sleep(gone);
-                    pods.get(s.index).listenAgain();
-                    tell("p" + s.index + " listens");
-                    Thread.sleep(unlisted);
-                    change(s, "ready");
+                    setLifecycle(pod, "draining");
+                    Thread.sleep(drainingMs);
+                    setLifecycle(pod, "gone");
+                    pods.get(pod.index).close();
+                    Thread.sleep(goneMs);
+                    pods.get(pod.index).listenAgain();
+                    addEvent("p" + pod.index + " listens");
+                    Thread.sleep(unlistedMs);
+                    setLifecycle(pod, "ready");
                 });
     }
 
-    private void event() throws Exception {
-        FaultyPod s = servers.get(random.nextInt(SERVERS));
-        int what = random.nextInt(12);
-        tell("event " + what);
-        switch (what) {
+    private void injectFault() throws Exception {
+        FaultyPod pod = faultyPods.get(random.nextInt(POD_COUNT));
+        int kind = random.nextInt(12);
+        addEvent("event " + kind);
+        switch (kind) {
             case 0, 1, 2 -> {
-                long ready = servers.stream().filter(o -> o.lifecycle.equals("ready")).count();
-                if (s.lifecycle.equals("ready") && ready > SERVERS / 2) {
-                    replace(
-                            s,
+                long readyCount =
+                        faultyPods.stream().filter(o -> o.lifecycle.equals("ready")).count();
+                if (pod.lifecycle.equals("ready") && readyCount > POD_COUNT / 2) {
+                    restartPod(
+                            pod,
                             500 + random.nextInt(1_500),
                             2_000 + random.nextInt(5_000),
                             1_000 + random.nextInt(4_000));
                 }
             }
             case 3 -> {
-                s.responseDelayMs = 0;
-                mode = now() > outageEndsMs ? DiscoveryMode.SLOW : mode;
+                pod.responseDelayMs = 0;
+                discoveryState = elapsedMs() > outageEndMs ? DiscoveryMode.SLOW : discoveryState;
             }
-            case 4, 5 -> mode = now() > outageEndsMs ? DiscoveryMode.HEALTHY : mode;
+            case 4, 5 ->
+                    discoveryState =
+                            elapsedMs() > outageEndMs ? DiscoveryMode.HEALTHY : discoveryState;
             case 6 -> closeConnections(discovery);
             case 7 -> closeConnections(platform);
-            case 8 -> hold();
+            case 8 -> suspendProcess();
             case 9 -> {
-                FakeServer old = discovery;
+                FakeServer oldDiscovery = discovery;
                 discovery = new FakeServer(this::serveList);
                 writeConfig(256);
-                movedMs = now();
+                discoveryMovedMs = elapsedMs();
                 sendHangup();
                 startDaemonThread(
                         () -> {
                             Thread.sleep(1_500);
-                            old.close();
+                            oldDiscovery.close();
                         });
             }
             case 10 -> {
-                s.resetsLeft += random.nextInt(4);
-                s.errorsLeft += random.nextInt(4);
-                s.responseDelayMs = random.nextInt(3) == 0 ? 50 + random.nextInt(400) : 0;
-                closeConnections(pods.get(s.index));
+                pod.resetsLeft += random.nextInt(4);
+                pod.errorsLeft += random.nextInt(4);
+                pod.responseDelayMs = random.nextInt(3) == 0 ? 50 + random.nextInt(400) : 0;
+                closeConnections(pods.get(pod.index));
             }
             default -> {
-                if (killedMs < 0 && random.nextBoolean()) {
-                    killedMs = FOREVER;
+                if (restartedMs < 0 && random.nextBoolean()) {
+                    restartedMs = NEVER_MS;
                     process.destroyForcibly().waitFor();
                     startSidecar();
-                    killedMs = now();
+                    restartedMs = elapsedMs();
                 }
             }
         }
@@ -290,24 +297,24 @@
      * count as told.
      */
     private void beginOutage() throws IOException {
-        mode = random.nextBoolean() ? DiscoveryMode.OVERLOADED : DiscoveryMode.SILENT;
-        outageEndsMs = now() + 8_000 + random.nextInt(4_000);
-        tell("discovery is " + mode + " until " + outageEndsMs);
+        discoveryState = random.nextBoolean() ? DiscoveryMode.OVERLOADED : DiscoveryMode.SILENT;
+        outageEndMs = elapsedMs() + 8_000 + random.nextInt(4_000);
+        addEvent("discovery is " + discoveryState + " until " + outageEndMs);
         closeConnections(discovery);
     }
 
-    private void hold() throws Exception {
+    private void suspendProcess() throws Exception {
         new ProcessBuilder("kill", "-STOP", "" + process.pid()).start().waitFor();
         Thread.sleep(140);
         new ProcessBuilder("kill", "-CONT", "" + process.pid()).start().waitFor();
     }
 
-    private void client(SplittableRandom chance) throws Exception {
-        while (!over) {
-            try (Client c = new Client()) {
-                while (!over) {
-                    ask(c, chance);
-                    Thread.sleep(5 + chance.nextInt(30));
+    private void runClient(SplittableRandom clientRandom) throws Exception {
+        while (!stopped) {
+            try (Client client = new Client()) {
+                while (!stopped) {
+                    sendReq(client, clientRandom);
+                    Thread.sleep(5 + clientRandom.nextInt(30));
                 }
             } catch (IOException e) {
                 Thread.sleep(20);
@@ -315,51 +322,52 @@
         }
     }
 
-    private void ask(Client c, SplittableRandom chance) throws IOException {
-        int number = ids.incrementAndGet();
+    private void sendReq(Client client, SplittableRandom clientRandom) throws IOException {
+        int number = reqNumbers.incrementAndGet();
         String id = String.format("%016x", number);
-        boolean put = chance.nextInt(4) == 0;
-        long waitsMs = 300 + chance.nextInt(1_100);
+        boolean isPut = clientRandom.nextInt(4) == 0;
+        long clientTimeoutMs = 300 + clientRandom.nextInt(1_100);
         String ref = "v" + number;
-        long fromMs = now();
-        asked.incrementAndGet();
+        long sentMs = elapsedMs();
+        reqCount.incrementAndGet();
         String answer;
         try {
             answer =
-                    c.execute(
-                            put
+                    client.execute(
+                            isPut
                                     ? "INSERT INTO entries (ref) VALUES ('"
                                             + ref
                                             + "') /* id="
                                             + id
                                             + ",c=put,t=acme,d="
-                                            + waitsMs
+                                            + clientTimeoutMs
                                             + ",k=5c0f */"
                                     : "SELECT payload FROM entries WHERE ref = '"
                                             + ref
                                             + "' /* id="
                                             + id
                                             + ",c=get,t=acme,d="
-                                            + waitsMs
+                                            + clientTimeoutMs
                                             + " */");
         } catch (IOException e) {
             // The kill takes its connections with it.
-            if (!over && fromMs > killedMs) {
-                broken("lost: no answer to " + id + ": " + e);
+            if (!stopped && sentMs > restartedMs) {
+                addViolation("lost: no answer to " + id + ": " + e);
             }
             throw e;
         }
-        long tookMs = now() - fromMs;
-        if (tookMs > waitsMs + LATE_MS + RIG_MS) {
-            broken("lost: " + id + " answered after " + tookMs + " of " + waitsMs + " ms");
+        long tookMs = elapsedMs() - sentMs;
+        if (tookMs > clientTimeoutMs + ANSWER_SLACK_MS + OBSERVATION_SLACK_MS) {
+            addViolation(
+                    "lost: " + id + " answered after " + tookMs + " of " + clientTimeoutMs + " ms");
         }
         if (answer.startsWith("T")) {
-            served.incrementAndGet();
+            servedCount.incrementAndGet();
             if (!answer.equals("TD" + ref + "C")) {
-                broken("lost: " + id + " was answered " + answer);
+                addViolation("lost: " + id + " was answered " + answer);
             }
-        } else if (put && answer.startsWith("E53300") && ran.containsKey(id)) {
-            broken("refused: put " + id + " may have run");
+        } else if (isPut && answer.startsWith("E53300") && firstExecutions.containsKey(id)) {
+            addViolation("refused: put " + id + " may have run");
         }
     }
 
@@ -367,51 +375,51 @@
     List<String> run() throws Exception {
         try {
             startSidecar();
-            for (int i = 0; i < CLIENTS; i++) {
-                SplittableRandom chance = random.split();
-                startDaemonThread(() -> client(chance));
+            for (int i = 0; i < CLIENT_COUNT; i++) {
+                SplittableRandom clientRandom = random.split();
+                startDaemonThread(() -> runClient(clientRandom));
             }
-            long outageMs = 1_000 + random.nextInt(4_000);
-            while (now() < FAULTS_MS) {
+            long outageStartMs = 1_000 + random.nextInt(4_000);
+            while (elapsedMs() < FAULT_PHASE_MS) {
                 Thread.sleep(100 + random.nextInt(900));
-                if (outageEndsMs == 0 && now() > outageMs) {
+                if (outageEndMs == 0 && elapsedMs() > outageStartMs) {
                     beginOutage();
                 }
-                event();
+                injectFault();
             }
-            tell("calm");
-            mode = DiscoveryMode.HEALTHY;
-            servers.forEach(
+            addEvent("calm");
+            discoveryState = DiscoveryMode.HEALTHY;
+            faultyPods.forEach(
                     s -> {
                         s.resetsLeft = 0;
                         s.errorsLeft = 0;
                         s.responseDelayMs = 0;
                     });
-            Thread.sleep(CALM_MS);
-            served.set(0);
-            asked.set(0);
+            Thread.sleep(RECOVERY_MS);
+            servedCount.set(0);
+            reqCount.set(0);
             Thread.sleep(2_000);
-            if (served.get() < 0.9 * asked.get() || served.get() < 20) {
-                broken(
+            if (servedCount.get() < 0.9 * reqCount.get() || servedCount.get() < 20) {
+                addViolation(
                         "not recovered: "
-                                + served
+                                + servedCount
                                 + " of "
-                                + asked
+                                + reqCount
                                 + " served "
-                                + CALM_MS
+                                + RECOVERY_MS
                                 + " ms after the last fault");
             }
-            over = true;
+            stopped = true;
             process.destroy();
             if (!process.waitFor(4, java.util.concurrent.TimeUnit.SECONDS)) {
-                broken("still there 4 s after SIGTERM");
+                addViolation("still there 4 s after SIGTERM");
             }
-            logText().lines().filter(l -> l.contains("fault")).limit(3).forEach(this::broken);
+            logText().lines().filter(l -> l.contains("fault")).limit(3).forEach(this::addViolation);
         } finally {
-            over = true;
+            stopped = true;
             stopAll();
         }
-        return List.copyOf(broken);
+        return List.copyOf(violations);
     }
 
     /**
@@ -419,7 +427,7 @@
      * broken run.
      */
     String eventLog() {
-        return String.join("\n", story)
+        return String.join("\n", events)
                 + "\n"
                 + logText()
                         .lines()
--- a/sidecar/src/test/java/mulleinlever/sidecar/SoakTest.java
+++ b/sidecar/src/test/java/mulleinlever/sidecar/SoakTest.java
@@ -16,13 +16,13 @@
  * any seed alone to play it again.
  */
 class SoakTest {
-    private static final int FIRST = 1;
-    private static final int LAST = 4;
+    private static final int FIRST_SEED = 1;
+    private static final int LAST_SEED = 4;
 
     private static List<Long> seeds() {
-        String[] ends = System.getProperty("soak.seeds", FIRST + "-" + LAST).split("-");
+        String[] bounds = System.getProperty("soak.seeds", FIRST_SEED + "-" + LAST_SEED).split("-");
         return LongStream.rangeClosed(
-                        Long.parseLong(ends[0]), Long.parseLong(ends[ends.length - 1]))
+                        Long.parseLong(bounds[0]), Long.parseLong(bounds[bounds.length - 1]))
                 .boxed()
                 .toList();
     }
@@ -35,27 +35,31 @@
             Callable<List<String>> run =
                     () -> {
                         SoakRun soak = new SoakRun(seed);
-                        List<String> broken = soak.run();
+                        List<String> violations = soak.run();
                         System.out.println(
                                 "soak seed "
                                         + seed
                                         + ": "
-                                        + (broken.isEmpty() ? "held" : broken.size() + " broken"));
-                        if (!broken.isEmpty()) {
+                                        + (violations.isEmpty()
+                                                ? "held"
+                                                : violations.size() + " broken"));
+                        if (!violations.isEmpty()) {
                             System.out.println(soak.eventLog());
-                            broken.stream().limit(10).forEach(System.out::println);
+                            violations.stream().limit(10).forEach(System.out::println);
                         }
-                        return broken;
+                        return violations;
                     };
             runs.add(pool.submit(run));
         }
-        List<String> all = new ArrayList<>();
+        List<String> allViolations = new ArrayList<>();
         for (Future<List<String>> run : runs) {
-            all.addAll(run.get());
+            allViolations.addAll(run.get());
         }
         pool.shutdown();
         assertTrue(
-                all.isEmpty(),
-                all.size() + " broken, such as " + all.stream().findFirst().orElse(""));
+                allViolations.isEmpty(),
+                allViolations.size()
+                        + " broken, such as "
+                        + allViolations.stream().findFirst().orElse(""));
     }
 }
--- a/sidecar/src/test/java/mulleinlever/sidecar/StalePodListTest.java
+++ b/sidecar/src/test/java/mulleinlever/sidecar/StalePodListTest.java
@@ -16,49 +16,49 @@
 /** A sidecar whose discovery can be reached but serves nobody, while the servers change. */
 @Timeout(90)
 class StalePodListTest extends SidecarTestBase {
-    private static final long SECOND = 1_000_000_000L;
+    private static final long SECOND_NS = 1_000_000_000L;
 
     /** A change counts as told this long after discovery had it, whether it arrived or not. */
-    private static final long TOLD_WITHIN_NS = 6 * SECOND;
+    private static final long PROPAGATION_DEADLINE_NS = 6 * SECOND_NS;
 
     /** {@code stopSendingWithinNs} of the tests' configuration. */
-    private static final long GRACE_NS = SECOND / 4;
+    private static final long STOP_SENDING_GRACE_NS = SECOND_NS / 4;
 
-    private static final long CALL_WAITS_MS = 1_000;
+    private static final long QUEUE_TIMEOUT_MS = 1_000;
 
     /** Whether each call waits in line until discovery gives it up. */
-    private volatile boolean crowded;
+    private volatile boolean overloaded;
 
     /** How long each call stands in line before it is served. */
-    private volatile long lineMs;
+    private volatile long queueDelayMs;
 
     /** A list that is written twenty characters each half a second. */
-    private volatile String slowly;
+    private volatile String slowlySentList;
 
     StalePodListTest() throws IOException {
-        discovery = new FakeServer(this::discoverInLine);
+        discovery = new FakeServer(this::serveQueuedDiscovery);
     }
 
-    private void discoverInLine(DataInputStream in, DataOutputStream out) throws Exception {
-        Thread.sleep(lineMs);
-        if (slowly != null) {
+    private void serveQueuedDiscovery(DataInputStream in, DataOutputStream out) throws Exception {
+        Thread.sleep(queueDelayMs);
+        if (slowlySentList != null) {
             discovery.received.add(readLine(in));
             while (!readLine(in).isEmpty()) {}
             out.writeBytes("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-            String text = slowly + "\n";
+            String text = slowlySentList + "\n";
             for (int i = 0; i < text.length(); i += 20) {
-                String part = text.substring(i, Math.min(text.length(), i + 20));
-                out.writeBytes(Integer.toHexString(part.length()) + "\r\n" + part + "\r\n");
+                String chunk = text.substring(i, Math.min(text.length(), i + 20));
+                out.writeBytes(Integer.toHexString(chunk.length()) + "\r\n" + chunk + "\r\n");
                 Thread.sleep(500);
             }
             Thread.sleep(30_000);
-        } else if (!crowded) {
+        } else if (!overloaded) {
             serveDiscovery(in, out);
             return;
         }
         discovery.received.add(readLine(in));
         while (!readLine(in).isEmpty()) {}
-        Thread.sleep(CALL_WAITS_MS);
+        Thread.sleep(QUEUE_TIMEOUT_MS);
         out.writeBytes("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
     }
 
@@ -66,30 +66,30 @@
      * Asks every 20 ms until then; how many of the answers were rows, and how many requests there
      * were.
      */
-    private int[] askUntil(Client client, long endNs) throws Exception {
-        int[] served = new int[2];
+    private int[] sendReqsUntil(Client client, long endNs) throws Exception {
+        int[] counts = new int[2];
         while (System.nanoTime() < endNs) {
-            served[0] += client.execute(selectSql("1", 800)).equals("TDvC") ? 1 : 0;
-            served[1]++;
+            counts[0] += client.execute(selectSql("1", 800)).equals("TDvC") ? 1 : 0;
+            counts[1]++;
             Thread.sleep(20);
         }
-        return served;
+        return counts;
     }
 
     // Report abbe30: so did a process that had started with a list of unknown age, while discovery
     // turned it away.
     @Test
     void configuredListIsNotUsedWhileDiscoveryIsOverloaded() throws Exception {
-        crowded = true;
-        FakeServer server = startPod((q, out) -> sendRow(out, "v"));
+        overloaded = true;
+        FakeServer pod = startPod((q, out) -> sendRow(out, "v"));
         startSidecar();
         try (Client client = new Client()) {
-            long fromNs = System.nanoTime();
+            long startNs = System.nanoTime();
             assertEquals("E53300 with advice", client.execute(selectSql("1", 1400)));
-            assertTrue(System.nanoTime() - fromNs < SECOND / 2, "not answered at once");
-            askUntil(client, System.nanoTime() + 4 * SECOND);
-            assertEquals(0, server.received.size());
-            crowded = false;
+            assertTrue(System.nanoTime() - startNs < SECOND_NS / 2, "not answered at once");
+            sendReqsUntil(client, System.nanoTime() + 4 * SECOND_NS);
+            assertEquals(0, pod.received.size());
+            overloaded = false;
             awaitTrue(
                     () ->
                             logText().contains("bytes, 0 lines")
@@ -105,18 +105,18 @@
         discovery.close();
         startPod((q, out) -> sendRow(out, "v"));
         // Nobody else may come to listen there.
-        try (Socket held = new Socket()) {
-            held.setReuseAddress(true);
-            held.bind(discovery.localSocketAddress());
+        try (Socket reservation = new Socket()) {
+            reservation.setReuseAddress(true);
+            reservation.bind(discovery.localSocketAddress());
             startSidecar();
-            servedThroughout();
+            assertEveryReqServed();
         }
     }
 
-    private void servedThroughout() throws Exception {
+    private void assertEveryReqServed() throws Exception {
         try (Client client = new Client()) {
-            int[] served = askUntil(client, System.nanoTime() + 12 * SECOND);
-            assertEquals(served[1], served[0], logText());
+            int[] counts = sendReqsUntil(client, System.nanoTime() + 12 * SECOND_NS);
+            assertEquals(counts[1], counts[0], logText());
         }
     }
 
@@ -124,18 +124,18 @@
     // same again.
     @Test
     void indentedListIsAccepted() throws Exception {
-        FakeServer leaving = startPod((q, out) -> sendRow(out, "v"));
+        FakeServer drainingPod = startPod((q, out) -> sendRow(out, "v"));
         startPod((q, out) -> sendRow(out, "v"));
         startSidecar();
         try (Client client = new Client()) {
-            askUntil(client, System.nanoTime() + SECOND / 2);
+            sendReqsUntil(client, System.nanoTime() + SECOND_NS / 2);
             discoveryLines.add(
                     podListJson(8, false, podJson(0, 1, "draining"))
                             .replaceAll("([{\\[,])", "$1\n  "));
-            awaitTrue(() -> leaving.openSockets.isEmpty());
-            int before = leaving.received.size();
-            askUntil(client, System.nanoTime() + SECOND / 2);
-            assertEquals(before, leaving.received.size());
+            awaitTrue(() -> drainingPod.openSockets.isEmpty());
+            int reqCountBefore = drainingPod.received.size();
+            sendReqsUntil(client, System.nanoTime() + SECOND_NS / 2);
+            assertEquals(reqCountBefore, drainingPod.received.size());
         }
         assertEquals(1, discovery.received.size());
     }
@@ -144,18 +144,18 @@
     // beginning.
     @Test
     void slowlySentListIsNotTimedOut() throws Exception {
-        FakeServer leaving = startPod((q, out) -> sendRow(out, "v"));
+        FakeServer drainingPod = startPod((q, out) -> sendRow(out, "v"));
         startPod((q, out) -> sendRow(out, "v"));
         startSidecar();
         awaitTrue(() -> discovery.received.size() == 1);
-        slowly = podListJson(8, false, podJson(0, 1, "draining"));
+        slowlySentList = podListJson(8, false, podJson(0, 1, "draining"));
         closeConnections(discovery);
         awaitTrue(() -> logText().contains("list: generation 8"));
         assertEquals(2, discovery.received.size());
         try (Client client = new Client()) {
-            int before = leaving.received.size();
-            askUntil(client, System.nanoTime() + SECOND / 2);
-            assertEquals(before, leaving.received.size());
+            int reqCountBefore = drainingPod.received.size();
+            sendReqsUntil(client, System.nanoTime() + SECOND_NS / 2);
+            assertEquals(reqCountBefore, drainingPod.received.size());
         }
     }
 
@@ -177,7 +177,7 @@
         startPod((q, out) -> sendRow(out, "v"));
         startSidecar();
         awaitTrue(() -> discovery.received.size() == 1);
-        lineMs = 4_000;
+        queueDelayMs = 4_000;
         discoveryLines.add(podListJson(8, false));
         closeConnections(discovery);
         awaitTrue(() -> logText().contains("list: generation 8"));
@@ -200,39 +200,43 @@
     // not confirm.
     @Test
     void removedPodIsNotUsedAfterPropagationDeadlineWithoutListUpdate() throws Exception {
-        List<Long> sentToP0 = new CopyOnWriteArrayList<>();
-        boolean[] drains = {false};
-        PodBehavior recorded =
+        List<Long> sentToPod0Ns = new CopyOnWriteArrayList<>();
+        boolean[] draining = {false};
+        PodBehavior recordingBehavior =
                 (q, out) -> {
-                    sentToP0.add(System.nanoTime());
-                    return drains[0] ? sendError(out, "53300") : sendRow(out, "v");
+                    sentToPod0Ns.add(System.nanoTime());
+                    return draining[0] ? sendError(out, "53300") : sendRow(out, "v");
                 };
-        FakeServer leaving = startPod(recorded);
+        FakeServer removedPod = startPod(recordingBehavior);
         startPod((q, out) -> sendRow(out, "v"));
         startSidecar();
         awaitTrue(() -> discovery.received.size() == 1);
         try (Client client = new Client()) {
-            askUntil(client, System.nanoTime() + SECOND);
-            assertFalse(sentToP0.isEmpty());
+            sendReqsUntil(client, System.nanoTime() + SECOND_NS);
+            assertFalse(sentToPod0Ns.isEmpty());
             // It drains, ends, and comes back before discovery lists it again: nothing of it
             // reaches the sidecar.
-            crowded = true;
+            overloaded = true;
             closeConnections(discovery);
-            long changedNs = System.nanoTime();
-            drains[0] = true;
-            askUntil(client, changedNs + SECOND);
-            leaving.close();
-            int[] meanwhile = askUntil(client, changedNs + 5 * SECOND);
-            assertTrue(meanwhile[0] > 0.9 * meanwhile[1], meanwhile[0] + " of " + meanwhile[1]);
-            drains[0] = false;
+            long removedNs = System.nanoTime();
+            draining[0] = true;
+            sendReqsUntil(client, removedNs + SECOND_NS);
+            removedPod.close();
+            int[] countsBeforeReturn = sendReqsUntil(client, removedNs + 5 * SECOND_NS);
+            assertTrue(
+                    countsBeforeReturn[0] > 0.9 * countsBeforeReturn[1],
+                    countsBeforeReturn[0] + " of " + countsBeforeReturn[1]);
+            draining[0] = false;
             pods.get(0).listenAgain();
-            int[] after = askUntil(client, changedNs + 14 * SECOND);
-            long lastNs = sentToP0.get(sentToP0.size() - 1) - changedNs;
+            int[] countsAfterReturn = sendReqsUntil(client, removedNs + 14 * SECOND_NS);
+            long lastSentNs = sentToPod0Ns.get(sentToPod0Ns.size() - 1) - removedNs;
             assertTrue(
-                    lastNs <= TOLD_WITHIN_NS + GRACE_NS,
-                    "sent " + lastNs / 1_000_000 + " ms after the change");
+                    lastSentNs <= PROPAGATION_DEADLINE_NS + STOP_SENDING_GRACE_NS,
+                    "sent " + lastSentNs / 1_000_000 + " ms after the change");
             // The other server answers all the while, which shows that it has not left.
-            assertTrue(after[0] > 0.9 * after[1], after[0] + " of " + after[1]);
+            assertTrue(
+                    countsAfterReturn[0] > 0.9 * countsAfterReturn[1],
+                    countsAfterReturn[0] + " of " + countsAfterReturn[1]);
         }
         assertEquals(0, logText().lines().filter(l -> l.contains("fault")).count(), logText());
     }
--- a/sidecar/src/test/java/mulleinlever/sidecar/StatePersistenceTest.java
+++ b/sidecar/src/test/java/mulleinlever/sidecar/StatePersistenceTest.java
@@ -20,37 +20,37 @@
 /** What is kept over real restarts and real kills of a real process. */
 @Timeout(120)
 class StatePersistenceTest extends SidecarTestBase {
-    private static final long MOST = 1 << 20;
+    private static final long MAX_FILE_BYTES = 1 << 20;
 
     /** How often the process is killed; more for a long run, outside CI. */
-    private static final int KILLS = Integer.getInteger("kills", 8);
+    private static final int KILL_COUNT = Integer.getInteger("kills", 8);
 
-    private Path state;
+    private Path stateFolder;
 
     StatePersistenceTest() throws IOException {}
 
     @BeforeEach
     void enableStatePersistence() throws IOException {
-        state = folder.resolve("state");
-        extraArguments.addAll(List.of("--with", settings("").toString()));
+        stateFolder = folder.resolve("state");
+        extraArguments.addAll(List.of("--with", writeSettings("").toString()));
     }
 
-    private Path settings(String more) throws IOException {
+    private Path writeSettings(String extraLines) throws IOException {
         return Files.writeString(
                 folder.resolve("state.toml"),
                 "[state]\nfolder = '"
-                        + state
+                        + stateFolder
                         + "'\nevery = '50ms'\nslice = '0.05ms'\nread_within = '1s'\n"
-                        + more);
+                        + extraLines);
     }
 
-    private StateStore.LoadResult newest() throws IOException {
-        return StateStore.readNewest(new FileSystemDirectory(state), MOST, "n0");
+    private StateStore.LoadResult readNewest() throws IOException {
+        return StateStore.readNewest(new FileSystemDirectory(stateFolder), MAX_FILE_BYTES, "n0");
     }
 
-    private long sequence() {
+    private long newestSequence() {
         try {
-            return StateStore.parseSequence(newest().fileName());
+            return StateStore.parseSequence(readNewest().fileName());
         } catch (IOException | RuntimeException e) {
             return 0;
         }
@@ -77,36 +77,37 @@
                 });
         startSidecar();
         assertTrue(logText().contains("state: nothing taken: no whole file in"), logText());
-        try (Client c = new Client()) {
+        try (Client client = new Client()) {
             for (int i = 0; i < 30; i++) {
-                assertEquals("TDvC", c.execute(selectSql("1", 800)));
+                assertEquals("TDvC", client.execute(selectSql("1", 800)));
             }
         }
         stop();
         // The last write came with the end: nothing older is what the next start finds.
-        long last = newest().snapshot().head().unixMs();
-        assertTrue(System.currentTimeMillis() - last < 3_000);
+        long lastWriteUnixMs = readNewest().snapshot().head().unixMs();
+        assertTrue(System.currentTimeMillis() - lastWriteUnixMs < 3_000);
         startSidecar();
-        String taken =
+        String restoreLine =
                 logText()
                         .lines()
                         .filter(l -> l.contains("state: state-"))
                         .findFirst()
                         .orElseThrow();
         assertTrue(
-                taken.matches(".*state-\\d{12}\\.mls, \\d\\.\\d+ s old: .*[23] pods, 1 routes.*"),
-                taken);
+                restoreLine.matches(
+                        ".*state-\\d{12}\\.mls, \\d\\.\\d+ s old: .*[23] pods, 1 routes.*"),
+                restoreLine);
         // A pod that listens elsewhere now is not the one that was slow.
         kill();
         pods.set(2, new FakeServer((in, out) -> {}));
         startSidecar();
-        taken =
+        restoreLine =
                 logText()
                         .lines()
                         .filter(l -> l.contains("state: state-"))
                         .findFirst()
                         .orElseThrow();
-        assertTrue(taken.contains("1 pods at another address"), taken);
+        assertTrue(restoreLine.contains("1 pods at another address"), restoreLine);
     }
 
     @Test
@@ -114,30 +115,33 @@
         startPod((q, out) -> sendRow(out, "v"));
         startPod((q, out) -> sendRow(out, "v"));
         SplittableRandom random = new SplittableRandom(6);
-        long before = 0;
-        for (int i = 0; i < KILLS; i++) {
+        long lastSequence = 0;
+        for (int i = 0; i < KILL_COUNT; i++) {
             startSidecar();
             assertFalse(logText().contains("passed over"), logText());
             assertTrue(
-                    before == 0 || logText().contains("state: " + StateStore.fileName(before)),
+                    lastSequence == 0
+                            || logText().contains("state: " + StateStore.fileName(lastSequence)),
                     logText());
-            AtomicInteger served = new AtomicInteger();
+            AtomicInteger servedCount = new AtomicInteger();
             startDaemonThread(
                     () -> {
-                        try (Client c = new Client()) {
+                        try (Client client = new Client()) {
                             while (true) {
-                                served.addAndGet(
-                                        c.execute(selectSql("1", 800)).equals("TDvC") ? 1 : 0);
+                                servedCount.addAndGet(
+                                        client.execute(selectSql("1", 800)).equals("TDvC") ? 1 : 0);
                             }
                         }
                     });
-            long from = sequence();
-            awaitTrue(() -> sequence() > from && served.get() > 20);
+            long startSequence = newestSequence();
+            awaitTrue(() -> newestSequence() > startSequence && servedCount.get() > 20);
             Thread.sleep(random.nextInt(150));
-            long seen = sequence();
+            long sequenceBeforeKill = newestSequence();
             kill();
-            before = sequence();
-            assertTrue(before >= seen && seen > from, before + " after " + seen);
+            lastSequence = newestSequence();
+            assertTrue(
+                    lastSequence >= sequenceBeforeKill && sequenceBeforeKill > startSequence,
+                    lastSequence + " after " + sequenceBeforeKill);
         }
     }
 
@@ -148,9 +152,11 @@
         Process first = process;
         try {
             startSidecar();
-            assertTrue(logText().contains("state: off: another sidecar holds " + state), logText());
-            try (Client c = new Client()) {
-                assertEquals("TDvC", c.execute(selectSql("1", 800)));
+            assertTrue(
+                    logText().contains("state: off: another sidecar holds " + stateFolder),
+                    logText());
+            try (Client client = new Client()) {
+                assertEquals("TDvC", client.execute(selectSql("1", 800)));
             }
             stop();
         } finally {
@@ -161,54 +167,60 @@
     @Test
     void hangingDiskFailsNoReqAndDelaysNeitherStartNorShutdown() throws Exception {
         startPod((q, out) -> sendRow(out, "v"));
-        Files.createDirectories(state);
+        Files.createDirectories(stateFolder);
         // Whoever opens a pipe waits for its other end: for ever here.
-        pipe(StateStore.fileName(40));
+        createPipe(StateStore.fileName(40));
         startSidecar();
         assertTrue(logText().contains("took longer than 1000 ms"), logText());
-        try (Client c = new Client()) {
-            assertEquals("TDvC", c.execute(selectSql("1", 800)));
+        try (Client client = new Client()) {
+            assertEquals("TDvC", client.execute(selectSql("1", 800)));
         }
         stop();
-        Files.delete(state.resolve(StateStore.fileName(40)));
+        Files.delete(stateFolder.resolve(StateStore.fileName(40)));
         startSidecar();
-        long at = sequence();
-        for (long n = at + 3; n < at + 60; n++) {
-            pipe(StateStore.fileName(n) + ".tmp");
+        long startSequence = newestSequence();
+        for (long n = startSequence + 3; n < startSequence + 60; n++) {
+            createPipe(StateStore.fileName(n) + ".tmp");
         }
-        awaitTrue(() -> sequence() > at);
-        try (Client c = new Client()) {
+        awaitTrue(() -> newestSequence() > startSequence);
+        try (Client client = new Client()) {
             for (int i = 0; i < 100; i++) {
-                assertEquals("TDvC", c.execute(selectSql("1", 800)));
+                assertEquals("TDvC", client.execute(selectSql("1", 800)));
                 Thread.sleep(5);
             }
         }
-        assertTrue(sequence() < at + 60);
+        assertTrue(newestSequence() < startSequence + 60);
         stop();
         assertTrue(logText().contains("the last write was not done within 300 ms"), logText());
     }
 
-    private void pipe(String name) throws Exception {
+    private void createPipe(String name) throws Exception {
         assertEquals(
-                0, new ProcessBuilder("mkfifo", state.resolve(name).toString()).start().waitFor());
+                0,
+                new ProcessBuilder("mkfifo", stateFolder.resolve(name).toString())
+                        .start()
+                        .waitFor());
     }
 
     @Test
     void corruptFileIsSkippedForPreviousOne() throws Exception {
         startPod((q, out) -> sendRow(out, "v"));
         startSidecar();
-        awaitTrue(() -> sequence() >= 3);
+        awaitTrue(() -> newestSequence() >= 3);
         stop();
-        long last = sequence();
-        Path file = state.resolve(StateStore.fileName(last));
+        long lastSequence = newestSequence();
+        Path file = stateFolder.resolve(StateStore.fileName(lastSequence));
         byte[] bytes = Files.readAllBytes(file);
         bytes[bytes.length / 2] ^= 4;
         Files.write(file, bytes);
         startSidecar();
         assertTrue(
-                logText().contains("passed over " + StateStore.fileName(last) + ": at byte "),
+                logText()
+                        .contains(
+                                "passed over " + StateStore.fileName(lastSequence) + ": at byte "),
                 logText());
-        assertTrue(logText().contains("state: " + StateStore.fileName(last - 1)), logText());
+        assertTrue(
+                logText().contains("state: " + StateStore.fileName(lastSequence - 1)), logText());
     }
 
     @Test
@@ -219,20 +231,20 @@
             sendHangup();
             Thread.sleep(7);
         }
-        long at = sequence();
-        awaitTrue(() -> sequence() > at + 2);
+        long startSequence = newestSequence();
+        awaitTrue(() -> newestSequence() > startSequence + 2);
         assertTrue(logText().contains("reload: discovery at"), logText());
-        try (Client c = new Client()) {
-            assertEquals("TDvC", c.execute(selectSql("1", 800)));
+        try (Client client = new Client()) {
+            assertEquals("TDvC", client.execute(selectSql("1", 800)));
         }
     }
 
     @Test
     void invalidSettingsFailStartupWithLineAndColumn() throws Exception {
         startPod((q, out) -> sendRow(out, "v"));
-        settings("evry = '1s'\n");
+        writeSettings("evry = '1s'\n");
         // Not by startSidecar(), which waits for an answer.
-        var b =
+        var builder =
                 new ProcessBuilder(
                         Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                         "-cp",
@@ -242,9 +254,11 @@
                         "--with",
                         folder.resolve("state.toml").toString());
         port = 1;
-        b.environment().put("LB_CONFIG", writeConfig(256).toString());
+        builder.environment().put("LB_CONFIG", writeConfig(256).toString());
         process =
-                b.redirectErrorStream(true).redirectOutput(folder.resolve("log").toFile()).start();
+                builder.redirectErrorStream(true)
+                        .redirectOutput(folder.resolve("log").toFile())
+                        .start();
         assertTrue(process.waitFor(10, TimeUnit.SECONDS));
         assertEquals(2, process.exitValue());
         assertTrue(
