--- a/sidecar/src/main/java/mulleinlever/sidecar/ChunkedHttpConnection.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/ChunkedHttpConnection.java
@@ -3,8 +3,12 @@
 import io.netty.buffer.ByteBuf;
 import mulleinlever.settings.InvalidInputException;
 
-/** The lines of one HTTP/1.1 answer that is sent in chunks. */
+/**
+ * Receives the lines of an HTTP/1.1 response with chunked transfer coding. Used on the event loop
+ * only.
+ */
 abstract class ChunkedHttpConnection extends LineConnection {
+    /** The part of the response that the next byte belongs to. */
     private enum ParseState {
         STATUS,
         HEADERS,
@@ -14,9 +18,12 @@
         TRAILERS
     }
 
+    /** The maximum length of a status, header, chunk size or trailer line, in characters. */
     private static final int MAX_PROTOCOL_LINE_LENGTH = 8192;
 
+    /** The current line outside of chunk data. */
     private final StringBuilder protocolLine = new StringBuilder();
+
     private ParseState state = ParseState.STATUS;
     private boolean chunked;
     private int remainingChunkBytes;
@@ -26,7 +33,7 @@
         super(transport, maxLineBytes, log, logLabel);
     }
 
-    /** The last chunk has come. */
+    /** Called when the response is complete. */
     abstract void onResponseComplete();
 
     @Override
@@ -48,7 +55,9 @@
     private void appendProtocolChar(char c) {
         if (c != '\n') {
             if (protocolLine.length() == MAX_PROTOCOL_LINE_LENGTH) {
-                throw new InvalidInputException("a head longer than " + MAX_PROTOCOL_LINE_LENGTH);
+                throw new InvalidInputException(
+                        "HTTP line too long; the maximum number of characters is "
+                                + MAX_PROTOCOL_LINE_LENGTH);
             }
             protocolLine.append(c);
             return;
@@ -65,7 +74,8 @@
             case HEADERS -> {
                 chunked |= line.matches("(?i)transfer-encoding:\\s*chunked");
                 if (line.isEmpty() && !chunked) {
-                    throw new InvalidInputException("discovery answers in one piece");
+                    throw new InvalidInputException(
+                            "HTTP response without chunked transfer coding");
                 }
                 state = line.isEmpty() ? ParseState.CHUNK_SIZE : state;
             }
@@ -89,8 +99,8 @@
                 return chunkSize;
             }
         } catch (NumberFormatException e) {
-            throw new InvalidInputException("a chunk of size " + text);
+            throw new InvalidInputException("invalid chunk size: " + text);
         }
-        throw new InvalidInputException("a chunk of size " + text);
+        throw new InvalidInputException("invalid chunk size: " + text);
     }
 }
--- a/sidecar/src/main/java/mulleinlever/sidecar/Clock.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/Clock.java
@@ -4,22 +4,29 @@
 import java.util.function.LongSupplier;
 
 /**
- * The one place where Unix time meets the steady clock: it is read once, at the start, so that a
- * wall clock set back or forth later moves no time limit. Nanoseconds since 1970 keep the start of
- * every pod above 0.
+ * A monotonic clock that counts nanoseconds since 1970. It is set from the wall clock once, at the
+ * start, so that a later step of the wall clock moves no timeout. The count begins in 1970 so that
+ * the start times of all pods are above 0. Safe for use by several threads.
  */
 final class Clock {
-    /** A wall clock that is kept in step by small corrections moves less against the steady one. */
+    /**
+     * The minimum difference to the wall clock that counts as a step of it. A wall clock that is
+     * synchronized by small corrections differs by less.
+     */
     private static final long MIN_STEP_NS = 500_000_000L;
 
     private final LongSupplier wallClockNs;
+
+    /** The difference between Unix time and {@link System#nanoTime} at the start. */
     private final long unixOffsetNs;
 
     Clock() {
         this(Clock::unixNs);
     }
 
-    /** With another source of Unix time, in nanoseconds. */
+    /**
+     * @param wallClockNs the source of Unix time, in nanoseconds
+     */
     Clock(LongSupplier wallClockNs) {
         this.wallClockNs = wallClockNs;
         unixOffsetNs = wallClockNs.getAsLong() - System.nanoTime();
@@ -30,20 +37,21 @@
         return wall.getEpochSecond() * 1_000_000_000L + wall.getNano();
     }
 
+    /** Returns the current time, in nanoseconds since 1970. */
     long nowNs() {
         return System.nanoTime() + unixOffsetNs;
     }
 
     /**
-     * How far the wall clock was stepped forward since the start, in nanoseconds; 0 where it was
-     * not.
+     * Returns how far the wall clock was stepped since the start, in nanoseconds: positive if
+     * forward, negative if back, 0 if it was not stepped.
      */
     long wallClockStepNs() {
         long stepNs = wallClockNs.getAsLong() - nowNs();
         return Math.abs(stepNs) < MIN_STEP_NS ? 0 : stepNs;
     }
 
-    /** A moment told in Unix milliseconds; 0 stays 0, which means long ago. */
+    /** Converts Unix milliseconds to the time of this clock. 0 remains 0, which means long ago. */
     static long unixMsToNs(long unixMs) {
         return unixMs * 1_000_000L;
     }
--- a/sidecar/src/main/java/mulleinlever/sidecar/ConfigReloader.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/ConfigReloader.java
@@ -7,16 +7,18 @@
 import mulleinlever.settings.InvalidInputException;
 
 /**
- * At each SIGHUP the configuration is read anew: discovery and the platform may have moved. Left to
- * itself the signal ends the process, and with it all that is in hand.
+ * Reads the configuration again at each SIGHUP, since discovery and the platform may have moved.
+ * Without a handler the signal would end the process, and with it all reqs in flight.
  */
 final class ConfigReloader {
     private final Map<String, String> env;
     private final NettyTransport transport;
     private final RateLimitedLog log;
+
+    /** The configuration read last. Accessed on the event loop only. */
     private SidecarConfig config;
 
-    /** Null while the sidecar starts. */
+    /** Null until {@link #applyTo}. Accessed on the event loop only. */
     private SidecarComponents components;
 
     ConfigReloader(
@@ -30,7 +32,7 @@
         this.log = log;
     }
 
-    /** What was told until now counts for these. */
+    /** Applies the configuration read last, and those read later, to the components. */
     void applyTo(SidecarComponents startedComponents) {
         components = startedComponents;
         components.discovery.updateAddress(config.discoveryAddress());
@@ -38,8 +40,8 @@
     }
 
     /**
-     * Looked up by name: the JDK has no other way to a signal, and the compiler warns of any use of
-     * this.
+     * Installs the handler of SIGHUP. It uses reflection: the JDK has no other API for signals, and
+     * the compiler warns of any direct use of {@code sun.misc.Signal}.
      */
     void installSignalHandler() {
         try {
@@ -60,14 +62,14 @@
                             signalClass.getConstructor(String.class).newInstance("HUP"),
                             handler);
         } catch (ReflectiveOperationException | IllegalArgumentException e) {
-            log.info("reload", "SIGHUP can't be heard here: " + e);
+            log.info("reload", "SIGHUP can't be handled: " + e);
         }
     }
 
     /**
-     * On the signal's own thread, since a long list would hold up the loop; one at a time, so that
-     * the file read last is the one taken last. Whatever is wrong with the file, what was told
-     * before stands.
+     * Reads the configuration. Runs on the signal's thread, since a long pod list would block the
+     * event loop; synchronized, so that the file read last is applied last. If the file is invalid,
+     * the previous configuration remains in use.
      */
     private synchronized void reload() {
         SidecarConfig newConfig;
@@ -83,6 +85,7 @@
         transport.execute(() -> applyConfig(newConfig));
     }
 
+    /** Applies a configuration, and logs the changed settings that need a restart. */
     private void applyConfig(SidecarConfig newConfig) {
         List<String> restartKeys = new ArrayList<>();
         for (String key : SidecarConfig.RESTART_REQUIRED.keySet()) {
--- a/sidecar/src/main/java/mulleinlever/sidecar/DiscoveryClient.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/DiscoveryClient.java
@@ -7,24 +7,32 @@
 import mulleinlever.settings.JsonFieldReader;
 
 /**
- * Watches the list of pods. When a watch ends the module is told, and asks again when it wants to.
+ * Watches the pod list at discovery by means of a streamed HTTP response, and applies each list to
+ * the connection pool and the policy. When a watch ends, the policy is notified and decides when
+ * the next one opens. Used on the event loop only.
  */
 final class DiscoveryClient {
+    /** The maximum length of a pod list: bytes of one line, or characters of an indented object. */
     private static final int MAX_OBJECT_LENGTH = 4 << 20;
+
     private static final long CONNECT_TIMEOUT_NS = 1_000_000_000L;
 
     /**
-     * An empty line comes every 2 s; after this long without one, the other end is gone or cut off.
+     * Discovery sends an empty line every 2 s. After this time without any byte, it is considered
+     * down or cut off.
      */
     private static final long SILENCE_TIMEOUT_NS = 2_700_000_000L;
 
     /**
-     * How often the wait for the first byte doubles while calls end without one: the line may be
-     * long.
+     * The maximum number of times that the timeout for the first byte doubles while watches end
+     * without one: the call may be waiting in a long queue at discovery.
      */
     private static final int MAX_TIMEOUT_DOUBLINGS = 2;
 
-    /** An answer that comes slowly is waited for, but not for ever. */
+    /**
+     * The maximum time for a list to arrive. A slow transfer goes on while bytes keep coming, but
+     * not beyond this time.
+     */
     private static final long OBJECT_TIMEOUT_NS = 20_000_000_000L;
 
     private final NettyTransport transport;
@@ -36,20 +44,22 @@
     private long listVersion;
     private Watch watch;
 
-    /** Calls in a row that ended in silence without a byte. */
+    /** The number of consecutive watches that timed out without receiving a byte. */
     private int unansweredWatchCount;
 
+    /** The number of watches opened, which numbers them in the log. */
     private int watchCount;
 
     /**
-     * When the last line of a watch came, which is when the list was last known to be true; the
-     * start before any.
+     * When a watch last received a list or an empty line, that is, when the list was last known to
+     * be current; the start time before any.
      */
     private long lastConfirmedNs;
 
+    /** Whether any watch has received a list or an empty line. */
     private boolean confirmed;
 
-    /** Whether nobody listened at its address when it was asked last. */
+    /** Whether the connection of the last ended watch was refused. */
     private boolean unreachable;
 
     DiscoveryClient(
@@ -66,17 +76,22 @@
         this.lastConfirmedNs = clock.nowNs();
     }
 
+    /** Sets the policy to notify. Called once, before any list is applied. */
     void setPolicy(Policy policy) {
         this.policy = policy;
     }
 
-    /** Takes the list of the configuration, which nobody has confirmed yet. */
+    /** Applies the list that the sidecar starts with, which discovery has not confirmed. */
     void applyInitialList(PodList list) {
         applyList(list);
         policy.onPodListNeverConfirmed();
     }
 
-    /** Takes a list from a watch. */
+    /**
+     * Applies a list. The connection pool gets the addresses before the policy is notified, so that
+     * the policy can use every pod on the list. Connections to leaving pods are closed afterwards,
+     * so that tries waiting for one fail and the policy decides on them anew.
+     */
     private void applyList(PodList list) {
         log.info(
                 "discovery",
@@ -85,7 +100,7 @@
                         "list: generation %d after %d, %s, %d entries",
                         list.version(),
                         listVersion,
-                        list.isFull() ? "whole" : "changes",
+                        list.isFull() ? "full" : "changes",
                         list.entries().size()));
         listVersion = list.version();
         connectionPool.updateAddresses(list);
@@ -97,27 +112,30 @@
         connectionPool.closeToLeavingPods(list);
     }
 
-    /** Of the list as last had. */
+    /** Returns the generation of the list that was applied last; 0 before any. */
     long listVersion() {
         return listVersion;
     }
 
-    /** Whether the list is known to be true, or nobody is there who could tell. */
+    /**
+     * Returns whether a watch has confirmed the list, or the connection of the last ended watch was
+     * refused.
+     */
     boolean isListConfirmedOrUnreachable() {
         return confirmed || unreachable;
     }
 
     /**
-     * How long ago the list was last known to be true, in nanoseconds; before any watch told of it,
-     * since the start.
+     * Returns the time since the list was last known to be current, in nanoseconds; the time since
+     * the start before any watch has confirmed it.
      */
     long listAgeNs() {
         return clock.nowNs() - lastConfirmedNs;
     }
 
     /**
-     * Opens a watch in place of any before it, of whose end the module, having asked anew, need not
-     * hear.
+     * Opens a watch and cancels the current one. The policy is not notified of a watch that is
+     * replaced.
      */
     void openWatch() {
         if (watch != null) {
@@ -131,7 +149,10 @@
                 SILENCE_TIMEOUT_NS << Math.min(unansweredWatchCount, MAX_TIMEOUT_DOUBLINGS));
     }
 
-    /** The list had so far stands; what changed behind its version is told at the other address. */
+    /**
+     * Watches at another address from now on. The current list remains in use; the new watch asks
+     * for the changes since its generation.
+     */
     void updateAddress(InetSocketAddress newAddress) {
         if (!newAddress.equals(address)) {
             address = newAddress;
@@ -140,11 +161,15 @@
         }
     }
 
+    /** A streamed response with the changes since the current list. */
     private final class Watch extends ChunkedHttpConnection {
         private final int number;
         private final JsonObjectAssembler assembler = new JsonObjectAssembler(MAX_OBJECT_LENGTH);
 
-        /** When the object under way began, at the latest when the one before was whole. */
+        /**
+         * When the previous object was complete, or the watch was created: the earliest start of
+         * the current object.
+         */
         private long objectStartNs = clock.nowNs();
 
         Watch(int number) {
@@ -206,7 +231,7 @@
                             + " "
                             + describeProgress()
                             + ", list "
-                            + (confirmed ? "confirmed " : "never confirmed, taken ")
+                            + (confirmed ? "confirmed " : "never confirmed, loaded ")
                             + listAgeNs() / 1_000_000
                             + " ms ago");
             policy.onPodListUnconfirmed(lastConfirmedNs);
--- a/sidecar/src/main/java/mulleinlever/sidecar/JsonObjectAssembler.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/JsonObjectAssembler.java
@@ -2,7 +2,9 @@
 
 import mulleinlever.settings.InvalidInputException;
 
-/** Puts JSON objects together from lines: one may take a single line or, indented, many. */
+/**
+ * Assembles JSON objects from lines. An object takes a single line or, if it is indented, several.
+ */
 final class JsonObjectAssembler {
     private final int maxLength;
     private final StringBuilder partialObject = new StringBuilder();
@@ -11,18 +13,18 @@
     private boolean escaped;
 
     /**
-     * @param maxLength characters of an object at most
+     * @param maxLength the maximum length of an object, in characters
      */
     JsonObjectAssembler(int maxLength) {
         this.maxLength = maxLength;
     }
 
     /**
-     * Takes the next line.
+     * Adds the next line.
      *
-     * @return the object that ends with this line, a blank text for a blank line between objects,
-     *     or null within one
-     * @throws InvalidInputException where the object is longer than allowed
+     * @return the object that ends with this line, the line itself if it is outside of any object
+     *     (such as a blank line), or null if the object is incomplete
+     * @throws InvalidInputException if the object is longer than allowed
      */
     String addLine(String line) {
         for (int i = 0; i < line.length(); i++) {
@@ -33,7 +35,8 @@
             return line;
         }
         if (partialObject.length() + line.length() > maxLength) {
-            throw new InvalidInputException("an object longer than " + maxLength);
+            throw new InvalidInputException(
+                    "JSON object too long; the maximum number of characters is " + maxLength);
         }
         partialObject.append(line).append('\n');
         if (depth > 0) {
--- a/sidecar/src/main/java/mulleinlever/sidecar/Lifecycle.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/Lifecycle.java
@@ -2,16 +2,21 @@
 
 import java.util.Locale;
 
-/** The phases of the process, from start to exit. */
+/**
+ * The phases of the process, from start to exit. Advanced on the event loop, read by any thread.
+ */
 final class Lifecycle {
+    /** A phase; its name appears in the log in lower case. */
     enum Phase {
-        /** Reads its configuration and rehearses; nothing listens yet. */
+        /** Reads the configuration and warms up; not listening yet. */
         STARTING,
+        /** Accepts and serves reqs. */
         SERVING,
-        /** Told to stop, it still takes all that comes: those who send have not heard of it yet. */
+        /** Asked to stop, but still accepts reqs: clients have not learned of it yet. */
         LEAVING,
-        /** Takes nothing new, answers all it has taken, closes idle connections. */
+        /** Accepts no more reqs, answers those in flight and closes idle connections. */
         FINISHING,
+        /** All is closed, or the time for it has passed. */
         ENDED
     }
 
@@ -26,7 +31,11 @@
         return phase == expected;
     }
 
-    /** Phases only go forward; whether this one is new. */
+    /**
+     * Advances to a later phase and logs it.
+     *
+     * @return false if the process is in that phase already or in a later one
+     */
     boolean advanceTo(Phase next) {
         if (next.ordinal() <= phase.ordinal()) {
             return false;
--- a/sidecar/src/main/java/mulleinlever/sidecar/LineConnection.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/LineConnection.java
@@ -15,21 +15,32 @@
 import java.util.concurrent.Future;
 import mulleinlever.settings.InvalidInputException;
 
-/** A connection of ours that begins with what we say; then lines of text arrive, split anywhere. */
+/**
+ * An outgoing connection that sends a request and then receives lines of text, which may be split
+ * anywhere between reads. Used on the event loop only.
+ */
 abstract class LineConnection extends ChannelInboundHandlerAdapter {
-    /** Why a connection ended. */
+    /** The reason why a connection ended. The names appear in the log. */
     enum EndReason {
+        /** The peer refused the connection. */
         REFUSED,
+        /** The connection could not be made for another reason, such as a timeout. */
         CONNECT_FAILED,
+        /** The timeout expired. */
         SILENT,
+        /** The peer closed the connection. */
         CLOSED_BY_PEER,
+        /** An I/O error broke the connection. */
         RESET,
+        /** The HTTP response had an unexpected status. */
         STATUS,
+        /** The received data was invalid, or processing it failed. */
         UNREADABLE,
+        /** The response is complete. */
         COMPLETE
     }
 
-    /** An HTTP answer whose status is not the one that was asked for. */
+    /** Thrown if an HTTP response has another status than 200. */
     static final class UnexpectedStatusException extends RuntimeException {
         private static final long serialVersionUID = 1L;
 
@@ -39,8 +50,8 @@
     }
 
     /**
-     * What happened on one connection so far, for the log; nanoseconds, 0 where it has not
-     * happened.
+     * When the connection began to open. This and the times below are for the log, in nanoseconds
+     * of {@link System#nanoTime}; 0 if the event has not happened.
      */
     private long openedNs;
 
@@ -50,6 +61,8 @@
     private long bytesRead;
     private int linesRead;
     private String connectError = "";
+
+    /** The reason to report when the channel closes. */
     private EndReason closeReason = EndReason.CLOSED_BY_PEER;
 
     private final NettyTransport transport;
@@ -62,6 +75,9 @@
     private Future<?> timeoutTask;
     private boolean ended;
 
+    /**
+     * @param logLabel the label of the connection's log lines
+     */
     LineConnection(
             NettyTransport transport, int maxLineBytes, RateLimitedLog log, String logLabel) {
         this.transport = transport;
@@ -70,17 +86,30 @@
         this.logLabel = logLabel;
     }
 
+    /** Returns the text to send once the connection is made, in ASCII. */
     abstract String initialRequest();
 
-    /** Not called any more once the connection has ended or was dropped. */
+    /**
+     * Handles a line, which comes without its line break. Not called after the connection has ended
+     * or was cancelled.
+     */
     abstract void onLine(String line);
 
-    /** Bytes came, be it the middle of a line. */
+    /**
+     * Called when bytes have arrived, before the lines in them are handled; they may hold only a
+     * part of a line.
+     */
     void onBytesReceived() {}
 
-    /** Called once, when the connection has ended for whatever reason but {@link #cancel}. */
+    /** Called once when the connection has ended, unless it was ended by {@link #cancel}. */
     abstract void onEnd(EndReason reason);
 
+    /**
+     * Opens the connection.
+     *
+     * @param connectTimeoutNs the maximum time until the connection is made
+     * @param timeoutNs the time after which the connection ends, unless the timeout is reset
+     */
     final void connect(InetSocketAddress address, long connectTimeoutNs, long timeoutNs) {
         openedNs = System.nanoTime();
         resetTimeout(timeoutNs);
@@ -98,7 +127,7 @@
                         });
     }
 
-    /** It ends after this long, in place of any limit before. */
+    /** Ends the connection after this time, in place of the previous timeout. */
     final void resetTimeout(long timeoutNs) {
         if (timeoutTask != null) {
             timeoutTask.cancel(false);
@@ -106,7 +135,7 @@
         timeoutTask = transport.schedule(timeoutNs, () -> terminate(EndReason.SILENT));
     }
 
-    /** Without a word about it: whoever drops it needs none. */
+    /** Closes the connection without calling {@link #onEnd}. */
     final void cancel() {
         ended = true;
         if (timeoutTask != null) {
@@ -117,6 +146,7 @@
         }
     }
 
+    /** Closes the connection and calls {@link #onEnd}; does nothing if it has ended already. */
     final void terminate(EndReason reason) {
         if (!ended) {
             cancel();
@@ -124,12 +154,15 @@
         }
     }
 
-    /** Whether any byte has come. */
+    /** Returns whether any byte has arrived. */
     final boolean hasReceivedBytes() {
         return firstByteNs != 0;
     }
 
-    /** What happened on this connection and when, in milliseconds since it began to open. */
+    /**
+     * Returns, for the log, what happened on this connection and when, in milliseconds since it
+     * began to open.
+     */
     final String describeProgress() {
         return String.format(
                         Locale.ROOT,
@@ -147,13 +180,21 @@
         return timestampNs == 0 ? "never" : (timestampNs - openedNs) / 1_000_000 + " ms";
     }
 
-    /** What arrives is text already, unless a transfer coding lies around it. */
+    /**
+     * Passes the bytes of text to {@link #appendByte}. Subclasses override this to remove a
+     * transfer coding.
+     */
     void decode(ByteBuf in) {
         while (in.isReadable()) {
             appendByte(in.readByte());
         }
     }
 
+    /**
+     * Appends a byte of text, and handles the line if the byte ends it.
+     *
+     * @throws InvalidInputException if the line is longer than allowed
+     */
     final void appendByte(byte b) {
         if (b == '\n') {
             int end =
@@ -168,7 +209,8 @@
             return;
         }
         if (lineLength == maxLineBytes) {
-            throw new InvalidInputException("a line longer than " + maxLineBytes);
+            throw new InvalidInputException(
+                    "line too long; the maximum number of bytes is " + maxLineBytes);
         }
         if (lineLength == lineBuffer.length) {
             lineBuffer = Arrays.copyOf(lineBuffer, 2 * lineLength);
@@ -204,7 +246,10 @@
         terminate(closeReason);
     }
 
-    /** What can't be read costs the connection, and what it was for is asked anew. */
+    /**
+     * Closes the connection on any error, invalid data included. What it was opened for is then
+     * requested again on a new connection.
+     */
     @Override
     public final void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
         if (cause instanceof IOException) {
--- a/sidecar/src/main/java/mulleinlever/sidecar/PodList.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/PodList.java
@@ -8,17 +8,23 @@
 import mulleinlever.settings.JsonFieldReader;
 
 /**
- * A list of pods as discovery writes it, or the changes since an earlier one, and where each pod
- * listens.
+ * A pod list from discovery: either all pods, or the changes since an earlier list.
+ *
+ * @param version the generation by which discovery numbers its lists
+ * @param isFull whether the list replaces the previous one; false if it holds changes only
+ * @param entries the pods, in the order of discovery
+ * @param addressesByPodId the host and port at which each pod listens; a pod that is gone may be
+ *     absent
  */
 record PodList(
         long version,
         boolean isFull,
         List<PodEntry> entries,
         Map<String, String> addressesByPodId) {
-    /** Before any list was told: discovery is asked for all of it. */
+    /** The list before any is known. A watch that starts from its version 0 receives all pods. */
     static final PodList EMPTY = new PodList(0, true, List.of(), Map.of());
 
+    /** Parses a list in the JSON form of discovery and of the configuration. */
     static PodList fromJson(JsonFieldReader reader) {
         List<PodEntry> entries = new ArrayList<>();
         Map<String, String> addresses = new LinkedHashMap<>();
--- a/sidecar/src/main/java/mulleinlever/sidecar/RateLimitedLog.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/RateLimitedLog.java
@@ -4,8 +4,8 @@
 import java.util.Locale;
 
 /**
- * A line for each thing worth telling; so many a second at most, since a flood would stall the
- * event loop.
+ * The log of the process: lines with a label, up to a maximum number per second, since a flood of
+ * lines would stall the event loop. Safe for use by several threads.
  */
 final class RateLimitedLog {
     private static final int MAX_LINES_PER_SECOND = 20;
@@ -13,7 +13,10 @@
     private final PrintStream out;
     private final Clock clock;
     private final long startNs;
+
+    /** The second since the start in which {@link #lineCount} lines were logged or dropped. */
     private long currentSecond;
+
     private int lineCount;
     private int droppedLineCount;
 
@@ -23,12 +26,16 @@
         this.startNs = clock.nowNs();
     }
 
-    /** A fault of our own: with where it was thrown, which is what its mender asks first. */
+    /** Logs an internal error with the place where it was thrown. */
     void internalError(String label, Throwable error) {
         StackTraceElement[] stackTrace = error.getStackTrace();
         info(label, "fault: " + error + (stackTrace.length > 0 ? " at " + stackTrace[0] : ""));
     }
 
+    /**
+     * Logs a message on one line. Lines past the maximum are dropped; the next line logged states
+     * how many.
+     */
     synchronized void info(String label, String message) {
         long elapsedMs = (clock.nowNs() - startNs) / 1_000_000;
         if (elapsedMs / 1000 != currentSecond) {
--- a/sidecar/src/main/java/mulleinlever/sidecar/ReleasePlatformClient.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/ReleasePlatformClient.java
@@ -10,22 +10,32 @@
 import mulleinlever.settings.FieldReader;
 import mulleinlever.settings.JsonFieldReader;
 
-/** The platform that stages builds: its news on one connection, each vote on one of its own. */
+/**
+ * The client of the release platform, which stages builds. It receives rollout statuses, tallies
+ * and complaints on one long-lived connection, and sends each vote on a connection of its own. Used
+ * on the event loop only.
+ */
 final class ReleasePlatformClient {
     private static final int MAX_LINE_BYTES = 8192;
     private static final long CONNECT_TIMEOUT_NS = 1_000_000_000L;
 
     /**
-     * A sign of life comes each second: two missed, and what the platform tells may not reach us
-     * any more.
+     * The platform sends a line every second. After two missed lines its notifications may no
+     * longer arrive.
      */
     private static final long SILENCE_TIMEOUT_NS = 2_000_000_000L;
 
     private static final long INITIAL_RECONNECT_DELAY_NS = 300_000_000L;
+
+    /** How long after the latest status an older one is ignored as out of order. */
     private static final long REORDER_WINDOW_NS = 1_000_000_000L;
+
     private static final long MILLISECOND_NS = 1_000_000L;
 
-    /** On trial, then released, or on the way back from either. */
+    /**
+     * The phases in the order in which a build goes through them: on trial, then released, or
+     * rolled back from either.
+     */
     private static final List<RolloutStatus.Phase> PHASE_ORDER =
             List.of(
                     RolloutStatus.Phase.ON_TRIAL,
@@ -69,6 +79,10 @@
         this.policy = policy;
     }
 
+    /**
+     * Returns the phase for the platform's word, or throws the error of {@code reader} for its
+     * field "phase".
+     */
     static RolloutStatus.Phase parsePhase(String word, FieldReader reader) {
         return switch (word) {
             case "testing" -> RolloutStatus.Phase.ON_TRIAL;
@@ -80,10 +94,11 @@
     }
 
     /**
-     * News come on two connections, which may be read in another order than they were written in:
-     * an old cap taken for the new one would let too many tries out. A build only goes forward, so
-     * what lies behind the news just heard is left out; not for long, lest one odd line make us
-     * deaf.
+     * Applies a rollout status unless it is behind the latest one. Statuses arrive on two
+     * connections, which may be read in another order than they were written: an old exposure cap
+     * taken for the current one would let too many tries through. A build only moves forward, so an
+     * older status is ignored, but only for a limited time, so that one erroneous line does not
+     * block all later statuses.
      */
     private void applyStatus(RolloutStatus status) {
         long nowNs = clock.nowNs();
@@ -96,12 +111,14 @@
         }
     }
 
-    /** Where the newest build stood when last told, be it at the start. */
+    /** Returns the latest rollout status received, or {@code initialStatus} before any. */
     RolloutStatus latestStatusOr(RolloutStatus initialStatus) {
         return latestStatus == null ? initialStatus : latestStatus;
     }
 
-    /** The news behind a line's first words. */
+    /**
+     * Parses build, stage, phase, exposure cap and age in milliseconds, from {@code firstIndex} on.
+     */
     private static RolloutStatus parseStatus(String[] words, int firstIndex) {
         RolloutStatus.Phase phase =
                 parsePhase(words[firstIndex + 2], new JsonFieldReader("platform: ", null));
@@ -113,17 +130,22 @@
                 parseAgeNs(words[firstIndex + 4]));
     }
 
+    /** Parses an age in milliseconds; a negative one counts as 0. */
     private static long parseAgeNs(String ageMs) {
         return (long) (Math.max(0, Double.parseDouble(ageMs)) * MILLISECOND_NS);
     }
 
+    /** Opens the connection for notifications. */
     void subscribe() {
         notifications = new NotificationConnection();
         reconnectBackoff.recordOpened(clock.nowNs());
         notifications.connect(address, CONNECT_TIMEOUT_NS, SILENCE_TIMEOUT_NS);
     }
 
-    /** Votes under way at the old address are still answered there, or end and may have counted. */
+    /**
+     * Subscribes at another address from now on. Votes in progress at the old address are still
+     * answered there, or end without an answer and may have counted.
+     */
     void updateAddress(InetSocketAddress newAddress) {
         if (!newAddress.equals(address)) {
             address = newAddress;
@@ -132,6 +154,9 @@
         }
     }
 
+    /**
+     * Sends a vote on a stage of a build. The policy is notified whether the platform accepted it.
+     */
     void sendVote(int build, int stage, RolloutVote vote) {
         String word =
                 switch (vote) {
@@ -145,6 +170,7 @@
                 .connect(address, Math.min(CONNECT_TIMEOUT_NS, voteTimeoutNs), voteTimeoutNs);
     }
 
+    /** Sends one vote and receives the answer. */
     private final class VoteConnection extends LineConnection {
         private final String command;
 
@@ -175,7 +201,9 @@
             }
         }
 
-        /** With no answer it may count all the same, which the module allows for. */
+        /**
+         * Without an answer the vote may have counted nevertheless, which the policy allows for.
+         */
         @Override
         void onEnd(EndReason reason) {
             log.info("platform", "no answer to the vote: " + reason + " " + describeProgress());
@@ -183,6 +211,9 @@
         }
     }
 
+    /**
+     * Receives notifications until the platform moves, and is reopened with backoff when it ends.
+     */
     private final class NotificationConnection extends LineConnection {
         NotificationConnection() {
             super(transport, MAX_LINE_BYTES, log, "platform");
@@ -220,8 +251,8 @@
             transport.schedule(
                     reconnectBackoff.nextDelayNs(clock.nowNs()),
                     () -> {
-                        // Unless the platform has moved meanwhile: news heard twice would count
-                        // twice.
+                        // A change of address has opened another connection in the meantime:
+                        // notifications received twice would count twice.
                         if (notifications == this) {
                             subscribe();
                         }
--- a/sidecar/src/main/java/mulleinlever/sidecar/SidecarComponents.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/SidecarComponents.java
@@ -4,15 +4,15 @@
 import mulleinlever.Policy;
 import mulleinlever.Settings;
 
-/**
- * The stages that a req passes and what stands beside them, put together around one {@link Policy}.
- */
+/** The components of a sidecar, connected to one {@link Policy}. Used on the event loop only. */
 final class SidecarComponents {
     /**
-     * Descriptors for clients and for pods; the rest is for the files, the platform and discovery.
+     * The share of the socket limit that client connections may use. What this and the share of the
+     * pods leave is reserved for files, the platform and discovery.
      */
     private static final double CLIENT_SOCKET_SHARE = 0.55;
 
+    /** The share of the socket limit that connections to pods may use. */
     private static final double POD_SOCKET_SHARE = 0.35;
 
     final ClientConnections clientConnections;
@@ -73,18 +73,21 @@
         queryHandler = new QueryHandler(settings, reqRegistry, policyActions);
     }
 
-    /** For one client's connection. */
+    /** Returns the handler for a new client connection. */
     ChannelHandler newClientHandler() {
         return new ClientConnection(
                 queryHandler, clientConnections, memoryLimiter, reqRegistry, clock, log);
     }
 
-    /** Where a pod listens; null where that is not known. */
+    /** Returns the address at which a pod listens, as host and port; null if it is unknown. */
     String podAddress(String podId) {
         return connectionPool.podAddress(podId);
     }
 
-    /** A step is told to the policy once: it can't be undone. */
+    /**
+     * Notifies the policy of the first step of the wall clock only, since the notification can't be
+     * undone.
+     */
     private void reportWallClockStep() {
         long steppedNs = clock.wallClockStepNs();
         if (steppedNs != 0 && !wallClockStepped) {
@@ -94,6 +97,7 @@
         }
     }
 
+    /** Closes stalled and expired connections and logs the counts. Called every second. */
     void runMaintenance() {
         reportWallClockStep();
         clientConnections.closeStalled(clock.nowNs());
--- a/sidecar/src/main/java/mulleinlever/sidecar/SidecarConfig.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/SidecarConfig.java
@@ -15,8 +15,14 @@
 import mulleinlever.settings.SettingsReader;
 
 /**
- * What one sidecar is told at its start: read, checked and given defaults here and nowhere else. A
- * fault names the key. The environment's values count where the file lacks one.
+ * The configuration of one sidecar: read, checked and completed with defaults in this class only.
+ * Errors name the key. Environment variables apply where the file lacks the value.
+ *
+ * @param seed the seed of the random numbers
+ * @param maxSockets the maximum number of descriptors for clients, pods, files, the platform and
+ *     discovery
+ * @param initialPodList the list in use until discovery sends one
+ * @param initialRolloutStatus the status in use until the platform sends one
  */
 record SidecarConfig(
         String name,
@@ -28,12 +34,12 @@
         PodList initialPodList,
         RolloutStatus initialRolloutStatus,
         Settings settings) {
-    /** Taken where no limit is told: what a process may usually open. */
+    /** The usual limit of open files per process, for a configuration without a limit. */
     private static final int DEFAULT_MAX_SOCKETS = 1024;
 
     private static final int MIN_SOCKETS = 64;
 
-    /** What is taken at the start only, in the order of the keys. */
+    /** The settings that apply at the start only, by key, in the order of the keys in the file. */
     static final Map<String, Function<SidecarConfig, Object>> RESTART_REQUIRED =
             restartRequiredSettings();
 
@@ -47,7 +53,7 @@
         return getters;
     }
 
-    /** The same, but started from another list and other news. */
+    /** Returns a copy with another initial list and rollout status. */
     SidecarConfig withInitialState(PodList podList, RolloutStatus rolloutStatus) {
         return new SidecarConfig(
                 name,
@@ -61,6 +67,12 @@
                 settings);
     }
 
+    /**
+     * Reads the file that LB_CONFIG names.
+     *
+     * @throws InvalidInputException if LB_CONFIG is not set, or the file can't be read or is
+     *     invalid
+     */
     static SidecarConfig load(Map<String, String> env) {
         String path = env.get("LB_CONFIG");
         if (path == null) {
@@ -73,9 +85,15 @@
         }
     }
 
+    /**
+     * Parses a configuration in JSON.
+     *
+     * @param env the environment variables
+     * @throws InvalidInputException if it is invalid; the message names the key or the position
+     */
     static SidecarConfig parse(String text, Map<String, String> env) {
         if (!(Json.parse(text) instanceof Map<?, ?> root)) {
-            throw new InvalidInputException("the configuration needs to be one object");
+            throw new InvalidInputException("the configuration must be a JSON object");
         }
         JsonFieldReader reader = new JsonFieldReader("configuration: ", root);
         long maxSockets = reader.getLong("limits.sockets", DEFAULT_MAX_SOCKETS);
@@ -96,7 +114,10 @@
                 settings(reader.getObject("settings")));
     }
 
-    /** What would make the module divide by nothing, or wait for nothing, is found here. */
+    /**
+     * Reads the settings. Rejects values by which the policy would divide by zero or wait for no
+     * time.
+     */
     private static Settings settings(JsonFieldReader reader) {
         Settings settings = SettingsReader.read(reader);
         require(reader, "grades", "at least one route", !settings.routes().isEmpty());
--- a/sidecar/src/main/java/mulleinlever/sidecar/SidecarServer.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/SidecarServer.java
@@ -11,29 +11,41 @@
 import mulleinlever.settings.FeatureSettings;
 import mulleinlever.settings.InvalidInputException;
 
-/** The real sidecar: puts its parts together, starts and ends. */
+/**
+ * The sidecar process: creates the components, starts serving and shuts down gracefully. The
+ * components are used on the event loop; only the waits for stored state, for the last write and
+ * for the end of the process are on other threads.
+ */
 public final class SidecarServer {
     private static final long MILLISECOND_NS = 1_000_000L;
     private static final long SECOND_NS = 1_000 * MILLISECOND_NS;
 
-    /** Who sends to us hears late that we leave. */
+    /**
+     * How long reqs are still accepted after the process was asked to stop: clients learn of it
+     * late.
+     */
     private static final long LEAVING_DURATION_NS = 500 * MILLISECOND_NS;
 
-    /** What was taken last may be answered this much after its route timeout. */
+    /** The time allowed for answers beyond the longest route timeout during shutdown. */
     private static final long FINISHING_SLACK_NS = 100 * MILLISECOND_NS;
 
-    /** From the start of the process: until then it waits for a list that is known to be true. */
+    /**
+     * The maximum time to wait for a confirmed pod list before listening, counted from the start of
+     * the process.
+     */
     private static final long MAX_LIST_WAIT_NS = 5 * SECOND_NS;
 
     private static final long LIST_CHECK_INTERVAL_NS = 20 * MILLISECOND_NS;
     private static final long BIND_RETRY_DELAY_NS = 250 * MILLISECOND_NS;
     private static final int MAX_BIND_ATTEMPTS = 40;
     private static final long LOOP_CHECK_INTERVAL_NS = 50 * MILLISECOND_NS;
+
+    /** The minimum delay of the event loop that is logged. */
     private static final long LOGGED_LOOP_DELAY_NS = 50 * MILLISECOND_NS;
 
     private final SidecarConfig config;
 
-    /** Null where nothing is remembered. */
+    /** Null if persistence is off. */
     private final StatePersistence persistence;
 
     private final Clock clock;
@@ -43,7 +55,10 @@
     private final ConfigReloader reloader;
     private final CountDownLatch endedLatch = new CountDownLatch(1);
     private final long startedNs;
+
+    /** Null until {@link #createComponents}. */
     private SidecarComponents components;
+
     private long lastLoopCheckNs;
 
     private SidecarServer(
@@ -63,9 +78,11 @@
     }
 
     /**
-     * Serves until the process is told to stop; the exit code is 0 then, 2 where it can't start.
+     * Serves until the process is asked to stop.
      *
-     * @param featureFiles files of ours, in TOML, that switch on what is off without them
+     * @param env the environment variables
+     * @param featureFiles TOML files that enable optional features
+     * @return the exit code: 0 after a shutdown, 2 if the sidecar can't start
      */
     public static int run(Map<String, String> env, List<Path> featureFiles)
             throws InterruptedException {
@@ -84,7 +101,7 @@
             log.info("config", e instanceof InvalidInputException ? e.getMessage() : e.toString());
             return 2;
         }
-        // Not even named where it is off: what it needs is not on the bare daemon's class path.
+        // Not even loaded if it is off: the libraries it needs are not on the class path then.
         StatePersistence persistence =
                 features.stateSettings() == null
                         ? null
@@ -94,20 +111,20 @@
         AtomicInteger exitCode = new AtomicInteger();
         server.reloader.installSignalHandler();
         if (persistence == null) {
-            // Discovery may have a long line, so it is asked while the rehearsal goes on.
+            // A call may wait long in discovery's queue, so the watch opens during the warm-up.
             server.transport.execute(server::createComponents);
         }
         WarmUp.run(
                 config,
-                rehearsal -> {
-                    log.info("life", rehearsal.toString());
+                warmUp -> {
+                    log.info("life", warmUp.toString());
                     server.awaitLoadedState();
                     server.transport.execute(
                             () -> {
                                 try {
                                     server.start(exitCode);
                                 } catch (RuntimeException e) {
-                                    log.info("life", "can't start: " + e);
+                                    log.info("life", "failed to start: " + e);
                                     exitCode.set(2);
                                     server.end();
                                 }
@@ -118,7 +135,7 @@
         return exitCode.get();
     }
 
-    /** On the rehearsal's thread, which may wait. */
+    /** Waits for the stored state. Called on the thread of the warm-up, which may block. */
     private void awaitLoadedState() {
         try {
             if (persistence != null) {
@@ -153,7 +170,7 @@
         listenWhenListConfirmed(exitCode);
     }
 
-    /** Puts the stages together and asks discovery for the list. */
+    /** Creates the components and opens a watch of the pod list, unless the policy opens it. */
     private void createComponents() {
         components =
                 new SidecarComponents(
@@ -168,8 +185,9 @@
     }
 
     /**
-     * Without a list that is known to be true requests are better served elsewhere; but not for
-     * long.
+     * Listens once the pod list is confirmed or discovery refuses connections. Without a current
+     * list, clients are better served by other sidecars, so the wait lasts up to {@link
+     * #MAX_LIST_WAIT_NS}.
      */
     private void listenWhenListConfirmed(AtomicInteger exitCode) {
         if (lifecycle.isIn(Lifecycle.Phase.ENDED)) {
@@ -183,7 +201,10 @@
         }
     }
 
-    /** A predecessor may hold the address for a moment after it was told to go. */
+    /**
+     * Binds the listening socket, with retries: a predecessor may hold the address for a moment
+     * after it was asked to stop.
+     */
     private void listen(int remainingAttempts, AtomicInteger exitCode) {
         ChannelFuture bindFuture =
                 transport.bind(config.listenAddress(), components::newClientHandler);
@@ -198,14 +219,14 @@
                     } else {
                         log.info(
                                 "life",
-                                "can't listen at " + config.listenAddress() + ": " + f.cause());
+                                "failed to listen at " + config.listenAddress() + ": " + f.cause());
                         exitCode.set(2);
                         end();
                     }
                 });
     }
 
-    /** All time limits are as late as the loop is. */
+    /** Logs a delay of the event loop, by which all timeouts are late as well. */
     private void checkLoopDelay() {
         long nowNs = clock.nowNs();
         long delayNs = nowNs - lastLoopCheckNs - LOOP_CHECK_INTERVAL_NS;
@@ -216,12 +237,12 @@
                             + delayNs / MILLISECOND_NS
                             + " ms, "
                             + components.reqRegistry.inFlightCount()
-                            + " reqs in hand");
+                            + " reqs in flight");
         }
         lastLoopCheckNs = nowNs;
     }
 
-    /** Runs when the process is told to stop, which it does when this returns. */
+    /** The shutdown hook. The process exits when this returns. */
     private void stop() {
         if (lifecycle.isIn(Lifecycle.Phase.ENDED)) {
             return;
@@ -242,6 +263,10 @@
         }
     }
 
+    /**
+     * Accepts no more reqs, and ends when all client connections are closed or the longest timeout
+     * has passed.
+     */
     private void finish() {
         lifecycle.advanceTo(Lifecycle.Phase.FINISHING);
         components.clientConnections.shutDown();
--- a/sidecar/src/main/java/mulleinlever/sidecar/StatePersistence.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/StatePersistence.java
@@ -26,12 +26,16 @@
 import mulleinlever.state.StateStore;
 
 /**
- * What is kept over a restart: read before the first client comes, and captured from time to time.
+ * Keeps what the sidecar has learned across restarts: loads the newest snapshot before the first
+ * client is accepted, and captures a new one periodically. Methods are called on the event loop
+ * unless they say otherwise; files are read and written on the store's thread.
  */
 final class StatePersistence {
     private static final Path MACHINE_ID_FILE = Path.of("/etc/machine-id");
 
-    /** Between two slices of a capture the loop turns to its connections. */
+    /**
+     * The pause between two slices of a capture, in which the event loop serves its connections.
+     */
     private static final long SLICE_PAUSE_NS = 1_000_000L;
 
     private static final int MAX_LOGGED_SKIPPED_FILES = 3;
@@ -42,14 +46,24 @@
     private final RateLimitedLog log;
     private final StateStore store;
     private final SplittableRandom random;
+
+    /** Identifies this start of the process in its snapshots. */
     private final long startId;
+
     private final Future<StateStore.LoadResult> pendingLoad;
+
+    /** The newest snapshot until it is restored; null if there is none. */
     private StateStore.LoadResult loaded;
+
+    /** The age of the loaded snapshot, or {@link StateDecay#UNKNOWN_AGE_NS}. */
     private long snapshotAgeNs;
+
     private NettyTransport transport;
+
+    /** Null until {@link #restoreAndScheduleSnapshots}. */
     private SidecarComponents components;
 
-    /** Begins to read, on a thread of its own. */
+    /** Begins to load the newest snapshot, on the store's thread. */
     StatePersistence(
             FeatureSettings.StateSettings stateSettings,
             SidecarConfig config,
@@ -63,7 +77,7 @@
         try {
             directory.createDirectories();
         } catch (IOException e) {
-            // The keeper says so at each step that needs it.
+            // The store reports the error at each step that needs the folder.
         }
         store =
                 new StateStore(
@@ -72,13 +86,16 @@
                         stateSettings.maxFileBytes(),
                         config.name(),
                         l -> log.info("state", l));
-        // The seed alone may stand in a file and be the same at each start.
+        // The seed may come from a file and be the same at each start, so the time is mixed in.
         random = new SplittableRandom(config.seed() ^ clock.nowNs());
         startId = random.nextLong();
         pendingLoad = store.openAsync();
     }
 
-    /** Not on the loop: waits for what is read, for a time that is bounded. */
+    /**
+     * Waits until the newest snapshot is loaded, up to the configured timeout. Not called on the
+     * event loop.
+     */
     void awaitLoaded() throws InterruptedException {
         loaded = store.awaitLoad(pendingLoad, stateSettings.readTimeoutNs());
         if (loaded == null) {
@@ -97,8 +114,8 @@
     }
 
     /**
-     * The configuration to start from: the list that was kept where it is newer, news that allow
-     * less.
+     * Returns the configuration to start with: with the pod list of the snapshot if that is newer,
+     * and with its rollout status if that is stricter.
      */
     SidecarConfig initialConfig() {
         if (loaded == null) {
@@ -115,7 +132,7 @@
                             + stricterStatus.build()
                             + " stays "
                             + stricterStatus.phase()
-                            + ", as it was kept");
+                            + ", as in the snapshot");
         }
         boolean listUsable =
                 SnapshotFilter.isPodListUsable(
@@ -123,7 +140,9 @@
         if (listUsable) {
             log.info(
                     "state",
-                    "starting from list " + snapshot.head().listVersion() + ", as it was kept");
+                    "starting from list generation "
+                            + snapshot.head().listVersion()
+                            + " of the snapshot");
         }
         return config.withInitialState(
                 listUsable ? toPodList(snapshot) : config.initialPodList(),
@@ -138,8 +157,8 @@
     }
 
     /**
-     * On the loop, before the first client: gives the policy what still holds, then captures from
-     * time to time.
+     * Restores into the policy what is still valid, then captures snapshots periodically. Called
+     * before the first client is accepted.
      */
     void restoreAndScheduleSnapshots(
             NettyTransport nettyTransport, SidecarComponents sidecarComponents) {
@@ -169,6 +188,7 @@
                 : snapshotAgeNs / 1_000_000 / 1e3 + " s old";
     }
 
+    /** Returns what the loaded values have to match to be restored. */
     private SnapshotFilter.RestoreContext restoreContext() {
         Map<String, PodEntry> pods = new HashMap<>();
         Map<String, String> addresses = new HashMap<>();
@@ -191,7 +211,10 @@
                 addresses);
     }
 
-    /** With jitter, so that sidecars that started together do not write together. */
+    /**
+     * Schedules the next capture, with jitter so that sidecars that started together do not write
+     * at the same time. A capture is skipped while the store is still writing.
+     */
     private void scheduleCapture() {
         double jitterFactor = 1 + stateSettings.jitterRatio() * (2 * random.nextDouble() - 1);
         transport.schedule(
@@ -210,6 +233,7 @@
                 components.policy.exportLearned(clock.nowNs()), components::podAddress);
     }
 
+    /** Captures for one time slice; offers the snapshot to the store once it is complete. */
     private void captureSlice(SnapshotBuilder builder) {
         if (builder.collectUntil(clock::nowNs, clock.nowNs() + stateSettings.maxCaptureSliceNs())) {
             store.offer(toSnapshot(builder));
@@ -233,7 +257,10 @@
                 components.releasePlatform.latestStatusOr(config.initialRolloutStatus()));
     }
 
-    /** When nothing is in hand any more; all at once, since nobody waits. */
+    /**
+     * Captures and offers the final snapshot. The capture takes a single slice, since no req is in
+     * flight any more.
+     */
     void writeFinalSnapshot() {
         if (components != null) {
             SnapshotBuilder builder = newSnapshotBuilder();
@@ -242,12 +269,15 @@
         }
     }
 
-    /** Not on the loop: waits for the last write, for a time that is bounded. */
+    /** Waits for the last write, up to the configured timeout. Not called on the event loop. */
     void awaitFinalWrite() throws InterruptedException {
         store.close(stateSettings.finalWriteTimeoutNs());
     }
 
-    /** Tells a machine from another without telling its name. */
+    /**
+     * Returns a checksum of the machine's ID, which distinguishes machines without disclosing the
+     * ID; empty if the ID can't be read.
+     */
     private static String machineHash() {
         try {
             CRC32C checksum = new CRC32C();
--- a/sidecar/src/test/java/mulleinlever/sidecar/ClockTest.java
+++ b/sidecar/src/test/java/mulleinlever/sidecar/ClockTest.java
@@ -6,11 +6,12 @@
 import java.util.concurrent.atomic.AtomicLong;
 import org.junit.jupiter.api.Test;
 
+/** Checks that a step of the wall clock moves no timeout. */
 class ClockTest {
     private static final long HOUR_NS = 3_600_000_000_000L;
 
-    // Time limits and windows are spans of the steady clock; a step of the wall clock is only
-    // noticed.
+    // Timeouts and windows are measured by the monotonic clock. A step of the wall clock is
+    // detected and has no effect on them.
     @Test
     void wallClockStepIsDetectedAndDoesNotShiftTime() {
         AtomicLong currentStepNs = new AtomicLong();
--- a/sidecar/src/test/java/mulleinlever/sidecar/ServeMain.java
+++ b/sidecar/src/test/java/mulleinlever/sidecar/ServeMain.java
@@ -5,8 +5,8 @@
 import java.util.List;
 
 /**
- * Serves in a process of its own, where the command line is not on the class path: "serve [--with
- * FILE]".
+ * Runs a sidecar process for the tests of this module, which does not depend on the command line
+ * module. The arguments are {@code serve [--with FILE]}.
  */
 final class ServeMain {
     private ServeMain() {}
--- a/sidecar/src/test/java/mulleinlever/sidecar/SoakRun.java
+++ b/sidecar/src/test/java/mulleinlever/sidecar/SoakRun.java
@@ -16,41 +16,53 @@
 import java.util.regex.Pattern;
 
 /**
- * One seeded run of the program among servers, a discovery and a platform that fail: what happens,
- * when and to whom is drawn from the seed. Whatever breaks a rule is collected; times are
- * milliseconds of the monotonic clock.
+ * A seeded run of a sidecar process with faults at the pods, discovery and the platform. The kind,
+ * time and target of each fault are drawn from the seed. Violations of the invariants are
+ * collected. Times are milliseconds of the monotonic clock since the start of the run.
  */
 final class SoakRun extends SidecarTestBase {
+    /** Matches a statement; the groups are its value, the ID of the req and the route. */
     private static final Pattern STATEMENT = Pattern.compile("'([^']*)'.*id=([0-9a-f]+),c=(\\w+)");
+
     private static final int POD_COUNT = 6;
     private static final int CLIENT_COUNT = 4;
     private static final long FAULT_PHASE_MS = 20_000;
+
+    /** The time for the sidecar to recover after the last fault. */
     private static final long RECOVERY_MS = 9_000;
+
+    /**
+     * The time after which a change of the list counts as known to the sidecar, received or not.
+     */
     private static final long PROPAGATION_DEADLINE_MS = 6_000;
+
+    /** The same time for all earlier changes, counted from a move of discovery. */
     private static final long PROPAGATION_DEADLINE_AFTER_MOVE_MS = 4_000;
+
     private static final long STOP_SENDING_GRACE_MS = 250;
     private static final long DEDUP_WINDOW_MS = 400;
     private static final long ANSWER_SLACK_MS = 500;
 
-    /** How late the threads of this rig may see what happened. */
+    /** How late the threads of the test may observe an event. */
     private static final long OBSERVATION_SLACK_MS = 100;
 
     private static final long NEVER_MS = Long.MAX_VALUE / 2;
 
-    private enum DiscoveryMode {
+    /** How discovery treats calls and watches. */
+    private enum DiscoveryBehavior {
         HEALTHY,
         OVERLOADED,
         SILENT,
         SLOW
     }
 
-    /** One server: what the list says of it, since when, and how it behaves. */
+    /** A pod with its state on the list and its faults. */
     private final class FaultyPod {
         final int index;
         volatile String lifecycle = "ready";
         volatile long notReadySinceMs = NEVER_MS;
 
-        /** When discovery wrote to the sidecar that it leaves. */
+        /** When discovery first sent a list to the sidecar in which the pod is not ready. */
         volatile long removalSentMs = NEVER_MS;
 
         volatile int resetsLeft;
@@ -84,7 +96,7 @@
                                 + matcher.group(2)
                                 + " "
                                 + (nowMs - propagatedMs)
-                                + " ms after told");
+                                + " ms after the change was known");
             }
             if (lifecycle.equals("draining")) {
                 return sendError(out, "53300");
@@ -104,6 +116,7 @@
             return sendRow(out, matcher.group(1));
         }
 
+        /** Reports a put that ran again outside of its dedup scope or after its dedup window. */
         private void recordExecution(String reqId, String route, long nowMs) {
             long[] first = firstExecutions.computeIfAbsent(reqId, i -> new long[] {nowMs, index});
             if (route.equals("put")
@@ -125,18 +138,27 @@
     private final long seed;
     private final SplittableRandom random;
     private final List<FaultyPod> faultyPods = new ArrayList<>();
+
+    /** Time and pod index of the first execution, by the ID of the req. */
     private final Map<String, long[]> firstExecutions = new ConcurrentHashMap<>();
+
     private final Queue<String> violations = new ConcurrentLinkedQueue<>();
     private final Queue<String> events = new ConcurrentLinkedQueue<>();
     private final AtomicInteger servedCount = new AtomicInteger();
     private final AtomicInteger reqCount = new AtomicInteger();
     private final AtomicInteger reqNumbers = new AtomicInteger();
     private final long startMs = System.nanoTime() / 1_000_000;
-    private volatile DiscoveryMode discoveryState = DiscoveryMode.HEALTHY;
+    private volatile DiscoveryBehavior discoveryBehavior = DiscoveryBehavior.HEALTHY;
     private volatile int listVersion = 7;
     private volatile long outageEndMs;
     private volatile long discoveryMovedMs = -NEVER_MS;
+
+    /**
+     * When the sidecar was started again after it was killed; {@link #NEVER_MS} during the restart,
+     * negative before.
+     */
     private volatile long restartedMs = -NEVER_MS;
+
     private volatile boolean stopped;
 
     SoakRun(long seed) throws IOException {
@@ -164,7 +186,7 @@
     private void serveList(DataInputStream in, DataOutputStream out) throws Exception {
         readLine(in);
         while (!readLine(in).isEmpty()) {}
-        if (discoveryState == DiscoveryMode.OVERLOADED) {
+        if (discoveryBehavior == DiscoveryBehavior.OVERLOADED) {
             Thread.sleep(1_000);
             out.writeBytes("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
             return;
@@ -172,7 +194,7 @@
         out.writeBytes("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
         int sentVersion = -1;
         while (true) {
-            while (discoveryState == DiscoveryMode.SILENT) {
+            while (discoveryBehavior == DiscoveryBehavior.SILENT) {
                 Thread.sleep(20);
             }
             int version = listVersion;
@@ -199,15 +221,15 @@
     }
 
     private void writeChunks(DataOutputStream out, String text) throws Exception {
-        int chunkLength = discoveryState == DiscoveryMode.SLOW ? 150 : text.length();
+        int chunkLength = discoveryBehavior == DiscoveryBehavior.SLOW ? 150 : text.length();
         for (int i = 0; i < text.length(); i += chunkLength) {
             String chunk = text.substring(i, Math.min(text.length(), i + chunkLength));
             out.writeBytes(Integer.toHexString(chunk.length()) + "\r\n" + chunk + "\r\n");
-            Thread.sleep(discoveryState == DiscoveryMode.SLOW ? 200 : 0);
+            Thread.sleep(discoveryBehavior == DiscoveryBehavior.SLOW ? 200 : 0);
         }
     }
 
-    /** The list changes, and with it what the server does. */
+    /** Changes a pod's state on the list and, with it, the pod's behaviour. */
     private void setLifecycle(FaultyPod pod, String lifecycle) {
         if (pod.notReadySinceMs == NEVER_MS && !lifecycle.equals("ready")) {
             pod.notReadySinceMs = elapsedMs();
@@ -221,7 +243,7 @@
         addEvent("p" + pod.index + " " + lifecycle);
     }
 
-    /** It drains, ends, listens again before it is listed, and is listed. */
+    /** Lets a pod drain, end, listen again before it is listed, and be listed as ready again. */
     private void restartPod(FaultyPod pod, long drainingMs, long goneMs, long unlistedMs) {
         startDaemonThread(
                 () -> {
@@ -237,6 +259,7 @@
                 });
     }
 
+    /** Causes a fault of random kind, or lets discovery recover. */
     private void injectFault() throws Exception {
         FaultyPod pod = faultyPods.get(random.nextInt(POD_COUNT));
         int kind = random.nextInt(12);
@@ -255,11 +278,14 @@
             }
             case 3 -> {
                 pod.responseDelayMs = 0;
-                discoveryState = elapsedMs() > outageEndMs ? DiscoveryMode.SLOW : discoveryState;
+                discoveryBehavior =
+                        elapsedMs() > outageEndMs ? DiscoveryBehavior.SLOW : discoveryBehavior;
             }
             case 4, 5 ->
-                    discoveryState =
-                            elapsedMs() > outageEndMs ? DiscoveryMode.HEALTHY : discoveryState;
+                    discoveryBehavior =
+                            elapsedMs() > outageEndMs
+                                    ? DiscoveryBehavior.HEALTHY
+                                    : discoveryBehavior;
             case 6 -> closeConnections(discovery);
             case 7 -> closeConnections(platform);
             case 8 -> suspendProcess();
@@ -293,16 +319,18 @@
     }
 
     /**
-     * Discovery can be reached and tells nobody anything, for longer than it takes until changes
-     * count as told.
+     * Lets discovery accept connections without sending any list, for longer than it takes until
+     * changes count as known.
      */
     private void beginOutage() throws IOException {
-        discoveryState = random.nextBoolean() ? DiscoveryMode.OVERLOADED : DiscoveryMode.SILENT;
+        discoveryBehavior =
+                random.nextBoolean() ? DiscoveryBehavior.OVERLOADED : DiscoveryBehavior.SILENT;
         outageEndMs = elapsedMs() + 8_000 + random.nextInt(4_000);
-        addEvent("discovery is " + discoveryState + " until " + outageEndMs);
+        addEvent("discovery is " + discoveryBehavior + " until " + outageEndMs);
         closeConnections(discovery);
     }
 
+    /** Suspends the sidecar for 140 ms, which is less than the 150 ms that it has to allow for. */
     private void suspendProcess() throws Exception {
         new ProcessBuilder("kill", "-STOP", "" + process.pid()).start().waitFor();
         Thread.sleep(140);
@@ -350,7 +378,7 @@
                                             + clientTimeoutMs
                                             + " */");
         } catch (IOException e) {
-            // The kill takes its connections with it.
+            // The kill of the process closes its connections.
             if (!stopped && sentMs > restartedMs) {
                 addViolation("lost: no answer to " + id + ": " + e);
             }
@@ -371,7 +399,7 @@
         }
     }
 
-    /** Plays the run, and returns what was broken. */
+    /** Runs until the process has ended, and returns the violations. */
     List<String> run() throws Exception {
         try {
             startSidecar();
@@ -387,8 +415,8 @@
                 }
                 injectFault();
             }
-            addEvent("calm");
-            discoveryState = DiscoveryMode.HEALTHY;
+            addEvent("recovery begins");
+            discoveryBehavior = DiscoveryBehavior.HEALTHY;
             faultyPods.forEach(
                     s -> {
                         s.resetsLeft = 0;
@@ -412,7 +440,7 @@
             stopped = true;
             process.destroy();
             if (!process.waitFor(4, java.util.concurrent.TimeUnit.SECONDS)) {
-                addViolation("still there 4 s after SIGTERM");
+                addViolation("still running 4 s after SIGTERM");
             }
             logText().lines().filter(l -> l.contains("fault")).limit(3).forEach(this::addViolation);
         } finally {
@@ -423,8 +451,8 @@
     }
 
     /**
-     * What happened and what the program logged of it but for its counts, for whoever looks into a
-     * broken run.
+     * Returns the injected faults, and the lines that the sidecar logged about them, for the
+     * diagnosis of a violation.
      */
     String eventLog() {
         return String.join("\n", events)
--- a/sidecar/src/test/java/mulleinlever/sidecar/SoakTest.java
+++ b/sidecar/src/test/java/mulleinlever/sidecar/SoakTest.java
@@ -12,8 +12,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Seeded runs with faults everywhere; {@code -Dsoak.seeds=1-50 -Dsoak.parallel=4} for a long one,
- * any seed alone to play it again.
+ * Checks the invariants in seeded runs with faults at all peers. {@code -Dsoak.seeds=1-50
+ * -Dsoak.parallel=4} runs more seeds; a single seed repeats its run.
  */
 class SoakTest {
     private static final int FIRST_SEED = 1;
@@ -41,8 +41,8 @@
                                         + seed
                                         + ": "
                                         + (violations.isEmpty()
-                                                ? "held"
-                                                : violations.size() + " broken"));
+                                                ? "passed"
+                                                : violations.size() + " violations"));
                         if (!violations.isEmpty()) {
                             System.out.println(soak.eventLog());
                             violations.stream().limit(10).forEach(System.out::println);
@@ -59,7 +59,7 @@
         assertTrue(
                 allViolations.isEmpty(),
                 allViolations.size()
-                        + " broken, such as "
+                        + " violations, such as "
                         + allViolations.stream().findFirst().orElse(""));
     }
 }
--- a/sidecar/src/test/java/mulleinlever/sidecar/StalePodListTest.java
+++ b/sidecar/src/test/java/mulleinlever/sidecar/StalePodListTest.java
@@ -13,26 +13,33 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** A sidecar whose discovery can be reached but serves nobody, while the servers change. */
+/**
+ * Guards against the use of a stale pod list: discovery accepts connections but sends no list, or
+ * sends it slowly, while the pods change.
+ */
 @Timeout(90)
 class StalePodListTest extends SidecarTestBase {
     private static final long SECOND_NS = 1_000_000_000L;
 
-    /** A change counts as told this long after discovery had it, whether it arrived or not. */
+    /**
+     * The time after which a change at discovery counts as known to the sidecar, whether it was
+     * received or not.
+     */
     private static final long PROPAGATION_DEADLINE_NS = 6 * SECOND_NS;
 
-    /** {@code stopSendingWithinNs} of the tests' configuration. */
+    /** {@code stopSendingWithinNs} in the configuration of the tests. */
     private static final long STOP_SENDING_GRACE_NS = SECOND_NS / 4;
 
+    /** How long a call waits at an overloaded discovery before it is rejected with status 503. */
     private static final long QUEUE_TIMEOUT_MS = 1_000;
 
-    /** Whether each call waits in line until discovery gives it up. */
+    /** Whether discovery rejects each call after {@link #QUEUE_TIMEOUT_MS}. */
     private volatile boolean overloaded;
 
-    /** How long each call stands in line before it is served. */
+    /** How long each call waits in discovery's queue before it is served. */
     private volatile long queueDelayMs;
 
-    /** A list that is written twenty characters each half a second. */
+    /** If not null, a list that discovery writes at 20 characters per half second. */
     private volatile String slowlySentList;
 
     StalePodListTest() throws IOException {
@@ -63,8 +70,8 @@
     }
 
     /**
-     * Asks every 20 ms until then; how many of the answers were rows, and how many requests there
-     * were.
+     * Sends a req every 20 ms until {@code endNs}. Returns the number of reqs answered with a row,
+     * and the number of all reqs.
      */
     private int[] sendReqsUntil(Client client, long endNs) throws Exception {
         int[] counts = new int[2];
@@ -76,8 +83,8 @@
         return counts;
     }
 
-    // Report abbe30: so did a process that had started with a list of unknown age, while discovery
-    // turned it away.
+    // Report abbe30: a process that had started with a list of unknown age sent reqs to removed
+    // pods while discovery rejected its calls.
     @Test
     void configuredListIsNotUsedWhileDiscoveryIsOverloaded() throws Exception {
         overloaded = true;
@@ -86,7 +93,7 @@
         try (Client client = new Client()) {
             long startNs = System.nanoTime();
             assertEquals("E53300 with advice", client.execute(selectSql("1", 1400)));
-            assertTrue(System.nanoTime() - startNs < SECOND_NS / 2, "not answered at once");
+            assertTrue(System.nanoTime() - startNs < SECOND_NS / 2, "rejected later than 0.5 s");
             sendReqsUntil(client, System.nanoTime() + 4 * SECOND_NS);
             assertEquals(0, pod.received.size());
             overloaded = false;
@@ -98,13 +105,13 @@
         }
     }
 
-    // The other duty: where nobody is there who could tell of a change, none counts, and requests
-    // are served.
+    // While discovery refuses connections, no change of the list counts as known, so the
+    // configured list remains in use and every req is served.
     @Test
     void configuredListIsUsedWhenDiscoveryIsUnreachable() throws Exception {
         discovery.close();
         startPod((q, out) -> sendRow(out, "v"));
-        // Nobody else may come to listen there.
+        // Keeps other processes from listening at discovery's address.
         try (Socket reservation = new Socket()) {
             reservation.setReuseAddress(true);
             reservation.bind(discovery.localSocketAddress());
@@ -120,8 +127,8 @@
         }
     }
 
-    // An indented list was taken for a faulty one: it ended the watch, and the next brought the
-    // same again.
+    // An indented list was rejected as invalid: it ended the watch, and the next watch received the
+    // same list again.
     @Test
     void indentedListIsAccepted() throws Exception {
         FakeServer drainingPod = startPod((q, out) -> sendRow(out, "v"));
@@ -140,8 +147,8 @@
         assertEquals(1, discovery.received.size());
     }
 
-    // A list of which bytes kept coming was given up after 2.7 s, and asked for again from its
-    // beginning.
+    // The watch timed out after 2.7 s while bytes of a list were still arriving, and the next
+    // watch had to receive the list from the beginning.
     @Test
     void slowlySentListIsNotTimedOut() throws Exception {
         FakeServer drainingPod = startPod((q, out) -> sendRow(out, "v"));
@@ -159,7 +166,7 @@
         }
     }
 
-    // Where discovery tells changes unasked, a watch that had ended was never opened again.
+    // With a discovery that pushes changes, a watch that had ended was never opened again.
     @Test
     void endedWatchIsReopenedInPushMode() throws Exception {
         discoveryMode = "automatic";
@@ -170,8 +177,8 @@
         awaitTrue(() -> discovery.received.size() == 2);
     }
 
-    // A call that stood in a long line was given up after 2.7 s and made again at its end, so it
-    // was never served.
+    // A call in a long queue at discovery timed out after 2.7 s, and the next one had to wait at
+    // the end of the queue, so the sidecar was never served.
     @Test
     void queuedDiscoveryCallIsNotTimedOut() throws Exception {
         startPod((q, out) -> sendRow(out, "v"));
@@ -183,8 +190,8 @@
         awaitTrue(() -> logText().contains("list: generation 8"));
     }
 
-    // A watch opened anew that has nothing new to tell was given up every four seconds, one more
-    // call each time.
+    // A reopened watch without any change to send was closed every 4 s, with one more call to
+    // discovery each time.
     @Test
     void idleWatchIsKeptOpen() throws Exception {
         startPod((q, out) -> sendRow(out, "v"));
@@ -196,8 +203,8 @@
         assertEquals(2, discovery.received.size(), discovery.received.toString());
     }
 
-    // Report abbe30: requests went to servers that had been removed, by a list that discovery did
-    // not confirm.
+    // Report abbe30: reqs went to pods that had been removed, because the sidecar kept using a list
+    // that discovery no longer confirmed.
     @Test
     void removedPodIsNotUsedAfterPropagationDeadlineWithoutListUpdate() throws Exception {
         List<Long> sentToPod0Ns = new CopyOnWriteArrayList<>();
@@ -214,8 +221,8 @@
         try (Client client = new Client()) {
             sendReqsUntil(client, System.nanoTime() + SECOND_NS);
             assertFalse(sentToPod0Ns.isEmpty());
-            // It drains, ends, and comes back before discovery lists it again: nothing of it
-            // reaches the sidecar.
+            // The pod drains, ends, and listens again before discovery lists it again. The sidecar
+            // receives none of these changes.
             overloaded = true;
             closeConnections(discovery);
             long removedNs = System.nanoTime();
@@ -232,8 +239,8 @@
             long lastSentNs = sentToPod0Ns.get(sentToPod0Ns.size() - 1) - removedNs;
             assertTrue(
                     lastSentNs <= PROPAGATION_DEADLINE_NS + STOP_SENDING_GRACE_NS,
-                    "sent " + lastSentNs / 1_000_000 + " ms after the change");
-            // The other server answers all the while, which shows that it has not left.
+                    "sent " + lastSentNs / 1_000_000 + " ms after the removal");
+            // The other pod serves reqs all the time, which shows that it has not left.
             assertTrue(
                     countsAfterReturn[0] > 0.9 * countsAfterReturn[1],
                     countsAfterReturn[0] + " of " + countsAfterReturn[1]);
--- a/sidecar/src/test/java/mulleinlever/sidecar/StatePersistenceTest.java
+++ b/sidecar/src/test/java/mulleinlever/sidecar/StatePersistenceTest.java
@@ -17,12 +17,15 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** What is kept over real restarts and real kills of a real process. */
+/** Checks what a sidecar process keeps across restarts, kills and disk faults. */
 @Timeout(120)
 class StatePersistenceTest extends SidecarTestBase {
     private static final long MAX_FILE_BYTES = 1 << 20;
 
-    /** How often the process is killed; more for a long run, outside CI. */
+    /**
+     * The number of times that the process is killed; {@code -Dkills} sets more for a long run
+     * outside of CI.
+     */
     private static final int KILL_COUNT = Integer.getInteger("kills", 8);
 
     private Path stateFolder;
@@ -67,7 +70,7 @@
 
     @Test
     void learnedStateIsRestoredAfterRestart() throws Exception {
-        // The first and the third are in the sidecar's own zone, where its reqs go first.
+        // The first and the third pod are in the sidecar's own zone, which its reqs prefer.
         startPod((q, out) -> sendRow(out, "v"));
         startPod((q, out) -> sendRow(out, "v"));
         startPod(
@@ -83,7 +86,7 @@
             }
         }
         stop();
-        // The last write came with the end: nothing older is what the next start finds.
+        // The last snapshot was written at the shutdown, so the next start finds no older one.
         long lastWriteUnixMs = readNewest().snapshot().head().unixMs();
         assertTrue(System.currentTimeMillis() - lastWriteUnixMs < 3_000);
         startSidecar();
@@ -97,7 +100,7 @@
                 restoreLine.matches(
                         ".*state-\\d{12}\\.mls, \\d\\.\\d+ s old: .*[23] pods, 1 routes.*"),
                 restoreLine);
-        // A pod that listens elsewhere now is not the one that was slow.
+        // A pod that listens at another address now is not the one that was slow.
         kill();
         pods.set(2, new FakeServer((in, out) -> {}));
         startSidecar();
@@ -168,7 +171,7 @@
     void hangingDiskFailsNoReqAndDelaysNeitherStartNorShutdown() throws Exception {
         startPod((q, out) -> sendRow(out, "v"));
         Files.createDirectories(stateFolder);
-        // Whoever opens a pipe waits for its other end: for ever here.
+        // Opening a pipe blocks until its other end is opened, which never happens here.
         createPipe(StateStore.fileName(40));
         startSidecar();
         assertTrue(logText().contains("took longer than 1000 ms"), logText());
@@ -243,7 +246,7 @@
     void invalidSettingsFailStartupWithLineAndColumn() throws Exception {
         startPod((q, out) -> sendRow(out, "v"));
         writeSettings("evry = '1s'\n");
-        // Not by startSidecar(), which waits for an answer.
+        // Not by startSidecar(), which waits until the sidecar answers.
         var builder =
                 new ProcessBuilder(
                         Path.of(System.getProperty("java.home"), "bin", "java").toString(),
