--- a/sidecar/src/main/java/mulleinlever/sidecar/SidecarConfig.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/SidecarConfig.java
@@ -105,20 +105,20 @@
                 readAddress(reader, "listen", env.get("LB_LISTEN")),
                 readAddress(reader, "discovery", env.get("LB_DISCOVERY")),
                 readAddress(reader, "release_api.address", null),
-                seed(reader),
+                readSeed(reader),
                 (int) Math.min(1 << 20, maxSockets),
                 reader.hasField("known")
                         ? PodList.fromJson(reader.getObject("known"))
                         : PodList.EMPTY,
                 readRolloutStatus(reader.getObject("release_api.news")),
-                settings(reader.getObject("settings")));
+                readSettings(reader.getObject("settings")));
     }
 
     /**
      * Reads the settings. Rejects values by which the policy would divide by zero or wait for no
      * time.
      */
-    private static Settings settings(JsonFieldReader reader) {
+    private static Settings readSettings(JsonFieldReader reader) {
         Settings settings = SettingsReader.read(reader);
         require(reader, "grades", "at least one route", !settings.routes().isEmpty());
         for (int i = 0; i < settings.routes().size(); i++) {
@@ -168,7 +168,7 @@
                 Math.max(0, reader.getLong("age_ms", 0)) * 1_000_000L);
     }
 
-    private static long seed(JsonFieldReader reader) {
+    private static long readSeed(JsonFieldReader reader) {
         try {
             return Long.parseUnsignedLong(reader.getString("seed"), 16);
         } catch (NumberFormatException e) {
