--- a/sidecar/src/main/java/mulleinlever/sidecar/ReleasePlatformClient.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/ReleasePlatformClient.java
@@ -45,7 +45,7 @@
 
     private static final Comparator<RolloutStatus> PROGRESS_ORDER =
             Comparator.comparingInt(RolloutStatus::build)
-                    .thenComparingInt(n -> PHASE_ORDER.indexOf(n.phase()))
+                    .thenComparingInt(status -> PHASE_ORDER.indexOf(status.phase()))
                     .thenComparingInt(RolloutStatus::stage);
 
     private final NettyTransport transport;
--- a/sidecar/src/main/java/mulleinlever/sidecar/SidecarServer.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/SidecarServer.java
@@ -101,7 +101,8 @@
             log.info("config", e instanceof InvalidInputException ? e.getMessage() : e.toString());
             return 2;
         }
-        // Not even loaded if it is off: the libraries it needs are not on the class path then.
+        // If persistence is off, its class is not loaded either: the libraries it needs are not on
+        // the class path of a bare deployment.
         StatePersistence persistence =
                 features.stateSettings() == null
                         ? null
