--- a/sidecar/src/main/java/mulleinlever/sidecar/DiscoveryClient.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/DiscoveryClient.java
@@ -7,145 +7,173 @@
 import mulleinlever.settings.JsonFieldReader;
 
 /**
- * Watches the list of pods. When a watch ends the module is told, and asks again when it wants to.
+ * Watches the pod list at discovery by means of a streamed HTTP response, and applies each list to
+ * the connection pool and the policy. When a watch ends, the policy is notified and decides when
+ * the next one opens. Used on the event loop only.
  */
 final class DiscoveryClient {
-    private static final int LONGEST = 4 << 20;
-    private static final long CONNECT_NS = 1_000_000_000L;
+    /** The maximum length of a pod list: bytes of one line, or characters of an indented object. */
+    private static final int MAX_OBJECT_LENGTH = 4 << 20;
+
+    private static final long CONNECT_TIMEOUT_NS = 1_000_000_000L;
 
     /**
-     * An empty line comes every 2 s; after this long without one, the other end is gone or cut off.
+     * Discovery sends an empty line every 2 s. After this time without any byte, it is considered
+     * down or cut off.
      */
-    private static final long SILENT_NS = 2_700_000_000L;
+    private static final long SILENCE_TIMEOUT_NS = 2_700_000_000L;
 
     /**
-     * How often the wait for the first byte doubles while calls end without one: the line may be
-     * long.
+     * The maximum number of times that the timeout for the first byte doubles while watches end
+     * without one: the call may be waiting in a long queue at discovery.
      */
-    private static final int MOST_DOUBLINGS = 2;
+    private static final int MAX_TIMEOUT_DOUBLINGS = 2;
 
-    /** An answer that comes slowly is waited for, but not for ever. */
-    private static final long OBJECT_NS = 20_000_000_000L;
+    /**
+     * The maximum time for a list to arrive. A slow transfer goes on while bytes keep coming, but
+     * not beyond this time.
+     */
+    private static final long OBJECT_TIMEOUT_NS = 20_000_000_000L;
 
-    private final NettyTransport net;
+    private final NettyTransport transport;
     private final Clock clock;
     private final RateLimitedLog log;
     private InetSocketAddress address;
-    private final PodConnectionPool pods;
+    private final PodConnectionPool connectionPool;
     private Policy policy;
-    private long version;
+    private long listVersion;
     private Watch watch;
 
-    /** Calls in a row that ended in silence without a byte. */
-    private int unanswered;
+    /** The number of consecutive watches that timed out without receiving a byte. */
+    private int unansweredWatchCount;
 
-    private int watches;
+    /** The number of watches opened, which numbers them in the log. */
+    private int watchCount;
 
     /**
-     * When the last line of a watch came, which is when the list was last known to be true; the
-     * start before any.
+     * When a watch last received a list or an empty line, that is, when the list was last known to
+     * be current; the start time before any.
      */
-    private long heardNs;
+    private long lastConfirmedNs;
 
-    private boolean heard;
+    /** Whether any watch has received a list or an empty line. */
+    private boolean confirmed;
 
-    /** Whether nobody listened at its address when it was asked last. */
-    private boolean unreached;
+    /** Whether the connection of the last ended watch was refused. */
+    private boolean unreachable;
 
     DiscoveryClient(
-            NettyTransport net,
+            NettyTransport transport,
             Clock clock,
             RateLimitedLog log,
             InetSocketAddress address,
-            PodConnectionPool pods) {
-        this.net = net;
+            PodConnectionPool connectionPool) {
+        this.transport = transport;
         this.clock = clock;
         this.log = log;
         this.address = address;
-        this.pods = pods;
-        this.heardNs = clock.nowNs();
+        this.connectionPool = connectionPool;
+        this.lastConfirmedNs = clock.nowNs();
     }
 
-    void setPolicy(Policy decides) {
-        this.policy = decides;
+    /** Sets the policy to notify. Called once, before any list is applied. */
+    void setPolicy(Policy policy) {
+        this.policy = policy;
     }
 
-    /** Takes the list of the configuration, which nobody has confirmed yet. */
-    void applyInitialList(PodList known) {
-        take(known);
+    /** Applies the list that the sidecar starts with, which discovery has not confirmed. */
+    void applyInitialList(PodList list) {
+        applyList(list);
         policy.onPodListNeverConfirmed();
     }
 
-    /** Takes a list from a watch. */
-    private void take(PodList list) {
+    /**
+     * Applies a list. The connection pool gets the addresses before the policy is notified, so that
+     * the policy can use every pod on the list. Connections to leaving pods are closed afterwards,
+     * so that tries waiting for one fail and the policy decides on them anew.
+     */
+    private void applyList(PodList list) {
         log.info(
                 "discovery",
                 String.format(
                         Locale.ROOT,
                         "list: generation %d after %d, %s, %d entries",
                         list.version(),
-                        version,
-                        list.isFull() ? "whole" : "changes",
+                        listVersion,
+                        list.isFull() ? "full" : "changes",
                         list.entries().size()));
-        version = list.version();
-        pods.updateAddresses(list);
+        listVersion = list.version();
+        connectionPool.updateAddresses(list);
         if (list.isFull()) {
             policy.onPodListReplaced(clock.nowNs(), list.entries());
         } else {
             policy.onPodListUpdated(clock.nowNs(), list.entries());
         }
-        pods.closeToLeavingPods(list);
+        connectionPool.closeToLeavingPods(list);
     }
 
-    /** Of the list as last had. */
+    /** Returns the generation of the list that was applied last; 0 before any. */
     long listVersion() {
-        return version;
+        return listVersion;
     }
 
-    /** Whether the list is known to be true, or nobody is there who could tell. */
+    /**
+     * Returns whether a watch has confirmed the list, or the connection of the last ended watch was
+     * refused.
+     */
     boolean isListConfirmedOrUnreachable() {
-        return heard || unreached;
+        return confirmed || unreachable;
     }
 
     /**
-     * How long ago the list was last known to be true, in nanoseconds; before any watch told of it,
-     * since the start.
+     * Returns the time since the list was last known to be current, in nanoseconds; the time since
+     * the start before any watch has confirmed it.
      */
     long listAgeNs() {
-        return clock.nowNs() - heardNs;
+        return clock.nowNs() - lastConfirmedNs;
     }
 
     /**
-     * Opens a watch in place of any before it, of whose end the module, having asked anew, need not
-     * hear.
+     * Opens a watch and cancels the current one. The policy is not notified of a watch that is
+     * replaced.
      */
     void openWatch() {
         if (watch != null) {
             watch.cancel();
         }
-        watch = new Watch(++watches);
-        log.info("discovery", watch + " opens at generation " + version);
-        watch.connect(address, CONNECT_NS, SILENT_NS << Math.min(unanswered, MOST_DOUBLINGS));
+        watch = new Watch(++watchCount);
+        log.info("discovery", watch + " opens at generation " + listVersion);
+        watch.connect(
+                address,
+                CONNECT_TIMEOUT_NS,
+                SILENCE_TIMEOUT_NS << Math.min(unansweredWatchCount, MAX_TIMEOUT_DOUBLINGS));
     }
 
-    /** The list had so far stands; what changed behind its version is told at the other address. */
-    void updateAddress(InetSocketAddress to) {
-        if (!to.equals(address)) {
-            address = to;
+    /**
+     * Watches at another address from now on. The current list remains in use; the new watch asks
+     * for the changes since its generation.
+     */
+    void updateAddress(InetSocketAddress newAddress) {
+        if (!newAddress.equals(address)) {
+            address = newAddress;
             policy.onDiscoveryChanged();
             openWatch();
         }
     }
 
+    /** A streamed response with the changes since the current list. */
     private final class Watch extends ChunkedHttpConnection {
         private final int number;
-        private final JsonObjectAssembler objects = new JsonObjectAssembler(LONGEST);
+        private final JsonObjectAssembler assembler = new JsonObjectAssembler(MAX_OBJECT_LENGTH);
 
-        /** When the object under way began, at the latest when the one before was whole. */
-        private long objectNs = clock.nowNs();
+        /**
+         * When the previous object was complete, or the watch was created: the earliest start of
+         * the current object.
+         */
+        private long objectStartNs = clock.nowNs();
 
         Watch(int number) {
-            super(net, LONGEST, log, "discovery");
+            super(transport, MAX_OBJECT_LENGTH, log, "discovery");
             this.number = number;
         }
 
@@ -157,7 +185,7 @@
         @Override
         String initialRequest() {
             return "GET /discovery/hosts?stream=1&index="
-                    + version
+                    + listVersion
                     + " HTTP/1.1\r\nHost: "
                     + address.getHostString()
                     + ":"
@@ -167,23 +195,25 @@
 
         @Override
         void onBytesReceived() {
-            resetTimeout(Math.min(SILENT_NS, objectNs + OBJECT_NS - clock.nowNs()));
+            resetTimeout(
+                    Math.min(
+                            SILENCE_TIMEOUT_NS, objectStartNs + OBJECT_TIMEOUT_NS - clock.nowNs()));
         }
 
         @Override
-        void onLine(String text) {
-            String object = objects.addLine(text);
-            if (object == null) {
+        void onLine(String line) {
+            String json = assembler.addLine(line);
+            if (json == null) {
                 return;
             }
-            if (object.isBlank()) {
+            if (json.isBlank()) {
                 policy.onPodListConfirmed(clock.nowNs());
             } else {
-                take(PodList.fromJson(new JsonFieldReader("discovery: ", Json.parse(object))));
+                applyList(PodList.fromJson(new JsonFieldReader("discovery: ", Json.parse(json))));
             }
-            heardNs = clock.nowNs();
-            heard = true;
-            objectNs = heardNs;
+            lastConfirmedNs = clock.nowNs();
+            confirmed = true;
+            objectStartNs = lastConfirmedNs;
         }
 
         @Override
@@ -201,13 +231,16 @@
                             + " "
                             + describeProgress()
                             + ", list "
-                            + (heard ? "confirmed " : "never confirmed, taken ")
+                            + (confirmed ? "confirmed " : "never confirmed, loaded ")
                             + listAgeNs() / 1_000_000
                             + " ms ago");
-            policy.onPodListUnconfirmed(heardNs);
-            unanswered = reason == EndReason.SILENT && !hasReceivedBytes() ? unanswered + 1 : 0;
-            unreached = reason == EndReason.REFUSED;
-            policy.onDiscoveryCallEnded(clock.nowNs(), !unreached);
+            policy.onPodListUnconfirmed(lastConfirmedNs);
+            unansweredWatchCount =
+                    reason == EndReason.SILENT && !hasReceivedBytes()
+                            ? unansweredWatchCount + 1
+                            : 0;
+            unreachable = reason == EndReason.REFUSED;
+            policy.onDiscoveryCallEnded(clock.nowNs(), !unreachable);
             policy.onPodListWatchFailed(clock.nowNs());
         }
     }
--- a/sidecar/src/main/java/mulleinlever/sidecar/JsonObjectAssembler.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/JsonObjectAssembler.java
@@ -2,57 +2,60 @@
 
 import mulleinlever.settings.InvalidInputException;
 
-/** Puts JSON objects together from lines: one may take a single line or, indented, many. */
+/**
+ * Assembles JSON objects from lines. An object takes a single line or, if it is indented, several.
+ */
 final class JsonObjectAssembler {
-    private final int longest;
-    private final StringBuilder begun = new StringBuilder();
+    private final int maxLength;
+    private final StringBuilder partialObject = new StringBuilder();
     private int depth;
-    private boolean quoted;
+    private boolean inString;
     private boolean escaped;
 
     /**
-     * @param longest characters of an object at most
+     * @param maxLength the maximum length of an object, in characters
      */
-    JsonObjectAssembler(int longest) {
-        this.longest = longest;
+    JsonObjectAssembler(int maxLength) {
+        this.maxLength = maxLength;
     }
 
     /**
-     * Takes the next line.
+     * Adds the next line.
      *
-     * @return the object that ends with this line, a blank text for a blank line between objects,
-     *     or null within one
-     * @throws InvalidInputException where the object is longer than allowed
+     * @return the object that ends with this line, the line itself if it is outside of any object
+     *     (such as a blank line), or null if the object is incomplete
+     * @throws InvalidInputException if the object is longer than allowed
      */
     String addLine(String line) {
         for (int i = 0; i < line.length(); i++) {
-            look(line.charAt(i));
+            updateNesting(line.charAt(i));
         }
-        if (depth <= 0 && begun.isEmpty()) {
+        if (depth <= 0 && partialObject.isEmpty()) {
             depth = 0;
             return line;
         }
-        if (begun.length() + line.length() > longest) {
-            throw new InvalidInputException("an object longer than " + longest);
+        if (partialObject.length() + line.length() > maxLength) {
+            throw new InvalidInputException(
+                    "JSON object too long; the maximum number of characters is " + maxLength);
         }
-        begun.append(line).append('\n');
+        partialObject.append(line).append('\n');
         if (depth > 0) {
             return null;
         }
-        String whole = begun.toString();
-        begun.setLength(0);
-        begun.trimToSize();
-        return whole;
+        String object = partialObject.toString();
+        partialObject.setLength(0);
+        partialObject.trimToSize();
+        return object;
     }
 
-    private void look(char c) {
-        if (quoted) {
-            quoted = escaped || c != '"';
+    private void updateNesting(char c) {
+        if (inString) {
+            inString = escaped || c != '"';
             escaped = !escaped && c == '\\';
             return;
         }
         switch (c) {
-            case '"' -> quoted = true;
+            case '"' -> inString = true;
             case '{', '[' -> depth++;
             case '}', ']' -> depth--;
             default -> {}
--- a/sidecar/src/main/java/mulleinlever/sidecar/LineConnection.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/LineConnection.java
@@ -15,21 +15,32 @@
 import java.util.concurrent.Future;
 import mulleinlever.settings.InvalidInputException;
 
-/** A connection of ours that begins with what we say; then lines of text arrive, split anywhere. */
+/**
+ * An outgoing connection that sends a request and then receives lines of text, which may be split
+ * anywhere between reads. Used on the event loop only.
+ */
 abstract class LineConnection extends ChannelInboundHandlerAdapter {
-    /** Why a connection ended. */
+    /** The reason why a connection ended. The names appear in the log. */
     enum EndReason {
+        /** The peer refused the connection. */
         REFUSED,
+        /** The connection could not be made for another reason, such as a timeout. */
         CONNECT_FAILED,
+        /** The timeout expired. */
         SILENT,
+        /** The peer closed the connection. */
         CLOSED_BY_PEER,
+        /** An I/O error broke the connection. */
         RESET,
+        /** The HTTP response had an unexpected status. */
         STATUS,
+        /** The received data was invalid, or processing it failed. */
         UNREADABLE,
+        /** The response is complete. */
         COMPLETE
     }
 
-    /** An HTTP answer whose status is not the one that was asked for. */
+    /** Thrown if an HTTP response has another status than 200. */
     static final class UnexpectedStatusException extends RuntimeException {
         private static final long serialVersionUID = 1L;
 
@@ -39,8 +50,8 @@
     }
 
     /**
-     * What happened on one connection so far, for the log; nanoseconds, 0 where it has not
-     * happened.
+     * When the connection began to open. This and the times below are for the log, in nanoseconds
+     * of {@link System#nanoTime}; 0 if the event has not happened.
      */
     private long openedNs;
 
@@ -50,43 +61,62 @@
     private long bytesRead;
     private int linesRead;
     private String connectError = "";
-    private EndReason brokenBy = EndReason.CLOSED_BY_PEER;
 
-    private final NettyTransport net;
-    private final int longest;
+    /** The reason to report when the channel closes. */
+    private EndReason closeReason = EndReason.CLOSED_BY_PEER;
+
+    private final NettyTransport transport;
+    private final int maxLineBytes;
     private final RateLimitedLog log;
-    private final String about;
-    private byte[] line = new byte[256];
-    private int length;
+    private final String logLabel;
+    private byte[] lineBuffer = new byte[256];
+    private int lineLength;
     private Channel channel;
-    private Future<?> limit;
-    private boolean over;
+    private Future<?> timeoutTask;
+    private boolean ended;
 
-    LineConnection(NettyTransport net, int longest, RateLimitedLog log, String about) {
-        this.net = net;
-        this.longest = longest;
+    /**
+     * @param logLabel the label of the connection's log lines
+     */
+    LineConnection(
+            NettyTransport transport, int maxLineBytes, RateLimitedLog log, String logLabel) {
+        this.transport = transport;
+        this.maxLineBytes = maxLineBytes;
         this.log = log;
-        this.about = about;
+        this.logLabel = logLabel;
     }
 
+    /** Returns the text to send once the connection is made, in ASCII. */
     abstract String initialRequest();
 
-    /** Not called any more once the connection has ended or was dropped. */
-    abstract void onLine(String text);
+    /**
+     * Handles a line, which comes without its line break. Not called after the connection has ended
+     * or was cancelled.
+     */
+    abstract void onLine(String line);
 
-    /** Bytes came, be it the middle of a line. */
+    /**
+     * Called when bytes have arrived, before the lines in them are handled; they may hold only a
+     * part of a line.
+     */
     void onBytesReceived() {}
 
-    /** Called once, when the connection has ended for whatever reason but {@link #cancel}. */
+    /** Called once when the connection has ended, unless it was ended by {@link #cancel}. */
     abstract void onEnd(EndReason reason);
 
-    final void connect(InetSocketAddress to, long withinNs, long limitNs) {
+    /**
+     * Opens the connection.
+     *
+     * @param connectTimeoutNs the maximum time until the connection is made
+     * @param timeoutNs the time after which the connection ends, unless the timeout is reset
+     */
+    final void connect(InetSocketAddress address, long connectTimeoutNs, long timeoutNs) {
         openedNs = System.nanoTime();
-        resetTimeout(limitNs);
+        resetTimeout(timeoutNs);
         channel =
-                net.connect(
-                        to,
-                        withinNs,
+                transport.connect(
+                        address,
+                        connectTimeoutNs,
                         this,
                         cause -> {
                             connectError = ": " + cause.getMessage();
@@ -97,79 +127,95 @@
                         });
     }
 
-    /** It ends after this long, in place of any limit before. */
-    final void resetTimeout(long ns) {
-        if (limit != null) {
-            limit.cancel(false);
+    /** Ends the connection after this time, in place of the previous timeout. */
+    final void resetTimeout(long timeoutNs) {
+        if (timeoutTask != null) {
+            timeoutTask.cancel(false);
         }
-        limit = net.schedule(ns, () -> terminate(EndReason.SILENT));
+        timeoutTask = transport.schedule(timeoutNs, () -> terminate(EndReason.SILENT));
     }
 
-    /** Without a word about it: whoever drops it needs none. */
+    /** Closes the connection without calling {@link #onEnd}. */
     final void cancel() {
-        over = true;
-        if (limit != null) {
-            limit.cancel(false);
+        ended = true;
+        if (timeoutTask != null) {
+            timeoutTask.cancel(false);
         }
         if (channel != null) {
             channel.close();
         }
     }
 
+    /** Closes the connection and calls {@link #onEnd}; does nothing if it has ended already. */
     final void terminate(EndReason reason) {
-        if (!over) {
+        if (!ended) {
             cancel();
             onEnd(reason);
         }
     }
 
-    /** Whether any byte has come. */
+    /** Returns whether any byte has arrived. */
     final boolean hasReceivedBytes() {
         return firstByteNs != 0;
     }
 
-    /** What happened on this connection and when, in milliseconds since it began to open. */
+    /**
+     * Returns, for the log, what happened on this connection and when, in milliseconds since it
+     * began to open.
+     */
     final String describeProgress() {
         return String.format(
                         Locale.ROOT,
                         "after %d ms (connected %s, first byte %s, last byte %s; %d bytes, %d lines)",
                         (System.nanoTime() - openedNs) / 1_000_000,
-                        sinceOpened(connectedNs),
-                        sinceOpened(firstByteNs),
-                        sinceOpened(lastByteNs),
+                        formatSinceOpened(connectedNs),
+                        formatSinceOpened(firstByteNs),
+                        formatSinceOpened(lastByteNs),
                         bytesRead,
                         linesRead)
                 + connectError;
     }
 
-    private String sinceOpened(long atNs) {
-        return atNs == 0 ? "never" : (atNs - openedNs) / 1_000_000 + " ms";
+    private String formatSinceOpened(long timestampNs) {
+        return timestampNs == 0 ? "never" : (timestampNs - openedNs) / 1_000_000 + " ms";
     }
 
-    /** What arrives is text already, unless a transfer coding lies around it. */
+    /**
+     * Passes the bytes of text to {@link #appendByte}. Subclasses override this to remove a
+     * transfer coding.
+     */
     void decode(ByteBuf in) {
         while (in.isReadable()) {
             appendByte(in.readByte());
         }
     }
 
+    /**
+     * Appends a byte of text, and handles the line if the byte ends it.
+     *
+     * @throws InvalidInputException if the line is longer than allowed
+     */
     final void appendByte(byte b) {
         if (b == '\n') {
-            int end = length > 0 && line[length - 1] == '\r' ? length - 1 : length;
-            length = 0;
-            if (!over) {
+            int end =
+                    lineLength > 0 && lineBuffer[lineLength - 1] == '\r'
+                            ? lineLength - 1
+                            : lineLength;
+            lineLength = 0;
+            if (!ended) {
                 linesRead++;
-                onLine(new String(line, 0, end, StandardCharsets.UTF_8));
+                onLine(new String(lineBuffer, 0, end, StandardCharsets.UTF_8));
             }
             return;
         }
-        if (length == longest) {
-            throw new InvalidInputException("a line longer than " + longest);
+        if (lineLength == maxLineBytes) {
+            throw new InvalidInputException(
+                    "line too long; the maximum number of bytes is " + maxLineBytes);
         }
-        if (length == line.length) {
-            line = Arrays.copyOf(line, 2 * length);
+        if (lineLength == lineBuffer.length) {
+            lineBuffer = Arrays.copyOf(lineBuffer, 2 * lineLength);
         }
-        line[length++] = b;
+        lineBuffer[lineLength++] = b;
     }
 
     @Override
@@ -186,7 +232,7 @@
         firstByteNs = firstByteNs == 0 ? lastByteNs : firstByteNs;
         bytesRead += in.readableBytes();
         try {
-            if (!over) {
+            if (!ended) {
                 onBytesReceived();
             }
             decode(in);
@@ -197,19 +243,22 @@
 
     @Override
     public final void channelInactive(ChannelHandlerContext ctx) {
-        terminate(brokenBy);
+        terminate(closeReason);
     }
 
-    /** What can't be read costs the connection, and what it was for is asked anew. */
+    /**
+     * Closes the connection on any error, invalid data included. What it was opened for is then
+     * requested again on a new connection.
+     */
     @Override
     public final void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
         if (cause instanceof IOException) {
-            brokenBy = EndReason.RESET;
+            closeReason = EndReason.RESET;
         } else if (cause instanceof UnexpectedStatusException) {
-            brokenBy = EndReason.STATUS;
+            closeReason = EndReason.STATUS;
         } else {
-            brokenBy = EndReason.UNREADABLE;
-            log.internalError(about, cause);
+            closeReason = EndReason.UNREADABLE;
+            log.internalError(logLabel, cause);
         }
         ctx.close();
     }
--- a/sidecar/src/main/java/mulleinlever/sidecar/PodList.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/PodList.java
@@ -8,21 +8,27 @@
 import mulleinlever.settings.JsonFieldReader;
 
 /**
- * A list of pods as discovery writes it, or the changes since an earlier one, and where each pod
- * listens.
+ * A pod list from discovery: either all pods, or the changes since an earlier list.
+ *
+ * @param version the generation by which discovery numbers its lists
+ * @param isFull whether the list replaces the previous one; false if it holds changes only
+ * @param entries the pods, in the order of discovery
+ * @param addressesByPodId the host and port at which each pod listens; a pod that is gone may be
+ *     absent
  */
 record PodList(
         long version,
         boolean isFull,
         List<PodEntry> entries,
         Map<String, String> addressesByPodId) {
-    /** Before any list was told: discovery is asked for all of it. */
+    /** The list before any is known. A watch that starts from its version 0 receives all pods. */
     static final PodList EMPTY = new PodList(0, true, List.of(), Map.of());
 
-    static PodList fromJson(JsonFieldReader from) {
+    /** Parses a list in the JSON form of discovery and of the configuration. */
+    static PodList fromJson(JsonFieldReader reader) {
         List<PodEntry> entries = new ArrayList<>();
         Map<String, String> addresses = new LinkedHashMap<>();
-        for (JsonFieldReader pod : from.getObjects("instances")) {
+        for (JsonFieldReader pod : reader.getObjects("instances")) {
             String id = pod.getString("instanceId");
             PodEntry.State state = pod.getEnum("lifecycle", PodEntry.State.class);
             entries.add(
@@ -40,6 +46,9 @@
             }
         }
         return new PodList(
-                from.getLong("generation"), from.getBoolean("reset", false), entries, addresses);
+                reader.getLong("generation"),
+                reader.getBoolean("reset", false),
+                entries,
+                addresses);
     }
 }
--- a/sidecar/src/test/java/mulleinlever/sidecar/ClockTest.java
+++ b/sidecar/src/test/java/mulleinlever/sidecar/ClockTest.java
@@ -6,23 +6,24 @@
 import java.util.concurrent.atomic.AtomicLong;
 import org.junit.jupiter.api.Test;
 
+/** Checks that a step of the wall clock moves no timeout. */
 class ClockTest {
     private static final long HOUR_NS = 3_600_000_000_000L;
 
-    // Time limits and windows are spans of the steady clock; a step of the wall clock is only
-    // noticed.
+    // Timeouts and windows are measured by the monotonic clock. A step of the wall clock is
+    // detected and has no effect on them.
     @Test
     void wallClockStepIsDetectedAndDoesNotShiftTime() {
-        AtomicLong stepNs = new AtomicLong();
-        Clock clock = new Clock(() -> System.nanoTime() + stepNs.get());
+        AtomicLong currentStepNs = new AtomicLong();
+        Clock clock = new Clock(() -> System.nanoTime() + currentStepNs.get());
         assertEquals(0, clock.wallClockStepNs());
-        for (long by : new long[] {HOUR_NS, -HOUR_NS, 5_000_000_000L, -5_000_000_000L}) {
+        for (long stepByNs : new long[] {HOUR_NS, -HOUR_NS, 5_000_000_000L, -5_000_000_000L}) {
             long beforeNs = clock.nowNs();
-            stepNs.set(by);
-            assertEquals(by, clock.wallClockStepNs(), 1e8);
+            currentStepNs.set(stepByNs);
+            assertEquals(stepByNs, clock.wallClockStepNs(), 1e8);
             assertTrue(clock.nowNs() - beforeNs < 1e9);
         }
-        stepNs.set(1_000_000);
+        currentStepNs.set(1_000_000);
         assertEquals(0, clock.wallClockStepNs());
     }
 }
--- a/sidecar/src/test/java/mulleinlever/sidecar/ServeMain.java
+++ b/sidecar/src/test/java/mulleinlever/sidecar/ServeMain.java
@@ -5,15 +5,15 @@
 import java.util.List;
 
 /**
- * Serves in a process of its own, where the command line is not on the class path: "serve [--with
- * FILE]".
+ * Runs a sidecar process for the tests of this module, which does not depend on the command line
+ * module. The arguments are {@code serve [--with FILE]}.
  */
 final class ServeMain {
     private ServeMain() {}
 
     public static void main(String[] args) throws InterruptedException {
-        List<Path> with =
+        List<Path> featureFiles =
                 Arrays.stream(args).skip(1).filter(a -> !a.equals("--with")).map(Path::of).toList();
-        System.exit(SidecarServer.run(System.getenv(), with));
+        System.exit(SidecarServer.run(System.getenv(), featureFiles));
     }
 }
