--- a/cli/src/main/java/mulleinlever/cli/Commands.java
+++ b/cli/src/main/java/mulleinlever/cli/Commands.java
@@ -24,23 +24,23 @@
                             if (!(e instanceof IOException)) {
                                 throw e;
                             }
-                            at.getErr().println(told((IOException) e));
+                            at.getErr().println(describe((IOException) e));
                             return 1;
                         });
     }
 
-    private static String told(IOException e) {
-        if (!(e instanceof FileSystemException f)) {
+    private static String describe(IOException e) {
+        if (!(e instanceof FileSystemException fileFault)) {
             return String.valueOf(e.getMessage());
         }
-        String what =
+        String reason =
                 e instanceof NoSuchFileException
                         ? "no such file or folder"
                         : e instanceof NotDirectoryException
                                 ? "not a folder"
                                 : e instanceof AccessDeniedException
                                         ? "access denied"
-                                        : String.valueOf(f.getReason());
-        return f.getFile() + ": " + what;
+                                        : String.valueOf(fileFault.getReason());
+        return fileFault.getFile() + ": " + reason;
     }
 }
--- a/cli/src/main/java/mulleinlever/cli/Main.java
+++ b/cli/src/main/java/mulleinlever/cli/Main.java
@@ -25,20 +25,21 @@
  * <p>Exit codes: 0 done, 1 a fault of ours, 2 faulty arguments, configuration or input.
  */
 public final class Main {
-    private static final String COMMANDS = "mulleinlever.cli.Commands";
+    private static final String COMMANDS_CLASS = "mulleinlever.cli.Commands";
 
     private Main() {}
 
     public static void main(String[] args) throws Exception {
-        boolean bare = args.length == 1 && args[0].equals("serve");
-        System.exit(bare ? SidecarServer.run(System.getenv(), List.of()) : commands(args));
+        boolean isBareServe = args.length == 1 && args[0].equals("serve");
+        System.exit(
+                isBareServe ? SidecarServer.run(System.getenv(), List.of()) : runCommands(args));
     }
 
-    private static int commands(String[] args) throws Exception {
-        ClassLoader loader = loader();
+    private static int runCommands(String[] args) throws Exception {
+        ClassLoader loader = findClassLoader();
         Thread.currentThread().setContextClassLoader(loader);
         return (int)
-                loader.loadClass(COMMANDS)
+                loader.loadClass(COMMANDS_CLASS)
                         .getMethod("run", String[].class)
                         .invoke(null, (Object) args);
     }
@@ -47,27 +48,31 @@
      * The one that knows the parser already, as in tests; else a new one over the jar and all
      * beside it.
      */
-    private static ClassLoader loader() throws IOException, URISyntaxException {
-        ClassLoader ours = Main.class.getClassLoader();
-        if (ours.getResource("picocli/CommandLine.class") != null) {
-            return ours;
+    private static ClassLoader findClassLoader() throws IOException, URISyntaxException {
+        ClassLoader ownLoader = Main.class.getClassLoader();
+        if (ownLoader.getResource("picocli/CommandLine.class") != null) {
+            return ownLoader;
         }
         Path jar = Path.of(Main.class.getProtectionDomain().getCodeSource().getLocation().toURI());
         // In the order of their names: which jar a class comes from must not hang on the file
         // system.
         Set<Path> jars = new TreeSet<>(Set.of(jar));
-        try (DirectoryStream<Path> all =
+        try (DirectoryStream<Path> libraries =
                 Files.newDirectoryStream(jar.resolveSibling("lib"), "*.jar")) {
-            all.forEach(jars::add);
+            libraries.forEach(jars::add);
         }
         URL[] urls =
-                jars.stream().map(Path::toFile).map(File::toURI).map(Main::url).toArray(URL[]::new);
+                jars.stream()
+                        .map(Path::toFile)
+                        .map(File::toURI)
+                        .map(Main::toUrl)
+                        .toArray(URL[]::new);
         return new URLClassLoader("all", urls, ClassLoader.getPlatformClassLoader());
     }
 
-    private static URL url(URI of) {
+    private static URL toUrl(URI uri) {
         try {
-            return of.toURL();
+            return uri.toURL();
         } catch (MalformedURLException e) {
             throw new IllegalStateException(e);
         }
--- a/cli/src/main/java/mulleinlever/cli/ServeCommand.java
+++ b/cli/src/main/java/mulleinlever/cli/ServeCommand.java
@@ -19,10 +19,10 @@
             paramLabel = "FILE",
             description =
                     "A TOML file of ours that switches on what is off without it; may be given several times.")
-    private List<Path> with = List.of();
+    private List<Path> settingsFiles = List.of();
 
     @Override
     public Integer call() throws InterruptedException {
-        return SidecarServer.run(System.getenv(), with);
+        return SidecarServer.run(System.getenv(), settingsFiles);
     }
 }
--- a/cli/src/main/java/mulleinlever/cli/StateCommand.java
+++ b/cli/src/main/java/mulleinlever/cli/StateCommand.java
@@ -37,7 +37,7 @@
         description = "What a sidecar keeps over a restart.",
         subcommands = {StateCommand.Show.class, StateCommand.Check.class, StateCommand.Prune.class})
 final class StateCommand implements Runnable {
-    private static final long MOST_BYTES = 1L << 30;
+    private static final long MAX_FILE_BYTES = 1L << 30;
 
     @Spec private CommandSpec spec;
 
@@ -46,17 +46,17 @@
         throw new ParameterException(spec.commandLine(), "one of show, check and prune is missing");
     }
 
-    private static StateSnapshot read(Path file, List<String> leftOut) throws StateFileException {
-        Path whole = file.toAbsolutePath();
+    private static StateSnapshot readFile(Path file, List<String> notes) throws StateFileException {
+        Path absoluteFile = file.toAbsolutePath();
         return StateStore.readFile(
-                new FileSystemDirectory(whole.getParent()),
-                whole.getFileName().toString(),
-                MOST_BYTES,
-                leftOut::add);
+                new FileSystemDirectory(absoluteFile.getParent()),
+                absoluteFile.getFileName().toString(),
+                MAX_FILE_BYTES,
+                notes::add);
     }
 
     /** A fault's message begins with the file's name alone. */
-    private static String located(Path file, String message) {
+    private static String withFolder(Path file, String message) {
         return file.getParent() == null ? message : file.getParent() + "/" + message;
     }
 
@@ -74,99 +74,112 @@
         private Path file;
 
         @Option(names = "--json", description = "One JSON object instead of tables.")
-        private boolean json;
+        private boolean asJson;
 
         @Override
         public Integer call() throws IOException {
             List<String> notes = new ArrayList<>();
             PrintWriter err = spec.commandLine().getErr();
             try {
-                StateSnapshot kept;
+                StateSnapshot snapshot;
                 if (Files.isDirectory(file)) {
-                    StateStore.LoadResult found =
-                            StateStore.readNewest(new FileSystemDirectory(file), MOST_BYTES, null);
-                    found.skippedFiles().forEach(l -> err.println(file + "/" + l));
-                    if (found.snapshot() == null) {
+                    StateStore.LoadResult loaded =
+                            StateStore.readNewest(
+                                    new FileSystemDirectory(file), MAX_FILE_BYTES, null);
+                    loaded.skippedFiles().forEach(l -> err.println(file + "/" + l));
+                    if (loaded.snapshot() == null) {
                         err.println(file + ": no whole file of state");
                         return StateFileException.Kind.UNREADABLE.exitCode;
                     }
-                    kept = found.snapshot();
+                    snapshot = loaded.snapshot();
                 } else {
-                    kept = read(file, notes);
+                    snapshot = readFile(file, notes);
                 }
-                notes.forEach(n -> err.println(located(file, n)));
-                spec.commandLine().getOut().println(json ? json(kept) : table(kept));
+                notes.forEach(n -> err.println(withFolder(file, n)));
+                spec.commandLine().getOut().println(asJson ? toJson(snapshot) : toTables(snapshot));
                 return 0;
             } catch (StateFileException e) {
-                err.println(located(file, e.getMessage()));
+                err.println(withFolder(file, e.getMessage()));
                 return e.kind.exitCode;
             }
         }
 
-        private static String json(StateSnapshot kept) throws JsonProcessingException {
-            Map<String, Object> all = new LinkedHashMap<>();
-            all.put("head", kept.head());
-            Map<String, Object> news = new LinkedHashMap<>();
-            news.put("build", kept.rolloutStatus().build());
-            news.put("stage", kept.rolloutStatus().stage());
-            news.put("phase", kept.rolloutStatus().phase());
-            news.put("cap", kept.rolloutStatus().cap());
-            all.put("news", news);
-            all.put("links", only(kept, LearnedState.ConnectionStats.class));
-            all.put("routes", only(kept, LearnedState.RouteStats.class));
-            all.put("baselines", only(kept, LearnedState.DetectorBaseline.class));
-            all.put("pods", kept.pods());
-            all.put("keys", only(kept, LearnedState.KeyBuild.class));
+        private static String toJson(StateSnapshot snapshot) throws JsonProcessingException {
+            Map<String, Object> root = new LinkedHashMap<>();
+            root.put("head", snapshot.head());
+            Map<String, Object> rolloutStatus = new LinkedHashMap<>();
+            rolloutStatus.put("build", snapshot.rolloutStatus().build());
+            rolloutStatus.put("stage", snapshot.rolloutStatus().stage());
+            rolloutStatus.put("phase", snapshot.rolloutStatus().phase());
+            rolloutStatus.put("cap", snapshot.rolloutStatus().cap());
+            root.put("news", rolloutStatus);
+            root.put("links", learnedValuesOf(snapshot, LearnedState.ConnectionStats.class));
+            root.put("routes", learnedValuesOf(snapshot, LearnedState.RouteStats.class));
+            root.put("baselines", learnedValuesOf(snapshot, LearnedState.DetectorBaseline.class));
+            root.put("pods", snapshot.pods());
+            root.put("keys", learnedValuesOf(snapshot, LearnedState.KeyBuild.class));
             return new ObjectMapper()
                     .enable(SerializationFeature.INDENT_OUTPUT)
-                    .writeValueAsString(all);
+                    .writeValueAsString(root);
         }
 
-        private static <T> List<T> only(StateSnapshot kept, Class<T> type) {
-            return kept.learnedValues().stream().filter(type::isInstance).map(type::cast).toList();
+        private static <T> List<T> learnedValuesOf(StateSnapshot snapshot, Class<T> type) {
+            return snapshot.learnedValues().stream()
+                    .filter(type::isInstance)
+                    .map(type::cast)
+                    .toList();
         }
 
-        private static String table(StateSnapshot kept) {
-            StateSnapshot.Header h = kept.head();
+        private static String toTables(StateSnapshot snapshot) {
+            StateSnapshot.Header header = snapshot.head();
             long ageNs =
-                    StateDecay.computeAgeNs(h.unixMs(), System.currentTimeMillis() * 1_000_000L);
-            StringBuilder s = new StringBuilder();
-            line(
-                    s,
+                    StateDecay.computeAgeNs(
+                            header.unixMs(), System.currentTimeMillis() * 1_000_000L);
+            StringBuilder text = new StringBuilder();
+            appendLine(
+                    text,
                     "sidecar %s, zone %s, machine %s, program %s",
-                    h.instance(),
-                    or(h.zone()),
-                    or(h.machine()),
-                    h.writer());
-            line(
-                    s,
+                    header.instance(),
+                    orUnknown(header.zone()),
+                    orUnknown(header.machine()),
+                    header.writer());
+            appendLine(
+                    text,
                     "number %d, captured %s, %s",
-                    h.sequence(),
-                    Instant.ofEpochMilli(h.unixMs()),
+                    header.sequence(),
+                    Instant.ofEpochMilli(header.unixMs()),
                     ageNs == StateDecay.UNKNOWN_AGE_NS
                             ? "later than now"
                             : ageNs / 1_000_000_000L + " s ago");
-            line(
-                    s,
+            appendLine(
+                    text,
                     "build %d stage %d %s, cap %.2f; list %d",
-                    kept.rolloutStatus().build(),
-                    kept.rolloutStatus().stage(),
-                    kept.rolloutStatus().phase(),
-                    kept.rolloutStatus().cap(),
-                    h.listVersion());
-            for (LearnedState.ConnectionStats l : only(kept, LearnedState.ConnectionStats.class)) {
-                line(
-                        s,
+                    snapshot.rolloutStatus().build(),
+                    snapshot.rolloutStatus().stage(),
+                    snapshot.rolloutStatus().phase(),
+                    snapshot.rolloutStatus().cap(),
+                    header.listVersion());
+            for (LearnedState.ConnectionStats connections :
+                    learnedValuesOf(snapshot, LearnedState.ConnectionStats.class)) {
+                appendLine(
+                        text,
                         "links refused %s, tries unanswered %s",
-                        share(l.refused()),
-                        share(l.unanswered()));
+                        formatMean(connections.refused()),
+                        formatMean(connections.unanswered()));
             }
-            line(s, "%n%-20s %6s %16s %16s", "route", "build", "takes ms", "usually ms");
-            for (LearnedState.RouteStats r : only(kept, LearnedState.RouteStats.class)) {
-                line(s, "%-20s %6d %16s %16s", r.route(), r.build(), ms(r.times()), ms(r.usual()));
+            appendLine(text, "%n%-20s %6s %16s %16s", "route", "build", "takes ms", "usually ms");
+            for (LearnedState.RouteStats route :
+                    learnedValuesOf(snapshot, LearnedState.RouteStats.class)) {
+                appendLine(
+                        text,
+                        "%-20s %6d %16s %16s",
+                        route.route(),
+                        route.build(),
+                        formatMeanMs(route.times()),
+                        formatMeanMs(route.usual()));
             }
-            line(
-                    s,
+            appendLine(
+                    text,
                     "%n%-20s %6s %-16s %8s %10s %8s",
                     "baseline",
                     "build",
@@ -174,20 +187,20 @@
                     "mean",
                     "deviation",
                     "seconds");
-            for (LearnedState.DetectorBaseline b :
-                    only(kept, LearnedState.DetectorBaseline.class)) {
-                line(
-                        s,
+            for (LearnedState.DetectorBaseline baseline :
+                    learnedValuesOf(snapshot, LearnedState.DetectorBaseline.class)) {
+                appendLine(
+                        text,
                         "%-20s %6d %-16s %8.3f %10.3f %8.0f",
-                        b.route().isEmpty() ? "all" : b.route(),
-                        b.build(),
-                        b.ofLate() ? "late" : "failed, flagged",
-                        b.mean(),
-                        b.deviation(),
-                        b.samples());
+                        baseline.route().isEmpty() ? "all" : baseline.route(),
+                        baseline.build(),
+                        baseline.ofLate() ? "late" : "failed, flagged",
+                        baseline.mean(),
+                        baseline.deviation(),
+                        baseline.samples());
             }
-            line(
-                    s,
+            appendLine(
+                    text,
                     "%n%-20s %-22s %-8s %6s %-9s %14s %14s %7s",
                     "pod",
                     "address",
@@ -197,42 +210,46 @@
                     "slowness",
                     "late",
                     "strikes");
-            for (StateSnapshot.PodSnapshot p : kept.pods()) {
-                PodEntry is = p.learned().is();
-                line(
-                        s,
+            for (StateSnapshot.PodSnapshot pod : snapshot.pods()) {
+                PodEntry entry = pod.learned().is();
+                appendLine(
+                        text,
                         "%-20s %-22s %-8s %6d %-9s %14s %14s %7d",
-                        is.id(),
-                        p.address(),
-                        is.zone(),
-                        is.build(),
-                        is.state().name().toLowerCase(Locale.ROOT),
-                        share(p.learned().slowness()),
-                        share(p.learned().late()),
-                        p.learned().strikes());
+                        entry.id(),
+                        pod.address(),
+                        entry.zone(),
+                        entry.build(),
+                        entry.state().name().toLowerCase(Locale.ROOT),
+                        formatMean(pod.learned().slowness()),
+                        formatMean(pod.learned().late()),
+                        pod.learned().strikes());
             }
-            line(s, "%n%d keys that can't go back", only(kept, LearnedState.KeyBuild.class).size());
-            return s.toString().stripTrailing();
+            appendLine(
+                    text,
+                    "%n%d keys that can't go back",
+                    learnedValuesOf(snapshot, LearnedState.KeyBuild.class).size());
+            return text.toString().stripTrailing();
         }
 
-        private static void line(StringBuilder to, String format, Object... args) {
-            to.append(String.format(Locale.ROOT, format, args)).append('\n');
+        private static void appendLine(StringBuilder text, String format, Object... args) {
+            text.append(String.format(Locale.ROOT, format, args)).append('\n');
         }
 
-        private static String or(String text) {
+        private static String orUnknown(String text) {
             return text.isEmpty() ? "unknown" : text;
         }
 
-        private static String share(LearnedState.WeightedMean f) {
-            return f.weight() == 0
+        private static String formatMean(LearnedState.WeightedMean mean) {
+            return mean.weight() == 0
                     ? "-"
-                    : String.format(Locale.ROOT, "%.2f of %.1f", f.mean(), f.weight());
+                    : String.format(Locale.ROOT, "%.2f of %.1f", mean.mean(), mean.weight());
         }
 
-        private static String ms(LearnedState.WeightedMean f) {
-            return f.weight() == 0
+        private static String formatMeanMs(LearnedState.WeightedMean meanNs) {
+            return meanNs.weight() == 0
                     ? "-"
-                    : String.format(Locale.ROOT, "%.1f of %.1f", f.mean() / 1e6, f.weight());
+                    : String.format(
+                            Locale.ROOT, "%.1f of %.1f", meanNs.mean() / 1e6, meanNs.weight());
         }
     }
 
@@ -254,29 +271,29 @@
 
         @Override
         public Integer call() {
-            int code = 0;
+            int exitCode = 0;
             for (Path file : files) {
                 List<String> notes = new ArrayList<>();
                 try {
-                    StateSnapshot kept = read(file, notes);
+                    StateSnapshot snapshot = readFile(file, notes);
                     spec.commandLine()
                             .getOut()
                             .println(
                                     file
                                             + ": sound, number "
-                                            + kept.head().sequence()
+                                            + snapshot.head().sequence()
                                             + " of "
-                                            + kept.head().instance()
+                                            + snapshot.head().instance()
                                             + ", "
-                                            + kept.pods().size()
+                                            + snapshot.pods().size()
                                             + " pods");
                 } catch (StateFileException e) {
                     notes.add(e.getMessage());
-                    code = code == 0 ? e.kind.exitCode : code;
+                    exitCode = exitCode == 0 ? e.kind.exitCode : exitCode;
                 }
-                notes.forEach(n -> spec.commandLine().getErr().println(located(file, n)));
+                notes.forEach(n -> spec.commandLine().getErr().println(withFolder(file, n)));
             }
-            return code;
+            return exitCode;
         }
     }
 
@@ -298,55 +315,55 @@
                 names = "--keep",
                 paramLabel = "N",
                 description = "So many whole files stay (${DEFAULT-VALUE}).")
-        private int keep = 1;
+        private int retainedFileCount = 1;
 
         @Option(names = "--dry-run", description = "Only tells what would be deleted.")
         private boolean dryRun;
 
         @Override
         public Integer call() throws IOException {
-            if (keep < 0) {
+            if (retainedFileCount < 0) {
                 throw new ParameterException(spec.commandLine(), "--keep needs 0 or more");
             }
-            FileSystemDirectory disk = new FileSystemDirectory(folder);
-            List<String> names = new ArrayList<>(disk.list());
+            FileSystemDirectory directory = new FileSystemDirectory(folder);
+            List<String> names = new ArrayList<>(directory.list());
             Collections.reverse(names);
-            try (Closeable lock = disk.tryLock(StateStore.LOCK_FILE_NAME)) {
+            try (Closeable lock = directory.tryLock(StateStore.LOCK_FILE_NAME)) {
                 if (lock == null) {
                     spec.commandLine()
                             .getErr()
                             .println(folder + ": a sidecar that runs holds it; nothing is deleted");
                     return 1;
                 }
-                int whole = 0;
+                int intactFileCount = 0;
                 for (String name : names) {
-                    String why = StateStore.isTemporaryFile(name) ? "unfinished" : null;
+                    String reason = StateStore.isTemporaryFile(name) ? "unfinished" : null;
                     if (StateStore.parseSequence(name) >= 0) {
                         try {
-                            StateStore.readFile(disk, name, MOST_BYTES, l -> {});
-                            why = whole++ < keep ? null : "older";
+                            StateStore.readFile(directory, name, MAX_FILE_BYTES, l -> {});
+                            reason = intactFileCount++ < retainedFileCount ? null : "older";
                         } catch (StateFileException e) {
                             // What a later program wrote is sound to that one.
-                            why =
+                            reason =
                                     e.kind == StateFileException.Kind.UNSUPPORTED_VERSION
                                             ? null
                                             : "not whole: " + e.getMessage();
                         }
                     }
-                    if (why != null) {
+                    if (reason != null) {
                         spec.commandLine()
                                 .getOut()
                                 .println(
                                         (dryRun ? "would delete " : "deleted ")
                                                 + name
                                                 + ", "
-                                                + why);
+                                                + reason);
                         if (!dryRun) {
-                            disk.delete(name);
+                            directory.delete(name);
                         }
                     }
                 }
-                disk.forceDirectory();
+                directory.forceDirectory();
                 return 0;
             }
         }
--- a/cli/src/test/java/mulleinlever/cli/MainTest.java
+++ b/cli/src/test/java/mulleinlever/cli/MainTest.java
@@ -34,16 +34,16 @@
                                 "mulleinlever.cli.Main"));
         command.addAll(Arrays.asList(args));
         Path in = Files.writeString(folder.resolve("in"), input);
-        var b =
+        var builder =
                 new ProcessBuilder(command)
                         .redirectInput(in.toFile())
                         .redirectOutput(folder.resolve("out").toFile())
                         .redirectError(folder.resolve("err").toFile());
-        b.environment().remove("LB_CONFIG");
-        Process p = b.start();
-        assertTrue(p.waitFor(30, TimeUnit.SECONDS));
+        builder.environment().remove("LB_CONFIG");
+        Process process = builder.start();
+        assertTrue(process.waitFor(30, TimeUnit.SECONDS));
         return new ProcessResult(
-                p.exitValue(),
+                process.exitValue(),
                 Files.readString(folder.resolve("out"), StandardCharsets.UTF_8),
                 Files.readString(folder.resolve("err"), StandardCharsets.UTF_8));
     }
@@ -59,27 +59,30 @@
         "serve --wiht x, 2, --with",
         "serve --with gone.toml, 2, config: LB_CONFIG needs"
     })
-    void printsHelpToStdoutAndErrorsToStderr(String line, int code, String says) throws Exception {
-        ProcessResult r = run("", line.isEmpty() ? new String[0] : line.split(" "));
-        assertEquals(code, r.exitCode, r.stderr);
-        String shown = code == 0 ? r.stdout : r.stderr;
-        assertTrue(shown.contains(says), shown);
-        assertEquals("", code == 0 ? r.stderr : r.stdout);
+    void printsHelpToStdoutAndErrorsToStderr(String arguments, int exitCode, String expectedText)
+            throws Exception {
+        ProcessResult result = run("", arguments.isEmpty() ? new String[0] : arguments.split(" "));
+        assertEquals(exitCode, result.exitCode, result.stderr);
+        String output = exitCode == 0 ? result.stdout : result.stderr;
+        assertTrue(output.contains(expectedText), output);
+        assertEquals("", exitCode == 0 ? result.stderr : result.stdout);
     }
 
     @Test
     void versionMatchesBuild() throws Exception {
-        ProcessResult r = run("", "--version");
-        assertTrue(r.stdout.matches("mulleinlever \\d+\\.\\d+\\.\\d+(-SNAPSHOT)?\\R"), r.stdout);
+        ProcessResult result = run("", "--version");
+        assertTrue(
+                result.stdout.matches("mulleinlever \\d+\\.\\d+\\.\\d+(-SNAPSHOT)?\\R"),
+                result.stdout);
     }
 
     @Test
     void existingCommandLinesKeepWorking() throws Exception {
         ProcessResult drill = run("TICK\ttimeNs=1\tframe=7\nEND\n", "drill");
         assertEquals(new ProcessResult(0, "EOR\tframe=7\n", ""), drill);
-        ProcessResult bad = run("HELLO\n", "drill");
-        assertEquals(2, bad.exitCode);
-        assertEquals("line 1: expected TICK, found HELLO\n", bad.stderr);
+        ProcessResult invalid = run("HELLO\n", "drill");
+        assertEquals(2, invalid.exitCode);
+        assertEquals("line 1: expected TICK, found HELLO\n", invalid.stderr);
         ProcessResult serve = run("", "serve");
         assertEquals(2, serve.exitCode);
         assertTrue(
--- a/drill/src/main/java/mulleinlever/drill/DrillInputException.java
+++ b/drill/src/main/java/mulleinlever/drill/DrillInputException.java
@@ -4,7 +4,7 @@
 public final class DrillInputException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
-    DrillInputException(long lineNo, String expected) {
-        super("line " + lineNo + ": " + expected);
+    DrillInputException(long lineNumber, String expected) {
+        super("line " + lineNumber + ": " + expected);
     }
 }
--- a/drill/src/main/java/mulleinlever/drill/DrillSession.java
+++ b/drill/src/main/java/mulleinlever/drill/DrillSession.java
@@ -27,12 +27,12 @@
     private final BufferedReader in;
     private final PrintStream out;
     private final StringBuilder reply = new StringBuilder();
-    private final Map<String, Policy> running = new HashMap<>();
-    private final Map<Long, List<PodEntry>> lists = new HashMap<>();
-    private long lineNo;
-    private long now;
-    private String speaker;
-    private String about;
+    private final Map<String, Policy> policies = new HashMap<>();
+    private final Map<Long, List<PodEntry>> podLists = new HashMap<>();
+    private long lineNumber;
+    private long nowNs;
+    private String replyingSidecarId;
+    private String currentSidecarId;
 
     public DrillSession(InputStream in, PrintStream out) {
         this.in = new BufferedReader(new InputStreamReader(in, StandardCharsets.UTF_8), 1 << 16);
@@ -41,21 +41,21 @@
 
     /** Serves batches until the input ends between two of them. */
     public void run() throws IOException {
-        for (WireLine l = next(); l != null; l = next()) {
-            if (l.messageType.isEmpty()) {
+        for (WireLine line = readLine(); line != null; line = readLine()) {
+            if (line.messageType.isEmpty()) {
                 continue;
             }
-            if (!l.messageType.equals("TICK")) {
+            if (!line.messageType.equals("TICK")) {
                 throw new DrillInputException(
-                        l.lineNumber, "expected TICK, found " + l.messageType);
+                        line.lineNumber, "expected TICK, found " + line.messageType);
             }
-            now = l.getLong("timeNs");
-            String frame = l.getString("frame");
-            about = null;
-            speaker = null;
+            nowNs = line.getLong("timeNs");
+            String frame = line.getString("frame");
+            currentSidecarId = null;
+            replyingSidecarId = null;
             reply.setLength(0);
-            for (l = inBatch(); !l.messageType.equals("END"); l = inBatch()) {
-                event(l);
+            for (line = readBatchLine(); !line.messageType.equals("END"); line = readBatchLine()) {
+                handleMessage(line);
             }
             reply.append("EOR\tframe=").append(frame).append('\n');
             out.write(reply.toString().getBytes(StandardCharsets.UTF_8));
@@ -64,32 +64,32 @@
     }
 
     /** The answers of one sidecar go under its name. */
-    StringBuilder outputFor(String sidecar) {
-        if (!sidecar.equals(speaker)) {
-            reply.append("AT\tsidecarId=").append(sidecar).append('\n');
-            speaker = sidecar;
+    StringBuilder outputFor(String sidecarId) {
+        if (!sidecarId.equals(replyingSidecarId)) {
+            reply.append("AT\tsidecarId=").append(sidecarId).append('\n');
+            replyingSidecarId = sidecarId;
         }
         return reply;
     }
 
-    private WireLine next() throws IOException {
+    private WireLine readLine() throws IOException {
         String text = in.readLine();
-        lineNo++;
-        return text == null ? null : new WireLine(lineNo, text);
+        lineNumber++;
+        return text == null ? null : new WireLine(lineNumber, text);
     }
 
-    private WireLine inBatch() throws IOException {
-        WireLine l = next();
-        if (l == null) {
-            throw new DrillInputException(lineNo, "expected END, found the end of the input");
+    private WireLine readBatchLine() throws IOException {
+        WireLine line = readLine();
+        if (line == null) {
+            throw new DrillInputException(lineNumber, "expected END, found the end of the input");
         }
-        return l;
+        return line;
     }
 
-    private void event(WireLine l) throws IOException {
-        switch (l.messageType) {
-            case "ABOUT" -> about = l.getString("sidecarId");
-            case "DEFINE_LIST" -> define(l);
+    private void handleMessage(WireLine line) throws IOException {
+        switch (line.messageType) {
+            case "ABOUT" -> currentSidecarId = line.getString("sidecarId");
+            case "DEFINE_LIST" -> definePodList(line);
             case "POWER_ON",
                     "BACKENDS_CHANGED",
                     "NEW_REQUEST",
@@ -103,146 +103,156 @@
                     "DETACH",
                     "DISPUTED",
                     "REPORT_BACK" -> {
-                if (about == null) {
-                    throw l.lineError("needs an ABOUT line before it");
+                if (currentSidecarId == null) {
+                    throw line.lineError("needs an ABOUT line before it");
                 }
-                decide(l);
+                handleSidecarMessage(line);
             }
             default ->
                     throw new DrillInputException(
-                            l.lineNumber, "no such message: " + l.messageType);
+                            line.lineNumber, "no such message: " + line.messageType);
         }
     }
 
-    private void decide(WireLine l) {
+    private void handleSidecarMessage(WireLine line) {
         try {
-            if (l.messageType.equals("POWER_ON")) {
-                WirePolicyActions host = new WirePolicyActions(this, about);
-                running.put(
-                        about, new Policy(SettingsReader.read(l), l.getLong("prng"), now, host));
+            if (line.messageType.equals("POWER_ON")) {
+                WirePolicyActions actions = new WirePolicyActions(this, currentSidecarId);
+                policies.put(
+                        currentSidecarId,
+                        new Policy(
+                                SettingsReader.read(line), line.getLong("prng"), nowNs, actions));
                 return;
             }
-            Policy policy = running.get(about);
+            Policy policy = policies.get(currentSidecarId);
             if (policy == null) {
-                throw l.lineError("needs a sidecar that was started: " + about);
+                throw line.lineError("needs a sidecar that was started: " + currentSidecarId);
             }
-            call(policy, l);
+            callPolicy(policy, line);
         } catch (DrillInputException e) {
             throw e;
         } catch (RuntimeException e) {
-            StackTraceElement[] at = e.getStackTrace();
-            String text = WirePolicyActions.toSingleLine(e + (at.length > 0 ? " at " + at[0] : ""));
-            outputFor(about).append("BROKEN\tnoteText=").append(text).append('\n');
+            StackTraceElement[] stackTrace = e.getStackTrace();
+            String note =
+                    WirePolicyActions.toSingleLine(
+                            e + (stackTrace.length > 0 ? " at " + stackTrace[0] : ""));
+            outputFor(currentSidecarId).append("BROKEN\tnoteText=").append(note).append('\n');
         }
     }
 
-    private void call(Policy policy, WireLine l) {
-        switch (l.messageType) {
-            case "BACKENDS_CHANGED" -> list(policy, l);
+    private void callPolicy(Policy policy, WireLine line) {
+        switch (line.messageType) {
+            case "BACKENDS_CHANGED" -> updatePodList(policy, line);
             case "NEW_REQUEST" ->
                     policy.onReq(
-                            now,
+                            nowNs,
                             new Req(
-                                    l.getString("ticket"),
-                                    l.getString("cls"),
-                                    l.getBoolean("repeat", false),
-                                    l.getBoolean("isWrite", false),
-                                    l.getLong("expiresInNs"),
-                                    l.getLong("workNs", 0),
-                                    l.getLong("item", -1),
-                                    tenant(l)));
-            case "HEAD_RECEIVED" -> policy.onStreamStarted(now, l.getString("ticket"));
-            case "PROMOTION" -> news(policy, l);
-            case "CLIENT_GONE" -> policy.onClientDisconnected(now, l.getString("ticket"));
+                                    line.getString("ticket"),
+                                    line.getString("cls"),
+                                    line.getBoolean("repeat", false),
+                                    line.getBoolean("isWrite", false),
+                                    line.getLong("expiresInNs"),
+                                    line.getLong("workNs", 0),
+                                    line.getLong("item", -1),
+                                    findTenant(line)));
+            case "HEAD_RECEIVED" -> policy.onStreamStarted(nowNs, line.getString("ticket"));
+            case "PROMOTION" -> updateRolloutStatus(policy, line);
+            case "CLIENT_GONE" -> policy.onClientDisconnected(nowNs, line.getString("ticket"));
             // The module asks for no probes and no peers' messages.
             case "ECHO", "PEER_DATA" -> {}
             case "PLATFORM_SAW" ->
                     policy.onPlatformTally(
-                            now,
-                            l.getString("cls"),
-                            l.getInt("buildNo"),
-                            l.getDouble("n", 0),
-                            l.getDouble("failed", 0),
-                            l.getLong("rttNs", 0),
-                            l.getLong("ageNs", 0));
-            case "ELAPSED" -> policy.onTimer(now, l.getString("nonce"));
-            case "DETACH" -> running.remove(about);
-            case "DISPUTED" -> policy.onComplaint(now, l.getString("pod"), l.getString("cls"));
+                            nowNs,
+                            line.getString("cls"),
+                            line.getInt("buildNo"),
+                            line.getDouble("n", 0),
+                            line.getDouble("failed", 0),
+                            line.getLong("rttNs", 0),
+                            line.getLong("ageNs", 0));
+            case "ELAPSED" -> policy.onTimer(nowNs, line.getString("nonce"));
+            case "DETACH" -> policies.remove(currentSidecarId);
+            case "DISPUTED" ->
+                    policy.onComplaint(nowNs, line.getString("pod"), line.getString("cls"));
             default ->
                     policy.onTryEnded(
-                            now,
-                            l.getString("ticket"),
-                            l.getInt("sendNo"),
-                            l.getEnum("ending", TryOutcome.class),
-                            l.getLong("rttNs", 0),
-                            l.getBoolean("complete", false));
+                            nowNs,
+                            line.getString("ticket"),
+                            line.getInt("sendNo"),
+                            line.getEnum("ending", TryOutcome.class),
+                            line.getLong("rttNs", 0),
+                            line.getBoolean("complete", false));
         }
     }
 
-    private void define(WireLine head) throws IOException {
-        int n = head.getInt("members");
+    private void definePodList(WireLine header) throws IOException {
+        int entryCount = header.getInt("members");
         List<PodEntry> entries = new ArrayList<>();
-        for (int i = 0; i < n; i++) {
-            WireLine l = inBatch();
-            if (!l.messageType.equals("M")) {
+        for (int i = 0; i < entryCount; i++) {
+            WireLine line = readBatchLine();
+            if (!line.messageType.equals("M")) {
                 throw new DrillInputException(
-                        l.lineNumber,
-                        "expected entry " + (i + 1) + " of " + n + ", found " + l.messageType);
+                        line.lineNumber,
+                        "expected entry "
+                                + (i + 1)
+                                + " of "
+                                + entryCount
+                                + ", found "
+                                + line.messageType);
             }
             entries.add(
                     new PodEntry(
-                            l.getString("pod"),
-                            l.getString("locality", ""),
-                            l.getString("model", ""),
-                            (int) l.getLong("stripe", 0),
-                            (int) l.getDouble("edition", 0),
-                            l.getEnum("state", PodEntry.State.class),
-                            l.getDouble("capacityHint", 1),
-                            l.getLong("readyAtNs", 0)));
+                            line.getString("pod"),
+                            line.getString("locality", ""),
+                            line.getString("model", ""),
+                            (int) line.getLong("stripe", 0),
+                            (int) line.getDouble("edition", 0),
+                            line.getEnum("state", PodEntry.State.class),
+                            line.getDouble("capacityHint", 1),
+                            line.getLong("readyAtNs", 0)));
         }
-        lists.put(head.getLong("ref"), entries);
+        podLists.put(header.getLong("ref"), entries);
     }
 
-    private void list(Policy policy, WireLine l) {
-        String how = l.getString("how");
-        if (how.equals("failed")) {
-            policy.onPodListWatchFailed(now);
+    private void updatePodList(Policy policy, WireLine line) {
+        String kind = line.getString("how");
+        if (kind.equals("failed")) {
+            policy.onPodListWatchFailed(nowNs);
             return;
         }
-        List<PodEntry> entries = lists.get(l.getLong("ref"));
+        List<PodEntry> entries = podLists.get(line.getLong("ref"));
         if (entries == null) {
-            throw l.lineError("needs a list that was defined: " + l.getString("ref"));
+            throw line.lineError("needs a list that was defined: " + line.getString("ref"));
         }
-        switch (how) {
-            case "delta" -> policy.onPodListUpdated(now, entries);
-            case "full", "cached" -> policy.onPodListReplaced(now, entries);
-            default -> throw l.lineError("needs delta, full, cached or failed in how");
+        switch (kind) {
+            case "delta" -> policy.onPodListUpdated(nowNs, entries);
+            case "full", "cached" -> policy.onPodListReplaced(nowNs, entries);
+            default -> throw line.lineError("needs delta, full, cached or failed in how");
         }
     }
 
-    private void news(Policy policy, WireLine l) {
-        boolean ok = l.getString("ending", "ok").equals("ok");
-        if (l.getLong("how", 0) == 1) {
-            policy.onVoteAnswered(now, ok);
+    private void updateRolloutStatus(Policy policy, WireLine line) {
+        boolean succeeded = line.getString("ending", "ok").equals("ok");
+        if (line.getLong("how", 0) == 1) {
+            policy.onVoteAnswered(nowNs, succeeded);
         }
-        if (ok) {
-            int phase = l.getInt("whereAt");
+        if (succeeded) {
+            int phase = line.getInt("whereAt");
             if (phase < 0 || phase >= PHASES.length) {
-                throw l.lineError("needs 0 to 3 in whereAt");
+                throw line.lineError("needs 0 to 3 in whereAt");
             }
             policy.onRolloutStatus(
-                    now,
+                    nowNs,
                     new RolloutStatus(
-                            l.getInt("buildNo"),
-                            l.getInt("step"),
+                            line.getInt("buildNo"),
+                            line.getInt("step"),
                             PHASES[phase],
-                            l.getDouble("exposure", 0),
-                            l.getLong("ageNs", 0)));
+                            line.getDouble("exposure", 0),
+                            line.getLong("ageNs", 0)));
         }
     }
 
-    private static String tenant(WireLine l) {
-        String name = l.getString("owner", "0");
+    private static String findTenant(WireLine line) {
+        String name = line.getString("owner", "0");
         return name.equals("0") ? null : name;
     }
 }
--- a/drill/src/main/java/mulleinlever/drill/WireLine.java
+++ b/drill/src/main/java/mulleinlever/drill/WireLine.java
@@ -6,12 +6,12 @@
 final class WireLine extends FieldReader {
     final long lineNumber;
     final String messageType;
-    private final String[] parts;
+    private final String[] tokens;
 
-    WireLine(long no, String text) {
-        this.lineNumber = no;
-        this.parts = text.split("\t", -1);
-        this.messageType = parts[0];
+    WireLine(long lineNumber, String text) {
+        this.lineNumber = lineNumber;
+        this.tokens = text.split("\t", -1);
+        this.messageType = tokens[0];
     }
 
     DrillInputException lineError(String expected) {
@@ -19,19 +19,19 @@
     }
 
     @Override
-    public DrillInputException fieldError(String name, String needs) {
+    public DrillInputException fieldError(String name, String expected) {
         return lineError(
-                needs == null ? "needs the field " + name : "needs " + needs + " in " + name);
+                expected == null ? "needs the field " + name : "needs " + expected + " in " + name);
     }
 
     @Override
     protected String findValue(String name) {
-        for (int i = 1; i < parts.length; i++) {
-            String p = parts[i];
-            if (p.length() > name.length()
-                    && p.charAt(name.length()) == '='
-                    && p.startsWith(name)) {
-                return p.substring(name.length() + 1);
+        for (int i = 1; i < tokens.length; i++) {
+            String token = tokens[i];
+            if (token.length() > name.length()
+                    && token.charAt(name.length()) == '='
+                    && token.startsWith(name)) {
+                return token.substring(name.length() + 1);
             }
         }
         return null;
--- a/drill/src/main/java/mulleinlever/drill/WirePolicyActions.java
+++ b/drill/src/main/java/mulleinlever/drill/WirePolicyActions.java
@@ -5,75 +5,83 @@
 
 /** One sidecar's answers, as messages of the wire. */
 final class WirePolicyActions implements PolicyActions {
-    private final DrillSession drill;
-    private final String sidecar;
+    private final DrillSession session;
+    private final String sidecarId;
 
-    WirePolicyActions(DrillSession drill, String sidecar) {
-        this.drill = drill;
-        this.sidecar = sidecar;
+    WirePolicyActions(DrillSession session, String sidecarId) {
+        this.session = session;
+        this.sidecarId = sidecarId;
     }
 
     @Override
-    public void startTry(String rq, String pod, long writeWithinNs, long limitNs) {
-        say().append("RELAY\tticket=")
-                .append(rq)
+    public void startTry(String reqId, String podId, long writeWithinNs, long timeoutNs) {
+        output().append("RELAY\tticket=")
+                .append(reqId)
                 .append("\tpod=")
-                .append(pod)
+                .append(podId)
                 .append("\tlimitNs=")
-                .append(limitNs)
+                .append(timeoutNs)
                 .append('\n');
     }
 
     @Override
-    public void shedReq(String rq, long backoffNs) {
-        say().append("SHED\tticket=")
-                .append(rq)
+    public void shedReq(String reqId, long backoffNs) {
+        output().append("SHED\tticket=")
+                .append(reqId)
                 .append("\tbackoffNs=")
                 .append(backoffNs)
                 .append('\n');
     }
 
     @Override
-    public void failReq(String rq) {
-        say().append("LOSE\tticket=").append(rq).append('\n');
+    public void failReq(String reqId) {
+        output().append("LOSE\tticket=").append(reqId).append('\n');
     }
 
     @Override
-    public void cancelTry(String rq, int tryNo) {
-        say().append("REVOKE\tticket=").append(rq).append("\tsendNo=").append(tryNo).append('\n');
+    public void cancelTry(String reqId, int tryNumber) {
+        output().append("REVOKE\tticket=")
+                .append(reqId)
+                .append("\tsendNo=")
+                .append(tryNumber)
+                .append('\n');
     }
 
     @Override
-    public void castVote(int build, int stage, RolloutVote verdict) {
-        say().append("SAY_SO\tbuildNo=")
+    public void castVote(int build, int stage, RolloutVote vote) {
+        output().append("SAY_SO\tbuildNo=")
                 .append(build)
                 .append("\tstep=")
                 .append(stage)
                 .append("\thow=")
-                .append(verdict.ordinal())
+                .append(vote.ordinal())
                 .append('\n');
     }
 
     @Override
     public void watchPodList() {
-        say().append("KEEP_INFORMED\ton=1\n");
+        output().append("KEEP_INFORMED\ton=1\n");
     }
 
     @Override
     public void scheduleTimer(long atNs, String token) {
-        say().append("NOTIFY_ME\tatNs=").append(atNs).append("\tnonce=").append(token).append('\n');
+        output().append("NOTIFY_ME\tatNs=")
+                .append(atNs)
+                .append("\tnonce=")
+                .append(token)
+                .append('\n');
     }
 
     @Override
-    public void log(String line) {
-        say().append("PRINT\tnoteText=").append(toSingleLine(line)).append('\n');
+    public void log(String message) {
+        output().append("PRINT\tnoteText=").append(toSingleLine(message)).append('\n');
     }
 
     static String toSingleLine(String text) {
         return text.replaceAll("[\\t\\r\\n]+", " ");
     }
 
-    private StringBuilder say() {
-        return drill.outputFor(sidecar);
+    private StringBuilder output() {
+        return session.outputFor(sidecarId);
     }
 }
--- a/drill/src/test/java/mulleinlever/drill/DrillTest.java
+++ b/drill/src/test/java/mulleinlever/drill/DrillTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 class DrillTest {
-    private static String drill(String input) throws IOException {
+    private static String runSession(String input) throws IOException {
         var out = new ByteArrayOutputStream();
         var in =
                 new ByteArrayInputStream(input.replace(' ', '\t').getBytes(StandardCharsets.UTF_8));
@@ -26,7 +26,7 @@
     void repliesToEachBatch() throws IOException {
         assertEquals(
                 "EOR\tframe=7\nEOR\tframe=8\n",
-                drill("TICK timeNs=1 frame=7\nEND\nTICK timeNs=2 frame=8\nEND\n"));
+                runSession("TICK timeNs=1 frame=7\nEND\nTICK timeNs=2 frame=8\nEND\n"));
     }
 
     @ParameterizedTest
@@ -42,7 +42,7 @@
         "TICK timeNs=1 frame=1|DEFINE_LIST ref=0 members=1|M pod=a state=odd, line 3: M needs a known word"
     })
     void invalidInputReportsLineNumber(String input, String message) {
-        var e = assertThrows(DrillInputException.class, () -> drill(input.replace('|', '\n')));
+        var e = assertThrows(DrillInputException.class, () -> runSession(input.replace('|', '\n')));
         assertTrue(e.getMessage().startsWith(message), e.getMessage());
     }
 }
--- a/settings/src/main/java/mulleinlever/settings/FeatureSettings.java
+++ b/settings/src/main/java/mulleinlever/settings/FeatureSettings.java
@@ -13,7 +13,7 @@
     /** Nothing is switched on. */
     public static final FeatureSettings NONE = new FeatureSettings(null);
 
-    private static final String STATE = "state";
+    private static final String STATE_TABLE = "state";
 
     /**
      * What is kept over a restart, and how: null where nothing is.
@@ -43,39 +43,44 @@
      * @throws InvalidInputException naming file, line and column
      */
     public static FeatureSettings read(List<Path> files) {
-        FeatureSettings all = NONE;
-        Map<String, Path> from = new HashMap<>();
+        FeatureSettings merged = NONE;
+        Map<String, Path> fileByTable = new HashMap<>();
         for (Path file : files) {
-            FeatureSettings one = fromToml(TomlFile.read(file));
-            if (one.stateSettings != null) {
-                Path before = from.put(STATE, file);
-                if (before != null) {
+            FeatureSettings settings = fromToml(TomlFile.read(file));
+            if (settings.stateSettings != null) {
+                Path earlierFile = fileByTable.put(STATE_TABLE, file);
+                if (earlierFile != null) {
                     throw new InvalidInputException(
-                            file + ": the table " + STATE + " stands in " + before + " too");
+                            file
+                                    + ": the table "
+                                    + STATE_TABLE
+                                    + " stands in "
+                                    + earlierFile
+                                    + " too");
                 }
-                all = one;
+                merged = settings;
             }
         }
-        return all;
+        return merged;
     }
 
     /** What one file holds. */
     public static FeatureSettings fromToml(TomlFile file) {
-        TomlSection s = file.getSection(STATE);
-        StateSettings remember = s.isPresent() ? remember(s) : null;
+        TomlSection section = file.getSection(STATE_TABLE);
+        StateSettings state = section.isPresent() ? readStateSettings(section) : null;
         file.rejectUnknownKeys();
-        return new FeatureSettings(remember);
+        return new FeatureSettings(state);
     }
 
-    private static StateSettings remember(TomlSection s) {
+    private static StateSettings readStateSettings(TomlSection section) {
         return new StateSettings(
-                s.getPath("folder"),
-                s.getDurationNs("every", "10s", "50ms", "1h"),
-                s.getDouble("jitter", 0.2, 0, 0.9),
-                (int) s.getLong("keep", 3, 2, 100),
-                s.getSizeBytes("most_bytes", "64MiB", "64KiB", "1GiB"),
-                s.getDurationNs("read_within", "500ms", "10ms", "30s"),
-                s.getDurationNs("last_within", "300ms", "0ms", "10s"),
-                s.getDurationNs("slice", "0.5ms", "0.05ms", "10ms"));
+                section.getPath("folder"),
+                section.getDurationNs("every", "10s", "50ms", "1h"),
+                section.getDouble("jitter", 0.2, 0, 0.9),
+                (int) section.getLong("keep", 3, 2, 100),
+                section.getSizeBytes("most_bytes", "64MiB", "64KiB", "1GiB"),
+                section.getDurationNs("read_within", "500ms", "10ms", "30s"),
+                section.getDurationNs("last_within", "300ms", "0ms", "10s"),
+                section.getDurationNs("slice", "0.5ms", "0.05ms", "10ms"));
     }
 }
--- a/settings/src/main/java/mulleinlever/settings/FieldReader.java
+++ b/settings/src/main/java/mulleinlever/settings/FieldReader.java
@@ -13,52 +13,52 @@
     protected abstract String findValue(String name);
 
     /** The fault to throw: which field, and what it needs to hold; null where it is missing. */
-    public abstract RuntimeException fieldError(String name, String needs);
+    public abstract RuntimeException fieldError(String name, String expected);
 
     public final boolean hasField(String name) {
         return findValue(name) != null;
     }
 
     public final String getString(String name) {
-        String v = findValue(name);
-        if (v == null) {
+        String value = findValue(name);
+        if (value == null) {
             throw fieldError(name, null);
         }
-        return v;
+        return value;
     }
 
-    public final String getString(String name, String absent) {
-        String v = findValue(name);
-        return v == null ? absent : v;
+    public final String getString(String name, String defaultValue) {
+        String value = findValue(name);
+        return value == null ? defaultValue : value;
     }
 
     public final long getLong(String name) {
-        return parseWhole(name, getString(name));
+        return parseLong(name, getString(name));
     }
 
-    public final long getLong(String name, long absent) {
-        String v = findValue(name);
-        return v == null ? absent : parseWhole(name, v);
+    public final long getLong(String name, long defaultValue) {
+        String value = findValue(name);
+        return value == null ? defaultValue : parseLong(name, value);
     }
 
     public final int getInt(String name) {
-        long v = getLong(name);
-        if (v < Integer.MIN_VALUE || v > Integer.MAX_VALUE) {
+        long value = getLong(name);
+        if (value < Integer.MIN_VALUE || value > Integer.MAX_VALUE) {
             throw fieldError(name, "a smaller number");
         }
-        return (int) v;
+        return (int) value;
     }
 
-    public final double getDouble(String name, double absent) {
-        String v = findValue(name);
-        return v == null ? absent : parseDouble(name, v);
+    public final double getDouble(String name, double defaultValue) {
+        String value = findValue(name);
+        return value == null ? defaultValue : parseDouble(name, value);
     }
 
-    public final double parseDouble(String name, String v) {
+    public final double parseDouble(String name, String value) {
         try {
-            double x = Double.parseDouble(v);
-            if (!Double.isNaN(x)) {
-                return x;
+            double number = Double.parseDouble(value);
+            if (!Double.isNaN(number)) {
+                return number;
             }
         } catch (NumberFormatException e) {
             throw fieldError(name, "a number");
@@ -66,12 +66,12 @@
         throw fieldError(name, "a number");
     }
 
-    public final boolean getBoolean(String name, boolean absent) {
-        String v = findValue(name);
-        if (v == null) {
-            return absent;
+    public final boolean getBoolean(String name, boolean defaultValue) {
+        String value = findValue(name);
+        if (value == null) {
+            return defaultValue;
         }
-        return switch (v) {
+        return switch (value) {
             case "1", "true" -> true;
             case "0", "false" -> false;
             default -> throw fieldError(name, "1 or 0");
@@ -79,17 +79,19 @@
     }
 
     public final <E extends Enum<E>> E getEnum(String name, Class<E> type) {
-        String v = getString(name);
+        String value = getString(name);
         try {
-            return Enum.valueOf(type, v.toUpperCase(Locale.ROOT));
+            return Enum.valueOf(type, value.toUpperCase(Locale.ROOT));
         } catch (IllegalArgumentException e) {
             throw fieldError(name, "a known word");
         }
     }
 
-    private long parseWhole(String name, String v) {
+    private long parseLong(String name, String value) {
         try {
-            return v.indexOf('.') < 0 ? Long.parseLong(v) : new BigDecimal(v).longValueExact();
+            return value.indexOf('.') < 0
+                    ? Long.parseLong(value)
+                    : new BigDecimal(value).longValueExact();
         } catch (NumberFormatException | ArithmeticException e) {
             throw fieldError(name, "a whole number");
         }
--- a/settings/src/main/java/mulleinlever/settings/Json.java
+++ b/settings/src/main/java/mulleinlever/settings/Json.java
@@ -16,95 +16,95 @@
     }
 
     /** Against input made to exhaust the stack. */
-    private static final int DEEPEST = 40;
+    private static final int MAX_DEPTH = 40;
 
-    private final String in;
-    private int at;
+    private final String input;
+    private int position;
 
-    private Json(String in) {
-        this.in = in;
+    private Json(String input) {
+        this.input = input;
     }
 
     public static Object parse(String text) {
-        Json j = new Json(text);
-        Object value = j.value(0);
-        j.blank();
-        if (j.at < text.length()) {
-            throw j.bad("the end");
+        Json parser = new Json(text);
+        Object value = parser.parseValue(0);
+        parser.skipWhitespace();
+        if (parser.position < text.length()) {
+            throw parser.syntaxError("the end");
         }
         return value;
     }
 
-    private Object value(int depth) {
-        blank();
-        if (depth > DEEPEST) {
-            throw bad("fewer levels");
+    private Object parseValue(int depth) {
+        skipWhitespace();
+        if (depth > MAX_DEPTH) {
+            throw syntaxError("fewer levels");
         }
         return switch (peek()) {
-            case '{' -> object(depth);
-            case '[' -> array(depth);
-            case '"' -> string();
-            default -> bare();
+            case '{' -> parseObject(depth);
+            case '[' -> parseArray(depth);
+            case '"' -> parseString();
+            default -> parseLiteral();
         };
     }
 
-    private Map<String, Object> object(int depth) {
-        Map<String, Object> all = new LinkedHashMap<>();
-        at++;
-        if (taken('}')) {
-            return all;
+    private Map<String, Object> parseObject(int depth) {
+        Map<String, Object> members = new LinkedHashMap<>();
+        position++;
+        if (consumeIfNext('}')) {
+            return members;
         }
         do {
-            blank();
+            skipWhitespace();
             if (peek() != '"') {
-                throw bad("a name");
+                throw syntaxError("a name");
             }
-            String name = string();
-            if (!taken(':')) {
-                throw bad(":");
+            String name = parseString();
+            if (!consumeIfNext(':')) {
+                throw syntaxError(":");
             }
-            all.put(name, value(depth + 1));
-        } while (taken(','));
-        if (!taken('}')) {
-            throw bad("}");
+            members.put(name, parseValue(depth + 1));
+        } while (consumeIfNext(','));
+        if (!consumeIfNext('}')) {
+            throw syntaxError("}");
         }
-        return all;
+        return members;
     }
 
-    private List<Object> array(int depth) {
-        List<Object> all = new ArrayList<>();
-        at++;
-        if (taken(']')) {
-            return all;
+    private List<Object> parseArray(int depth) {
+        List<Object> elements = new ArrayList<>();
+        position++;
+        if (consumeIfNext(']')) {
+            return elements;
         }
         do {
-            all.add(value(depth + 1));
-        } while (taken(','));
-        if (!taken(']')) {
-            throw bad("]");
+            elements.add(parseValue(depth + 1));
+        } while (consumeIfNext(','));
+        if (!consumeIfNext(']')) {
+            throw syntaxError("]");
         }
-        return all;
+        return elements;
     }
 
-    private String string() {
-        int from = ++at;
+    private String parseString() {
+        int start = ++position;
         while (peek() != '"' && peek() != '\\') {
-            at++;
+            position++;
         }
         if (peek() == '"') {
-            return in.substring(from, at++);
+            return input.substring(start, position++);
         }
-        StringBuilder s = new StringBuilder(in.substring(from, at));
+        StringBuilder decoded = new StringBuilder(input.substring(start, position));
         while (peek() != '"') {
-            s.append(peek() == '\\' ? escaped() : peek());
-            at++;
+            decoded.append(peek() == '\\' ? parseEscape() : peek());
+            position++;
         }
-        at++;
-        return s.toString();
+        position++;
+        return decoded.toString();
     }
 
-    private char escaped() {
-        at++;
+    private char parseEscape() {
+        position++;
         return switch (peek()) {
             case 'n' -> '\n';
             case 't' -> '\t';
@@ -112,56 +112,60 @@
             case 'b' -> '\b';
             case 'f' -> '\f';
             case 'u' -> {
-                if (at + 5 > in.length()) {
-                    throw bad("four hex digits");
+                if (position + 5 > input.length()) {
+                    throw syntaxError("four hex digits");
                 }
                 try {
-                    char c = (char) Integer.parseInt(in.substring(at + 1, at + 5), 16);
-                    at += 4;
+                    char c =
+                            (char)
+                                    Integer.parseInt(
+                                            input.substring(position + 1, position + 5), 16);
+                    position += 4;
                     yield c;
                 } catch (NumberFormatException e) {
-                    throw bad("four hex digits");
+                    throw syntaxError("four hex digits");
                 }
             }
             case '"', '\\', '/' -> peek();
-            default -> throw bad("a known escape");
+            default -> throw syntaxError("a known escape");
         };
     }
 
-    private Literal bare() {
-        int from = at;
-        while (at < in.length() && ",:]}[{\" \t\r\n".indexOf(in.charAt(at)) < 0) {
-            at++;
+    private Literal parseLiteral() {
+        int start = position;
+        while (position < input.length() && ",:]}[{\" \t\r\n".indexOf(input.charAt(position)) < 0) {
+            position++;
         }
-        String text = in.substring(from, at);
+        String text = input.substring(start, position);
         if (!text.matches("true|false|null|-?\\d+(\\.\\d+)?([eE][-+]?\\d+)?")) {
-            at = from;
-            throw bad("a value");
+            position = start;
+            throw syntaxError("a value");
         }
         return new Literal(text);
     }
 
     private char peek() {
-        if (at >= in.length()) {
-            throw bad("more");
+        if (position >= input.length()) {
+            throw syntaxError("more");
         }
-        return in.charAt(at);
+        return input.charAt(position);
     }
 
-    private boolean taken(char c) {
-        blank();
-        boolean there = at < in.length() && in.charAt(at) == c;
-        at += there ? 1 : 0;
-        return there;
+    private boolean consumeIfNext(char expected) {
+        skipWhitespace();
+        boolean isNext = position < input.length() && input.charAt(position) == expected;
+        position += isNext ? 1 : 0;
+        return isNext;
     }
 
-    private void blank() {
-        while (at < in.length() && " \t\r\n".indexOf(in.charAt(at)) >= 0) {
-            at++;
+    private void skipWhitespace() {
+        while (position < input.length() && " \t\r\n".indexOf(input.charAt(position)) >= 0) {
+            position++;
         }
     }
 
-    private InvalidInputException bad(String expected) {
-        return new InvalidInputException("JSON: expected " + expected + " at character " + at);
+    private InvalidInputException syntaxError(String expected) {
+        return new InvalidInputException(
+                "JSON: expected " + expected + " at character " + position);
     }
 }
--- a/settings/src/main/java/mulleinlever/settings/JsonFieldReader.java
+++ b/settings/src/main/java/mulleinlever/settings/JsonFieldReader.java
@@ -9,66 +9,67 @@
  * path.
  */
 public final class JsonFieldReader extends FieldReader {
-    private final String where;
+    private final String pathPrefix;
     private final Object root;
 
-    public JsonFieldReader(String where, Object root) {
-        this.where = where;
+    public JsonFieldReader(String pathPrefix, Object root) {
+        this.pathPrefix = pathPrefix;
         this.root = root;
     }
 
     /** The object at a path within this one. */
     public JsonFieldReader getObject(String path) {
-        if (!(walk(path) instanceof Map)) {
+        if (!(resolve(path) instanceof Map)) {
             throw fieldError(path, "an object");
         }
-        return new JsonFieldReader(where + path + ".", walk(path));
+        return new JsonFieldReader(pathPrefix + path + ".", resolve(path));
     }
 
     /** The objects of the list at a path. */
     public List<JsonFieldReader> getObjects(String path) {
-        if (!(walk(path) instanceof List<?> list)) {
+        if (!(resolve(path) instanceof List<?> list)) {
             throw fieldError(path, "a list");
         }
-        int[] i = {0};
+        int[] nextIndex = {0};
         return list.stream()
-                .map(o -> new JsonFieldReader(where + path + "." + i[0]++ + ".", o))
+                .map(o -> new JsonFieldReader(pathPrefix + path + "." + nextIndex[0]++ + ".", o))
                 .toList();
     }
 
     @Override
     protected String findValue(String name) {
-        Object v = walk(name);
-        if (v == null && name.endsWith(".count")) {
-            v = walk(name.substring(0, name.length() - ".count".length()));
-            return v instanceof List<?> list ? String.valueOf(list.size()) : null;
+        Object value = resolve(name);
+        if (value == null && name.endsWith(".count")) {
+            value = resolve(name.substring(0, name.length() - ".count".length()));
+            return value instanceof List<?> list ? String.valueOf(list.size()) : null;
         }
-        if (v instanceof List<?> list) {
+        if (value instanceof List<?> list) {
             return list.stream().map(String::valueOf).collect(Collectors.joining(","));
         }
-        return v == null || v instanceof Json.Literal b && b.text().equals("null")
+        return value == null
+                        || value instanceof Json.Literal literal && literal.text().equals("null")
                 ? null
-                : v.toString();
+                : value.toString();
     }
 
-    private Object walk(String path) {
-        Object v = root;
-        for (String step : path.split("\\.")) {
-            if (v instanceof Map<?, ?> map) {
-                v = map.get(step);
-            } else if (v instanceof List<?> list && step.matches("\\d{1,6}")) {
-                int i = Integer.parseInt(step);
-                v = i < list.size() ? list.get(i) : null;
+    private Object resolve(String path) {
+        Object value = root;
+        for (String key : path.split("\\.")) {
+            if (value instanceof Map<?, ?> map) {
+                value = map.get(key);
+            } else if (value instanceof List<?> list && key.matches("\\d{1,6}")) {
+                int index = Integer.parseInt(key);
+                value = index < list.size() ? list.get(index) : null;
             } else {
                 return null;
             }
         }
-        return v;
+        return value;
     }
 
     @Override
-    public InvalidInputException fieldError(String name, String needs) {
+    public InvalidInputException fieldError(String name, String expected) {
         return new InvalidInputException(
-                where + name + (needs == null ? " is missing" : " needs " + needs));
+                pathPrefix + name + (expected == null ? " is missing" : " needs " + expected));
     }
 }
--- a/settings/src/main/java/mulleinlever/settings/SettingsReader.java
+++ b/settings/src/main/java/mulleinlever/settings/SettingsReader.java
@@ -18,130 +18,131 @@
 public final class SettingsReader {
     private SettingsReader() {}
 
-    public static Settings read(FieldReader l) {
+    public static Settings read(FieldReader reader) {
         List<RouteSettings> routes = new ArrayList<>();
-        for (int i = 0; i < l.getInt("grades.count"); i++) {
-            routes.add(route(l, "grades." + i + "."));
+        for (int i = 0; i < reader.getInt("grades.count"); i++) {
+            routes.add(readRoute(reader, "grades." + i + "."));
         }
         List<TenantSettings> tenants = new ArrayList<>();
-        for (int i = 0; i < l.getLong("tenants.count", 0); i++) {
-            String at = "tenants." + i + ".";
+        for (int i = 0; i < reader.getLong("tenants.count", 0); i++) {
+            String prefix = "tenants." + i + ".";
             tenants.add(
                     new TenantSettings(
-                            l.getString(at + "name"),
-                            l.getDouble(at + "quotaRps", Double.POSITIVE_INFINITY),
-                            l.getDouble(at + "share", 0)));
+                            reader.getString(prefix + "name"),
+                            reader.getDouble(prefix + "quotaRps", Double.POSITIVE_INFINITY),
+                            reader.getDouble(prefix + "share", 0)));
         }
-        ReportSource source =
-                switch (l.getString("reporting.source", "off")) {
+        ReportSource reportSource =
+                switch (reader.getString("reporting.source", "off")) {
                     case "inline" -> ReportSource.INLINE;
                     case "on_probe" -> ReportSource.ON_PROBE;
                     case "off" -> ReportSource.OFF;
-                    default -> throw l.fieldError("reporting.source", "inline, on_probe or off");
+                    default ->
+                            throw reader.fieldError("reporting.source", "inline, on_probe or off");
                 };
-        Contract rules =
+        Contract contract =
                 new Contract(
-                        l.getLong("contract.answerSlackNs", 0),
-                        l.getLong("contract.stopSendingWithinNs", 0),
-                        l.getDouble("contract.coldShare", 1),
-                        l.getLong("contract.warmAfterNs", 0),
-                        l.getDouble("contract.fallMultiple", 1),
-                        l.getLong("contract.fallNs", 0),
-                        l.getLong("contract.askWithinNs", Long.MAX_VALUE));
+                        reader.getLong("contract.answerSlackNs", 0),
+                        reader.getLong("contract.stopSendingWithinNs", 0),
+                        reader.getDouble("contract.coldShare", 1),
+                        reader.getLong("contract.warmAfterNs", 0),
+                        reader.getDouble("contract.fallMultiple", 1),
+                        reader.getLong("contract.fallNs", 0),
+                        reader.getLong("contract.askWithinNs", Long.MAX_VALUE));
         PolicyLimits limits =
                 new PolicyLimits(
-                        (int) l.getLong("policyLimits.maxAttempts", 1),
-                        (int) l.getLong("policyLimits.maxOpen", Integer.MAX_VALUE),
-                        l.getBoolean("policyLimits.cancel", false),
-                        l.getBoolean("policyLimits.probes", false),
-                        l.getBoolean("policyLimits.secondCopies", false),
-                        l.getBoolean("policyLimits.retryAfter", false),
-                        l.getLong("policyLimits.maxRetryAfterNs", 0),
-                        (int) l.getLong("policyLimits.streamsPerConn", 1),
-                        l.getLong("policyLimits.connectTimeoutNs", 0),
-                        l.getLong("policyLimits.connIdleNs", 0));
-        CostWeights prices =
+                        (int) reader.getLong("policyLimits.maxAttempts", 1),
+                        (int) reader.getLong("policyLimits.maxOpen", Integer.MAX_VALUE),
+                        reader.getBoolean("policyLimits.cancel", false),
+                        reader.getBoolean("policyLimits.probes", false),
+                        reader.getBoolean("policyLimits.secondCopies", false),
+                        reader.getBoolean("policyLimits.retryAfter", false),
+                        reader.getLong("policyLimits.maxRetryAfterNs", 0),
+                        (int) reader.getLong("policyLimits.streamsPerConn", 1),
+                        reader.getLong("policyLimits.connectTimeoutNs", 0),
+                        reader.getLong("policyLimits.connIdleNs", 0));
+        CostWeights costWeights =
                 new CostWeights(
-                        l.getDouble("prices.crossZone", 0),
-                        l.getDouble("prices.waste", 0),
-                        l.getDouble("prices.probe", 0),
-                        l.getDouble("prices.lateFail", 0));
-        String zones = l.getString("zones", "");
+                        reader.getDouble("prices.crossZone", 0),
+                        reader.getDouble("prices.waste", 0),
+                        reader.getDouble("prices.probe", 0),
+                        reader.getDouble("prices.lateFail", 0));
+        String zones = reader.getString("zones", "");
         return new Settings(
-                l.getInt("rank"),
-                l.getInt("balancers"),
-                l.getString("zone", ""),
+                reader.getInt("rank"),
+                reader.getInt("balancers"),
+                reader.getString("zone", ""),
                 List.of(zones.split(",")),
-                l.getString("discovery").equals("subscribe"),
-                l.getLong("stepNs", 1_000_000),
-                l.getDouble("overShareWorth", 1),
+                reader.getString("discovery").equals("subscribe"),
+                reader.getLong("stepNs", 1_000_000),
+                reader.getDouble("overShareWorth", 1),
                 routes,
                 tenants,
-                rollout(l),
-                rules,
+                readRollout(reader),
+                contract,
                 limits,
-                prices,
-                source,
-                !l.getString("weights", "off").equals("off"));
+                costWeights,
+                reportSource,
+                !reader.getString("weights", "off").equals("off"));
     }
 
-    private static RouteSettings route(FieldReader l, String at) {
-        RetrySafety repeat =
-                switch (l.getString(at + "repeat")) {
+    private static RouteSettings readRoute(FieldReader reader, String prefix) {
+        RetrySafety retrySafety =
+                switch (reader.getString(prefix + "repeat")) {
                     case "safe" -> RetrySafety.IDEMPOTENT;
                     case "keyed" -> RetrySafety.DEDUPLICATED;
                     case "unsafe" -> RetrySafety.NOT_RETRYABLE;
-                    default -> throw l.fieldError(at + "repeat", "safe, keyed or unsafe");
+                    default -> throw reader.fieldError(prefix + "repeat", "safe, keyed or unsafe");
                 };
         return new RouteSettings(
-                l.getString(at + "name"),
-                l.getLong(at + "aimNs"),
-                l.getDouble(at + "aimStretch", 0),
-                l.getLong(at + "deadlineNs"),
-                repeat,
-                l.hasField(at + "keyScope")
-                        ? l.getEnum(at + "keyScope", DedupScope.class)
+                reader.getString(prefix + "name"),
+                reader.getLong(prefix + "aimNs"),
+                reader.getDouble(prefix + "aimStretch", 0),
+                reader.getLong(prefix + "deadlineNs"),
+                retrySafety,
+                reader.hasField(prefix + "keyScope")
+                        ? reader.getEnum(prefix + "keyScope", DedupScope.class)
                         : DedupScope.ALL,
-                l.getLong(at + "windowNs", 0),
-                l.getBoolean(at + "streamed", false),
-                l.getDouble(at + "lateWorth", 0),
-                l.getDouble(at + "worth", 1));
+                reader.getLong(prefix + "windowNs", 0),
+                reader.getBoolean(prefix + "streamed", false),
+                reader.getDouble(prefix + "lateWorth", 0),
+                reader.getDouble(prefix + "worth", 1));
     }
 
-    private static RolloutSettings rollout(FieldReader l) {
-        String at = "familyInfo.";
+    private static RolloutSettings readRollout(FieldReader reader) {
+        String prefix = "familyInfo.";
         return new RolloutSettings(
-                l.getEnum(at + "control", VoteControl.class),
-                l.getString(at + "replaceMode", "side_by_side").equals("rolling"),
-                l.getInt(at + "ayesNeeded"),
-                l.getInt(at + "votesToRevert"),
-                (int) l.getLong(at + "holdVotes", 0),
-                l.getLong(at + "bakeNs", 0),
-                l.getLong(at + "movesAfterNs", 0),
-                l.getLong(at + "voteStandsNs"),
-                l.getLong(at + "voteWaitNs"),
-                l.getDouble(at + "votesPerS", 1),
-                l.getLong(at + "newsPeriodNs", 0),
-                l.getLong(at + "tallyEveryNs", 0),
-                l.getDouble(at + "sample", 0),
-                l.getDouble(at + "complaintShare", 0),
-                numbers(l, at + "steps"),
-                numbers(l, at + "mostShares"),
-                l.getLong(at + "windowNs", 0),
-                l.getDouble(at + "uncounted", 0),
-                l.getString(at + "countedBy", "all").equals("per_lane"),
-                (int) l.getLong(at + "shielded", 0),
-                l.getBoolean(at + "oneWay", false),
-                l.getBoolean(at + "warmKeys", false),
-                l.getDouble(at + "staleBuildPrice", 0),
-                l.getDouble(at + "damagePrice", 0));
+                reader.getEnum(prefix + "control", VoteControl.class),
+                reader.getString(prefix + "replaceMode", "side_by_side").equals("rolling"),
+                reader.getInt(prefix + "ayesNeeded"),
+                reader.getInt(prefix + "votesToRevert"),
+                (int) reader.getLong(prefix + "holdVotes", 0),
+                reader.getLong(prefix + "bakeNs", 0),
+                reader.getLong(prefix + "movesAfterNs", 0),
+                reader.getLong(prefix + "voteStandsNs"),
+                reader.getLong(prefix + "voteWaitNs"),
+                reader.getDouble(prefix + "votesPerS", 1),
+                reader.getLong(prefix + "newsPeriodNs", 0),
+                reader.getLong(prefix + "tallyEveryNs", 0),
+                reader.getDouble(prefix + "sample", 0),
+                reader.getDouble(prefix + "complaintShare", 0),
+                readNumbers(reader, prefix + "steps"),
+                readNumbers(reader, prefix + "mostShares"),
+                reader.getLong(prefix + "windowNs", 0),
+                reader.getDouble(prefix + "uncounted", 0),
+                reader.getString(prefix + "countedBy", "all").equals("per_lane"),
+                (int) reader.getLong(prefix + "shielded", 0),
+                reader.getBoolean(prefix + "oneWay", false),
+                reader.getBoolean(prefix + "warmKeys", false),
+                reader.getDouble(prefix + "staleBuildPrice", 0),
+                reader.getDouble(prefix + "damagePrice", 0));
     }
 
-    private static List<Double> numbers(FieldReader l, String name) {
-        List<Double> all = new ArrayList<>();
-        for (String v : l.getString(name).split(",")) {
-            all.add(l.parseDouble(name, v));
+    private static List<Double> readNumbers(FieldReader reader, String name) {
+        List<Double> numbers = new ArrayList<>();
+        for (String value : reader.getString(name).split(",")) {
+            numbers.add(reader.parseDouble(name, value));
         }
-        return all;
+        return numbers;
     }
 }
--- a/settings/src/main/java/mulleinlever/settings/SpellingSuggestion.java
+++ b/settings/src/main/java/mulleinlever/settings/SpellingSuggestion.java
@@ -9,11 +9,14 @@
     private SpellingSuggestion() {}
 
     /** Words to put behind a fault; none where nothing known is near. */
-    static String suggestionSuffix(String wrong, Collection<String> known) {
+    static String suggestionSuffix(String misspelled, Collection<String> known) {
         return known.stream()
-                .filter(k -> levenshteinDistance(wrong, k) <= Math.max(2, wrong.length() / 3))
+                .filter(
+                        k ->
+                                levenshteinDistance(misspelled, k)
+                                        <= Math.max(2, misspelled.length() / 3))
                 .min(
-                        Comparator.comparingInt((String k) -> levenshteinDistance(wrong, k))
+                        Comparator.comparingInt((String k) -> levenshteinDistance(misspelled, k))
                                 .thenComparing(k -> k))
                 .map(k -> "; did you mean " + k + "?")
                 .orElse("");
@@ -21,16 +24,16 @@
 
     /** How many letters are to be put in, taken out or exchanged (Levenshtein's distance). */
     static int levenshteinDistance(String from, String to) {
-        int[] row = IntStream.rangeClosed(0, to.length()).toArray();
+        int[] distances = IntStream.rangeClosed(0, to.length()).toArray();
         for (int i = 1; i <= from.length(); i++) {
-            int diagonal = row[0];
-            row[0] = i;
+            int diagonal = distances[0];
+            distances[0] = i;
             for (int j = 1; j <= to.length(); j++) {
-                int changed = diagonal + (from.charAt(i - 1) == to.charAt(j - 1) ? 0 : 1);
-                diagonal = row[j];
-                row[j] = Math.min(changed, Math.min(row[j], row[j - 1]) + 1);
+                int substituted = diagonal + (from.charAt(i - 1) == to.charAt(j - 1) ? 0 : 1);
+                diagonal = distances[j];
+                distances[j] = Math.min(substituted, Math.min(distances[j], distances[j - 1]) + 1);
             }
         }
-        return row[to.length()];
+        return distances[to.length()];
     }
 }
--- a/settings/src/main/java/mulleinlever/settings/TomlFile.java
+++ b/settings/src/main/java/mulleinlever/settings/TomlFile.java
@@ -21,14 +21,14 @@
  */
 public final class TomlFile {
     /** No honest file of settings is longer; the parser would hold several times as much. */
-    private static final long LONGEST = 1 << 20;
+    private static final long MAX_FILE_BYTES = 1 << 20;
 
-    private final String name;
+    private final String fileName;
     private final TomlTable root;
-    private final Map<String, TomlSection> asked = new LinkedHashMap<>();
+    private final Map<String, TomlSection> requestedSections = new LinkedHashMap<>();
 
-    private TomlFile(String name, TomlTable root) {
-        this.name = name;
+    private TomlFile(String fileName, TomlTable root) {
+        this.fileName = fileName;
         this.root = root;
     }
 
@@ -39,8 +39,9 @@
      */
     public static TomlFile read(Path file) {
         try {
-            if (Files.size(file) > LONGEST) {
-                throw new InvalidInputException(file + ": is longer than " + LONGEST + " bytes");
+            if (Files.size(file) > MAX_FILE_BYTES) {
+                throw new InvalidInputException(
+                        file + ": is longer than " + MAX_FILE_BYTES + " bytes");
             }
             return parse(file.toString(), Files.readString(file));
         } catch (NoSuchFileException e) {
@@ -55,35 +56,35 @@
     /**
      * Reads a text.
      *
-     * @param name what faults name it
+     * @param fileName what faults name it
      * @throws InvalidInputException where it is no TOML; of several errors the first is told
      */
-    public static TomlFile parse(String name, String text) {
+    public static TomlFile parse(String fileName, String text) {
         TomlParseResult result = Toml.parse(text);
         if (result.hasErrors()) {
-            TomlParseError e = result.errors().get(0);
+            TomlParseError error = result.errors().get(0);
             throw new InvalidInputException(
-                    positionPrefix(name, e.position())
-                            + e.getMessage().lines().findFirst().orElse("no TOML"));
+                    positionPrefix(fileName, error.position())
+                            + error.getMessage().lines().findFirst().orElse("no TOML"));
         }
-        return new TomlFile(name, result);
+        return new TomlFile(fileName, result);
     }
 
     /**
      * A table at the top of the file; where there is none it is empty, and says that it is absent.
      */
-    public TomlSection getSection(String key) {
-        return asked.computeIfAbsent(
-                key,
+    public TomlSection getSection(String name) {
+        return requestedSections.computeIfAbsent(
+                name,
                 k -> {
                     Object value = root.get(List.of(k));
                     if (value != null && !(value instanceof TomlTable)) {
                         throw new InvalidInputException(
-                                positionPrefix(name, root.inputPositionOf(List.of(k)))
+                                positionPrefix(fileName, root.inputPositionOf(List.of(k)))
                                         + k
                                         + " needs to be a table");
                     }
-                    return new TomlSection(name, k, (TomlTable) value);
+                    return new TomlSection(fileName, k, (TomlTable) value);
                 });
     }
 
@@ -95,18 +96,21 @@
      */
     public void rejectUnknownKeys() {
         for (String key : root.keySet()) {
-            if (!asked.containsKey(key)) {
+            if (!requestedSections.containsKey(key)) {
                 throw new InvalidInputException(
-                        positionPrefix(name, root.inputPositionOf(List.of(key)))
+                        positionPrefix(fileName, root.inputPositionOf(List.of(key)))
                                 + "no such table: "
                                 + key
-                                + SpellingSuggestion.suggestionSuffix(key, asked.keySet()));
+                                + SpellingSuggestion.suggestionSuffix(
+                                        key, requestedSections.keySet()));
             }
         }
-        asked.values().forEach(TomlSection::rejectUnknownKeys);
+        requestedSections.values().forEach(TomlSection::rejectUnknownKeys);
     }
 
-    static String positionPrefix(String name, TomlPosition p) {
-        return p == null ? name + ": " : name + ":" + p.line() + ":" + p.column() + ": ";
+    static String positionPrefix(String fileName, TomlPosition position) {
+        return position == null
+                ? fileName + ": "
+                : fileName + ":" + position.line() + ":" + position.column() + ": ";
     }
 }
--- a/settings/src/main/java/mulleinlever/settings/TomlSection.java
+++ b/settings/src/main/java/mulleinlever/settings/TomlSection.java
@@ -24,7 +24,7 @@
     private static final Pattern DURATION =
             Pattern.compile("(\\d{1,9}(?:\\.\\d{1,3})?) ?(ms|s|m|h|d)");
     private static final Pattern SIZE = Pattern.compile("(\\d{1,9}) ?(B|KiB|MiB|GiB)");
-    private static final Map<String, Long> NS =
+    private static final Map<String, Long> NS_PER_UNIT =
             Map.of(
                     "ms",
                     1_000_000L,
@@ -36,21 +36,21 @@
                     3_600_000_000_000L,
                     "d",
                     86_400_000_000_000L);
-    private static final Map<String, Integer> BITS =
+    private static final Map<String, Integer> SHIFT_BY_UNIT =
             Map.of("B", 0, "KiB", 10, "MiB", 20, "GiB", 30);
 
-    private final String file;
+    private final String fileName;
     private final String path;
 
     /** Null where the table is absent. */
     private final TomlTable table;
 
-    private final Set<String> known = new LinkedHashSet<>();
-    private final Map<String, TomlSection> inner = new LinkedHashMap<>();
-    private final List<TomlSection> listed = new ArrayList<>();
+    private final Set<String> requestedKeys = new LinkedHashSet<>();
+    private final Map<String, TomlSection> subsections = new LinkedHashMap<>();
+    private final List<TomlSection> listedSections = new ArrayList<>();
 
-    TomlSection(String file, String path, TomlTable table) {
-        this.file = file;
+    TomlSection(String fileName, String path, TomlTable table) {
+        this.fileName = fileName;
         this.path = path;
         this.table = table;
     }
@@ -61,24 +61,24 @@
     }
 
     public boolean hasKey(String key) {
-        return value(key) != null;
+        return findValue(key) != null;
     }
 
     /** A text, which must be there. */
     public String getString(String key) {
-        String v = getString(key, null);
-        if (v == null) {
-            throw missing(key);
+        String value = getString(key, null);
+        if (value == null) {
+            throw missingKeyError(key);
         }
-        return v;
+        return value;
     }
 
-    public String getString(String key, String absent) {
-        Object v = value(key);
-        if (v != null && !(v instanceof String)) {
+    public String getString(String key, String defaultValue) {
+        Object value = findValue(key);
+        if (value != null && !(value instanceof String)) {
             throw keyError(key, "needs a text in quotes");
         }
-        return v == null ? absent : (String) v;
+        return value == null ? defaultValue : (String) value;
     }
 
     /** A path, which must be there; relative ones start from the process's folder. */
@@ -91,153 +91,163 @@
     }
 
     /** A span of time such as "250ms", "10s", "5m", "12h" or "3d", in nanoseconds. */
-    public long getDurationNs(String key, String absent, String least, String most) {
-        String v = getString(key, absent);
-        Long ns = v == null ? null : nanoseconds(v);
-        if (ns == null) {
-            throw v == null
-                    ? missing(key)
+    public long getDurationNs(String key, String defaultValue, String min, String max) {
+        String text = getString(key, defaultValue);
+        Long durationNs = text == null ? null : parseDurationNs(text);
+        if (durationNs == null) {
+            throw text == null
+                    ? missingKeyError(key)
                     : keyError(
                             key,
                             "needs a time such as \"250ms\", \"10s\", \"5m\", \"12h\" or \"3d\"");
         }
-        if (ns < nanoseconds(least) || ns > nanoseconds(most)) {
-            throw keyError(key, "needs a time from " + least + " to " + most);
+        if (durationNs < parseDurationNs(min) || durationNs > parseDurationNs(max)) {
+            throw keyError(key, "needs a time from " + min + " to " + max);
         }
-        return ns;
+        return durationNs;
     }
 
-    private static Long nanoseconds(String text) {
-        Matcher m = DURATION.matcher(text);
-        return m.matches()
-                ? (Long) Math.round(Double.parseDouble(m.group(1)) * NS.get(m.group(2)))
+    private static Long parseDurationNs(String text) {
+        Matcher matcher = DURATION.matcher(text);
+        return matcher.matches()
+                ? (Long)
+                        Math.round(
+                                Double.parseDouble(matcher.group(1))
+                                        * NS_PER_UNIT.get(matcher.group(2)))
                 : null;
     }
 
     /** A number of bytes such as "512KiB" or "64MiB". */
-    public long getSizeBytes(String key, String absent, String least, String most) {
-        Long n = bytes(getString(key, absent));
-        if (n == null) {
+    public long getSizeBytes(String key, String defaultValue, String min, String max) {
+        Long sizeBytes = parseSizeBytes(getString(key, defaultValue));
+        if (sizeBytes == null) {
             throw keyError(key, "needs a size such as \"512KiB\" or \"64MiB\"");
         }
-        if (n < bytes(least) || n > bytes(most)) {
-            throw keyError(key, "needs a size from " + least + " to " + most);
+        if (sizeBytes < parseSizeBytes(min) || sizeBytes > parseSizeBytes(max)) {
+            throw keyError(key, "needs a size from " + min + " to " + max);
         }
-        return n;
+        return sizeBytes;
     }
 
-    private static Long bytes(String text) {
-        Matcher m = SIZE.matcher(text);
-        return m.matches() ? (Long) (Long.parseLong(m.group(1)) << BITS.get(m.group(2))) : null;
+    private static Long parseSizeBytes(String text) {
+        Matcher matcher = SIZE.matcher(text);
+        return matcher.matches()
+                ? (Long) (Long.parseLong(matcher.group(1)) << SHIFT_BY_UNIT.get(matcher.group(2)))
+                : null;
     }
 
-    public long getLong(String key, long absent, long least, long most) {
-        Object v = value(key);
-        if (v != null && !(v instanceof Long)) {
+    public long getLong(String key, long defaultValue, long min, long max) {
+        Object value = findValue(key);
+        if (value != null && !(value instanceof Long)) {
             throw keyError(key, "needs a whole number");
         }
-        long n = v == null ? absent : (Long) v;
-        if (n < least || n > most) {
-            throw keyError(key, "needs a whole number from " + least + " to " + most);
+        long number = value == null ? defaultValue : (Long) value;
+        if (number < min || number > max) {
+            throw keyError(key, "needs a whole number from " + min + " to " + max);
         }
-        return n;
+        return number;
     }
 
-    public double getDouble(String key, double absent, double least, double most) {
-        Object v = value(key);
-        if (v != null && !(v instanceof Number)) {
+    public double getDouble(String key, double defaultValue, double min, double max) {
+        Object value = findValue(key);
+        if (value != null && !(value instanceof Number)) {
             throw keyError(key, "needs a number");
         }
-        double x = v == null ? absent : ((Number) v).doubleValue();
-        if (!(x >= least && x <= most)) {
-            throw keyError(key, "needs a number from " + least + " to " + most);
+        double number = value == null ? defaultValue : ((Number) value).doubleValue();
+        if (!(number >= min && number <= max)) {
+            throw keyError(key, "needs a number from " + min + " to " + max);
         }
-        return x;
+        return number;
     }
 
-    public boolean getBoolean(String key, boolean absent) {
-        Object v = value(key);
-        if (v != null && !(v instanceof Boolean)) {
+    public boolean getBoolean(String key, boolean defaultValue) {
+        Object value = findValue(key);
+        if (value != null && !(value instanceof Boolean)) {
             throw keyError(key, "needs true or false");
         }
-        return v == null ? absent : (Boolean) v;
+        return value == null ? defaultValue : (Boolean) value;
     }
 
     /** One of an enum's words, in small letters, with - for _. */
-    public <E extends Enum<E>> E getEnum(String key, Class<E> type, E absent) {
-        String v = getString(key, null);
+    public <E extends Enum<E>> E getEnum(String key, Class<E> type, E defaultValue) {
+        String value = getString(key, null);
         List<String> words = new ArrayList<>();
-        for (E e : type.getEnumConstants()) {
-            String word = e.name().toLowerCase(Locale.ROOT).replace('_', '-');
+        for (E constant : type.getEnumConstants()) {
+            String word = constant.name().toLowerCase(Locale.ROOT).replace('_', '-');
             words.add(word);
-            if (word.equals(v)) {
-                return e;
+            if (word.equals(value)) {
+                return constant;
             }
         }
-        if (v == null && absent != null) {
-            return absent;
+        if (value == null && defaultValue != null) {
+            return defaultValue;
         }
-        throw v == null ? missing(key) : keyError(key, "needs one of " + String.join(", ", words));
+        throw value == null
+                ? missingKeyError(key)
+                : keyError(key, "needs one of " + String.join(", ", words));
     }
 
     /** A table within this one; where there is none it is empty. */
     public TomlSection getSection(String key) {
-        return inner.computeIfAbsent(
+        return subsections.computeIfAbsent(
                 key,
                 k -> {
-                    Object v = value(k);
-                    if (v != null && !(v instanceof TomlTable)) {
+                    Object value = findValue(k);
+                    if (value != null && !(value instanceof TomlTable)) {
                         throw keyError(k, "needs to be a table");
                     }
-                    return new TomlSection(file, path + "." + k, (TomlTable) v);
+                    return new TomlSection(fileName, path + "." + k, (TomlTable) value);
                 });
     }
 
     /** The tables of a list, such as those under [[section.key]]; none where it is absent. */
     @SuppressWarnings("deprecation") // the array's check of its element type
     public List<TomlSection> getSections(String key) {
-        Object v = value(key);
-        if (v == null) {
+        Object value = findValue(key);
+        if (value == null) {
             return List.of();
         }
-        if (!(v instanceof TomlArray array) || !array.containsTables() && !array.isEmpty()) {
+        if (!(value instanceof TomlArray array) || !array.containsTables() && !array.isEmpty()) {
             throw keyError(key, "needs to be a list of tables, [[" + path + "." + key + "]]");
         }
-        List<TomlSection> all = new ArrayList<>();
+        List<TomlSection> sections = new ArrayList<>();
         for (int i = 0; i < array.size(); i++) {
-            all.add(new TomlSection(file, path + "." + key + "[" + i + "]", array.getTable(i)));
+            sections.add(
+                    new TomlSection(fileName, path + "." + key + "[" + i + "]", array.getTable(i)));
         }
-        listed.addAll(all);
-        return all;
+        listedSections.addAll(sections);
+        return sections;
     }
 
     /** The texts of a list; none where it is absent. */
     @SuppressWarnings("deprecation") // the array's check of its element type
     public List<String> getStrings(String key) {
-        Object v = value(key);
-        if (v == null) {
+        Object value = findValue(key);
+        if (value == null) {
             return List.of();
         }
-        if (!(v instanceof TomlArray array) || !array.containsStrings() && !array.isEmpty()) {
+        if (!(value instanceof TomlArray array) || !array.containsStrings() && !array.isEmpty()) {
             throw keyError(key, "needs a list of texts in quotes");
         }
         return array.toList().stream().map(String.class::cast).toList();
     }
 
     /** The fault to throw for a key that is read but does not fit. */
-    public InvalidInputException keyError(String key, String needs) {
-        TomlPosition at =
-                table == null || value(key) == null ? null : table.inputPositionOf(List.of(key));
+    public InvalidInputException keyError(String key, String problem) {
+        TomlPosition position =
+                table == null || findValue(key) == null
+                        ? null
+                        : table.inputPositionOf(List.of(key));
         return new InvalidInputException(
-                TomlFile.positionPrefix(file, at) + path + "." + key + " " + needs);
+                TomlFile.positionPrefix(fileName, position) + path + "." + key + " " + problem);
     }
 
-    private InvalidInputException missing(String key) {
-        return new InvalidInputException(file + ": " + path + "." + key + " is missing");
+    private InvalidInputException missingKeyError(String key) {
+        return new InvalidInputException(fileName + ": " + path + "." + key + " is missing");
     }
 
-    private Object value(String key) {
-        known.add(key);
+    private Object findValue(String key) {
+        requestedKeys.add(key);
         return table == null ? null : table.get(List.of(key));
     }
 
@@ -246,17 +256,17 @@
             return;
         }
         for (String key : table.keySet()) {
-            if (!known.contains(key)) {
+            if (!requestedKeys.contains(key)) {
                 throw new InvalidInputException(
-                        TomlFile.positionPrefix(file, table.inputPositionOf(List.of(key)))
+                        TomlFile.positionPrefix(fileName, table.inputPositionOf(List.of(key)))
                                 + "no such key: "
                                 + path
                                 + "."
                                 + key
-                                + SpellingSuggestion.suggestionSuffix(key, known));
+                                + SpellingSuggestion.suggestionSuffix(key, requestedKeys));
             }
         }
-        inner.values().forEach(TomlSection::rejectUnknownKeys);
-        listed.forEach(TomlSection::rejectUnknownKeys);
+        subsections.values().forEach(TomlSection::rejectUnknownKeys);
+        listedSections.forEach(TomlSection::rejectUnknownKeys);
     }
 }
--- a/settings/src/main/java/mulleinlever/settings/Version.java
+++ b/settings/src/main/java/mulleinlever/settings/Version.java
@@ -11,12 +11,12 @@
     private Version() {}
 
     private static String read() {
-        Properties p = new Properties();
+        Properties properties = new Properties();
         try (InputStream in = Version.class.getResourceAsStream("version.properties")) {
-            p.load(in);
+            properties.load(in);
         } catch (IOException e) {
             return "unknown";
         }
-        return p.getProperty("version", "unknown");
+        return properties.getProperty("version", "unknown");
     }
 }
--- a/settings/src/test/java/mulleinlever/settings/JsonTest.java
+++ b/settings/src/test/java/mulleinlever/settings/JsonTest.java
@@ -12,16 +12,16 @@
 
 /** Generated values, written plainly and read back. */
 class JsonTest {
-    private static final int ROUNDS = 300;
+    private static final int ROUND_COUNT = 300;
 
-    private static String written(Object value) {
+    private static String write(Object value) {
         if (value instanceof Map<?, ?> map) {
-            List<String> all = new ArrayList<>();
-            map.forEach((k, v) -> all.add(written(k) + " : " + written(v)));
-            return "{" + String.join(" ,", all) + "}";
+            List<String> members = new ArrayList<>();
+            map.forEach((k, v) -> members.add(write(k) + " : " + write(v)));
+            return "{" + String.join(" ,", members) + "}";
         }
         if (value instanceof List<?> list) {
-            return "[ " + String.join(",", list.stream().map(JsonTest::written).toList()) + "]";
+            return "[ " + String.join(",", list.stream().map(JsonTest::write).toList()) + "]";
         }
         return value instanceof Json.Literal
                 ? value.toString()
@@ -33,37 +33,37 @@
                         + "\"";
     }
 
-    private static Object generated(SplittableRandom random, int depth) {
-        int n = random.nextInt(4);
+    private static Object generate(SplittableRandom random, int depth) {
+        int choice = random.nextInt(4);
         switch (random.nextInt(depth > 3 ? 2 : 4)) {
             case 0:
-                return new Json.Literal(List.of("1", "-2.5e3", "true", "null").get(n));
+                return new Json.Literal(List.of("1", "-2.5e3", "true", "null").get(choice));
             case 1:
-                return List.of("", "a\\b", "\"", "line\nline").get(n);
+                return List.of("", "a\\b", "\"", "line\nline").get(choice);
             case 2:
-                List<Object> list = new ArrayList<>();
-                while (n-- > 0) {
-                    list.add(generated(random, depth + 1));
+                List<Object> elements = new ArrayList<>();
+                while (choice-- > 0) {
+                    elements.add(generate(random, depth + 1));
                 }
-                return list;
+                return elements;
             default:
-                Map<String, Object> map = new LinkedHashMap<>();
-                while (n-- > 0) {
-                    map.put("k" + n + "\"", generated(random, depth + 1));
+                Map<String, Object> members = new LinkedHashMap<>();
+                while (choice-- > 0) {
+                    members.put("k" + choice + "\"", generate(random, depth + 1));
                 }
-                return map;
+                return members;
         }
     }
 
     @Test
     void parsesGeneratedValuesAndRejectsTruncatedText() {
         SplittableRandom random = new SplittableRandom(3);
-        for (int round = 0; round < ROUNDS; round++) {
-            Object value = List.of(generated(random, 0));
-            String text = written(value);
+        for (int round = 0; round < ROUND_COUNT; round++) {
+            Object value = List.of(generate(random, 0));
+            String text = write(value);
             assertEquals(value, Json.parse(" " + text + "\n"));
-            String part = text.substring(0, random.nextInt(text.length()));
-            assertThrows(InvalidInputException.class, () -> Json.parse(part));
+            String truncated = text.substring(0, random.nextInt(text.length()));
+            assertThrows(InvalidInputException.class, () -> Json.parse(truncated));
         }
         assertThrows(InvalidInputException.class, () -> Json.parse("[".repeat(5000)));
     }
--- a/settings/src/test/java/mulleinlever/settings/TomlTest.java
+++ b/settings/src/test/java/mulleinlever/settings/TomlTest.java
@@ -18,15 +18,15 @@
 class TomlTest {
     @TempDir Path folder;
 
-    private static FeatureSettings of(String text) {
+    private static FeatureSettings parse(String text) {
         return FeatureSettings.fromToml(TomlFile.parse("x.toml", text.replace('|', '\n')));
     }
 
     @Test
     void absentTableDisablesFeatureAndAbsentKeysUseDefaults() {
-        assertNull(of("# nothing").stateSettings());
-        FeatureSettings.StateSettings r =
-                of("[state]|folder = '/var/x'|every = \"1.5s\"").stateSettings();
+        assertNull(parse("# nothing").stateSettings());
+        FeatureSettings.StateSettings settings =
+                parse("[state]|folder = '/var/x'|every = \"1.5s\"").stateSettings();
         assertEquals(
                 new FeatureSettings.StateSettings(
                         Path.of("/var/x"),
@@ -37,7 +37,7 @@
                         500_000_000,
                         300_000_000,
                         500_000),
-                r);
+                settings);
     }
 
     @ParameterizedTest
@@ -60,44 +60,54 @@
                 "[state]|folder = 'x'|folder = 'y', x.toml:3:1: "
             })
     void errorsReportFileLineAndColumn(String text, String message) {
-        InvalidInputException f = assertThrows(InvalidInputException.class, () -> of(text));
-        assertTrue(f.getMessage().startsWith(message), f.getMessage());
-        assertEquals(1, f.getMessage().lines().count());
+        InvalidInputException fault = assertThrows(InvalidInputException.class, () -> parse(text));
+        assertTrue(fault.getMessage().startsWith(message), fault.getMessage());
+        assertEquals(1, fault.getMessage().lines().count());
     }
 
     @Test
     void mergesFilesAndRejectsDuplicateTables() throws IOException {
         Path empty = Files.writeString(folder.resolve("empty.toml"), "");
-        Path one = Files.writeString(folder.resolve("one.toml"), "[state]\nfolder = 'x'\n");
-        Path two = Files.writeString(folder.resolve("two.toml"), "[state]\nfolder = 'y'\n");
+        Path first = Files.writeString(folder.resolve("one.toml"), "[state]\nfolder = 'x'\n");
+        Path second = Files.writeString(folder.resolve("two.toml"), "[state]\nfolder = 'y'\n");
         assertEquals(
-                Path.of("x"), FeatureSettings.read(List.of(empty, one)).stateSettings().folder());
-        InvalidInputException twice =
+                Path.of("x"), FeatureSettings.read(List.of(empty, first)).stateSettings().folder());
+        InvalidInputException duplicate =
                 assertThrows(
                         InvalidInputException.class,
-                        () -> FeatureSettings.read(List.of(one, empty, two)));
-        assertEquals(two + ": the table state stands in " + one + " too", twice.getMessage());
-        Path gone = folder.resolve("gone.toml");
+                        () -> FeatureSettings.read(List.of(first, empty, second)));
         assertEquals(
-                gone + ": there is no such file",
-                assertThrows(InvalidInputException.class, () -> FeatureSettings.read(List.of(gone)))
+                second + ": the table state stands in " + first + " too", duplicate.getMessage());
+        Path missing = folder.resolve("gone.toml");
+        assertEquals(
+                missing + ": there is no such file",
+                assertThrows(
+                                InvalidInputException.class,
+                                () -> FeatureSettings.read(List.of(missing)))
                         .getMessage());
-        Path bytes = Files.write(folder.resolve("bytes.toml"), new byte[] {'a', (byte) 0xff});
+        Path invalidUtf8 = Files.write(folder.resolve("bytes.toml"), new byte[] {'a', (byte) 0xff});
         assertEquals(
-                bytes + ": is not UTF-8",
+                invalidUtf8 + ": is not UTF-8",
                 assertThrows(
                                 InvalidInputException.class,
-                                () -> FeatureSettings.read(List.of(bytes)))
+                                () -> FeatureSettings.read(List.of(invalidUtf8)))
                         .getMessage());
     }
 
     /** The plain meaning of the distance: the cheapest of three first steps, by recursion. */
-    private static int plainly(String a, String b) {
-        if (a.isEmpty() || b.isEmpty()) {
-            return a.length() + b.length();
+    private static int recursiveDistance(String from, String to) {
+        if (from.isEmpty() || to.isEmpty()) {
+            return from.length() + to.length();
         }
-        int kept = plainly(a.substring(1), b.substring(1)) + (a.charAt(0) == b.charAt(0) ? 0 : 1);
-        return Math.min(kept, 1 + Math.min(plainly(a.substring(1), b), plainly(a, b.substring(1))));
+        int substituted =
+                recursiveDistance(from.substring(1), to.substring(1))
+                        + (from.charAt(0) == to.charAt(0) ? 0 : 1);
+        return Math.min(
+                substituted,
+                1
+                        + Math.min(
+                                recursiveDistance(from.substring(1), to),
+                                recursiveDistance(from, to.substring(1))));
     }
 
     @Test
@@ -115,7 +125,7 @@
                                 .toString();
             }
             assertEquals(
-                    plainly(words[0], words[1]),
+                    recursiveDistance(words[0], words[1]),
                     SpellingSuggestion.levenshteinDistance(words[0], words[1]));
         }
     }
