--- a/cli/src/main/java/mulleinlever/cli/DrillCommand.java
+++ b/cli/src/main/java/mulleinlever/cli/DrillCommand.java
@@ -6,12 +6,11 @@
 import mulleinlever.drill.DrillSession;
 import picocli.CommandLine.Command;
 
-/** The decisions alone, on the bench's wire. */
+/** Runs the decision logic alone, driven by the simulator over standard input and output. */
 @Command(
         name = "drill",
         mixinStandardHelpOptions = true,
-        description =
-                "Reads a session of the bench's wire from standard input and prints the answers.")
+        description = "Reads a simulator session from standard input and prints the replies.")
 final class DrillCommand implements Callable<Integer> {
     @Override
     public Integer call() throws IOException {
--- a/cli/src/main/java/mulleinlever/cli/Main.java
+++ b/cli/src/main/java/mulleinlever/cli/Main.java
@@ -16,13 +16,14 @@
 import mulleinlever.sidecar.SidecarServer;
 
 /**
- * Where the program starts. A bare "serve" runs on the class path alone, which holds what the
- * daemon needs; any other line is read by a parser, and may ask for libraries that lie beside the
- * jar but not on that path. There each of them would keep a descriptor open, and the parser alone
- * makes the first answer 0.13 s later and 8 MB more resident, which is dear where a sidecar may
- * have 32 MB.
+ * The entry point of the program. A bare {@code serve} runs with the class path alone, which holds
+ * only the libraries that the sidecar needs. Any other command line is parsed by picocli and may
+ * use further libraries in the folder {@code lib} beside the jar, which {@link Commands} is loaded
+ * with. They are not on the class path, because each of them would keep a file descriptor open in a
+ * sidecar, and the parser alone delays the first response by 0.13 s and takes 8 MB of resident
+ * memory, while a sidecar may be limited to 32 MB.
  *
- * <p>Exit codes: 0 done, 1 a fault of ours, 2 faulty arguments, configuration or input.
+ * <p>Exit codes: 0 success, 1 internal error, 2 invalid arguments, configuration or input.
  */
 public final class Main {
     private static final String COMMANDS_CLASS = "mulleinlever.cli.Commands";
@@ -45,8 +46,8 @@
     }
 
     /**
-     * The one that knows the parser already, as in tests; else a new one over the jar and all
-     * beside it.
+     * Returns a class loader that finds picocli: the one of this class if it does, as in tests,
+     * otherwise a new one over the program's jar and the jars in {@code lib}.
      */
     private static ClassLoader findClassLoader() throws IOException, URISyntaxException {
         ClassLoader ownLoader = Main.class.getClassLoader();
@@ -54,8 +55,8 @@
             return ownLoader;
         }
         Path jar = Path.of(Main.class.getProtectionDomain().getCodeSource().getLocation().toURI());
-        // In the order of their names: which jar a class comes from must not hang on the file
-        // system.
+        // Sorted by name, so that the jar that a class is loaded from does not depend on the order
+        // in which the file system lists them.
         Set<Path> jars = new TreeSet<>(Set.of(jar));
         try (DirectoryStream<Path> libraries =
                 Files.newDirectoryStream(jar.resolveSibling("lib"), "*.jar")) {
--- a/cli/src/main/java/mulleinlever/cli/RootCommand.java
+++ b/cli/src/main/java/mulleinlever/cli/RootCommand.java
@@ -7,12 +7,12 @@
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Spec;
 
-/** What is said without a command: how it is used, and that one is missing. */
+/** The program without a command: reports that one is missing and prints the usage. */
 @Command(
         name = "mulleinlever",
         mixinStandardHelpOptions = true,
         versionProvider = RootCommand.VersionProvider.class,
-        description = "Routes reqs to pods and votes on staged releases.",
+        description = "Routes reqs to pods and votes on staged rollouts.",
         subcommands = {ServeCommand.class, DrillCommand.class, StateCommand.class})
 final class RootCommand implements Runnable {
     @Spec private CommandSpec spec;
@@ -22,7 +22,7 @@
         throw new ParameterException(spec.commandLine(), "a command is missing");
     }
 
-    /** The version that the build gave. */
+    /** Provides the text that {@code --version} prints. */
     static final class VersionProvider implements IVersionProvider {
         @Override
         public String[] getVersion() {
--- a/cli/src/main/java/mulleinlever/cli/ServeCommand.java
+++ b/cli/src/main/java/mulleinlever/cli/ServeCommand.java
@@ -7,18 +7,17 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** One sidecar, until it is told to stop. */
+/** Runs one sidecar until it is terminated. */
 @Command(
         name = "serve",
         mixinStandardHelpOptions = true,
         description =
-                "Runs one sidecar with the configuration that LB_CONFIG names, until SIGTERM.")
+                "Runs one sidecar with the configuration file that LB_CONFIG names, until SIGTERM.")
 final class ServeCommand implements Callable<Integer> {
     @Option(
             names = "--with",
             paramLabel = "FILE",
-            description =
-                    "A TOML file of ours that switches on what is off without it; may be given several times.")
+            description = "A TOML file that enables optional features; may be given several times.")
     private List<Path> settingsFiles = List.of();
 
     @Override
--- a/cli/src/main/java/mulleinlever/cli/StateCommand.java
+++ b/cli/src/main/java/mulleinlever/cli/StateCommand.java
@@ -30,22 +30,29 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** What sidecars keep over a restart: shown, checked, cleared away. */
+/** Shows, checks and prunes the state files that sidecars keep over restarts. */
 @Command(
         name = "state",
         mixinStandardHelpOptions = true,
-        description = "What a sidecar keeps over a restart.",
+        description = "Shows, checks or prunes the state that a sidecar keeps over restarts.",
         subcommands = {StateCommand.Show.class, StateCommand.Check.class, StateCommand.Prune.class})
 final class StateCommand implements Runnable {
+    /** The maximum size of a file to read: the upper bound of the setting {@code most_bytes}. */
     private static final long MAX_FILE_BYTES = 1L << 30;
 
     @Spec private CommandSpec spec;
 
     @Override
     public void run() {
-        throw new ParameterException(spec.commandLine(), "one of show, check and prune is missing");
+        throw new ParameterException(
+                spec.commandLine(), "a subcommand is missing: show, check or prune");
     }
 
+    /**
+     * Reads a state file.
+     *
+     * @param notes receives a message for each part of the file that was left out
+     */
     private static StateSnapshot readFile(Path file, List<String> notes) throws StateFileException {
         Path absoluteFile = file.toAbsolutePath();
         return StateStore.readFile(
@@ -55,25 +62,25 @@
                 notes::add);
     }
 
-    /** A fault's message begins with the file's name alone. */
+    /** Returns a message that starts with a file's bare name, with the file's folder before it. */
     private static String withFolder(Path file, String message) {
         return file.getParent() == null ? message : file.getParent() + "/" + message;
     }
 
-    /** The whole content of one file, for reading or for scripts. */
+    /** Prints the content of a state file as tables or as JSON. */
     @Command(
             name = "show",
             mixinStandardHelpOptions = true,
-            description = "Shows one file, or the newest whole one of a folder.")
+            description = "Shows a state file, or the newest intact one of a folder.")
     static final class Show implements Callable<Integer> {
         @Spec private CommandSpec spec;
 
         @Parameters(
                 paramLabel = "FILE",
-                description = "A file of state, or the folder of a sidecar.")
+                description = "A state file, or the state folder of a sidecar.")
         private Path file;
 
-        @Option(names = "--json", description = "One JSON object instead of tables.")
+        @Option(names = "--json", description = "Prints one JSON object instead of tables.")
         private boolean asJson;
 
         @Override
@@ -86,9 +93,9 @@
                     StateStore.LoadResult loaded =
                             StateStore.readNewest(
                                     new FileSystemDirectory(file), MAX_FILE_BYTES, null);
-                    loaded.skippedFiles().forEach(l -> err.println(file + "/" + l));
+                    loaded.skippedFiles().forEach(line -> err.println(file + "/" + line));
                     if (loaded.snapshot() == null) {
-                        err.println(file + ": no whole file of state");
+                        err.println(file + ": no intact state file");
                         return StateFileException.Kind.UNREADABLE.exitCode;
                     }
                     snapshot = loaded.snapshot();
@@ -130,6 +137,10 @@
                     .toList();
         }
 
+        /**
+         * Formats a snapshot as text. A cell "M of W" holds a mean and the number of outcomes,
+         * after decay, that it stands for.
+         */
         private static String toTables(StateSnapshot snapshot) {
             StateSnapshot.Header header = snapshot.head();
             long ageNs =
@@ -138,22 +149,22 @@
             StringBuilder text = new StringBuilder();
             appendLine(
                     text,
-                    "sidecar %s, zone %s, machine %s, program %s",
+                    "sidecar %s, zone %s, machine %s, version %s",
                     header.instance(),
                     orUnknown(header.zone()),
                     orUnknown(header.machine()),
                     header.writer());
             appendLine(
                     text,
-                    "number %d, captured %s, %s",
+                    "sequence number %d, captured %s, %s",
                     header.sequence(),
                     Instant.ofEpochMilli(header.unixMs()),
                     ageNs == StateDecay.UNKNOWN_AGE_NS
-                            ? "later than now"
+                            ? "in the future"
                             : ageNs / 1_000_000_000L + " s ago");
             appendLine(
                     text,
-                    "build %d stage %d %s, cap %.2f; list %d",
+                    "build %d stage %d %s, exposure cap %.2f; list version %d",
                     snapshot.rolloutStatus().build(),
                     snapshot.rolloutStatus().stage(),
                     snapshot.rolloutStatus().phase(),
@@ -163,11 +174,11 @@
                     learnedValuesOf(snapshot, LearnedState.ConnectionStats.class)) {
                 appendLine(
                         text,
-                        "links refused %s, tries unanswered %s",
+                        "connections refused %s, tries unanswered %s",
                         formatMean(connections.refused()),
                         formatMean(connections.unanswered()));
             }
-            appendLine(text, "%n%-20s %6s %16s %16s", "route", "build", "takes ms", "usually ms");
+            appendLine(text, "%n%-20s %6s %16s %16s", "route", "build", "time ms", "usual time ms");
             for (LearnedState.RouteStats route :
                     learnedValuesOf(snapshot, LearnedState.RouteStats.class)) {
                 appendLine(
@@ -183,7 +194,7 @@
                     "%n%-20s %6s %-16s %8s %10s %8s",
                     "baseline",
                     "build",
-                    "of",
+                    "outcomes",
                     "mean",
                     "deviation",
                     "seconds");
@@ -226,7 +237,7 @@
             }
             appendLine(
                     text,
-                    "%n%d keys that can't go back",
+                    "%n%d one-way keys",
                     learnedValuesOf(snapshot, LearnedState.KeyBuild.class).size());
             return text.toString().stripTrailing();
         }
@@ -253,20 +264,20 @@
         }
     }
 
-    /** Whether files are whole. */
+    /** Checks that state files are intact. */
     @Command(
             name = "check",
             mixinStandardHelpOptions = true,
-            description = "Checks files and tells what is wrong.",
+            description = "Checks state files and reports what is wrong with them.",
             footer = {
                 "",
-                "Exit codes: 0 all are sound, 3 can't be read, 4 no file of state, 5 of a later format,",
-                "6 cut short, 7 corrupt, 8 too long; of several files the first fault's."
+                "Exit codes: 0 all are intact, 3 not readable, 4 not a state file, 5 newer format,",
+                "6 truncated, 7 corrupt, 8 too large; with several faulty files, that of the first."
             })
     static final class Check implements Callable<Integer> {
         @Spec private CommandSpec spec;
 
-        @Parameters(paramLabel = "FILE", arity = "1..*", description = "Files of state.")
+        @Parameters(paramLabel = "FILE", arity = "1..*", description = "State files.")
         private List<Path> files;
 
         @Override
@@ -280,9 +291,9 @@
                             .getOut()
                             .println(
                                     file
-                                            + ": sound, number "
+                                            + ": intact, sequence number "
                                             + snapshot.head().sequence()
-                                            + " of "
+                                            + " of sidecar "
                                             + snapshot.head().instance()
                                             + ", "
                                             + snapshot.pods().size()
@@ -297,27 +308,27 @@
         }
     }
 
-    /** What a sidecar that is gone, or a fault, left behind. */
+    /** Deletes files that an ended sidecar or a crash left behind. */
     @Command(
             name = "prune",
             mixinStandardHelpOptions = true,
             description =
-                    "Deletes what is unfinished or not whole, and all but the newest whole files.")
+                    "Deletes unfinished and damaged files, and all but the newest intact files.")
     static final class Prune implements Callable<Integer> {
         @Spec private CommandSpec spec;
 
         @Parameters(
                 paramLabel = "FOLDER",
-                description = "The folder of a sidecar that does not run.")
+                description = "The state folder of a sidecar that is not running.")
         private Path folder;
 
         @Option(
                 names = "--keep",
                 paramLabel = "N",
-                description = "So many whole files stay (${DEFAULT-VALUE}).")
+                description = "The number of intact files to retain (default: ${DEFAULT-VALUE}).")
         private int retainedFileCount = 1;
 
-        @Option(names = "--dry-run", description = "Only tells what would be deleted.")
+        @Option(names = "--dry-run", description = "Only prints what would be deleted.")
         private boolean dryRun;
 
         @Override
@@ -332,7 +343,7 @@
                 if (lock == null) {
                     spec.commandLine()
                             .getErr()
-                            .println(folder + ": a sidecar that runs holds it; nothing is deleted");
+                            .println(folder + ": in use by a running sidecar; nothing was deleted");
                     return 1;
                 }
                 int intactFileCount = 0;
@@ -340,14 +351,14 @@
                     String reason = StateStore.isTemporaryFile(name) ? "unfinished" : null;
                     if (StateStore.parseSequence(name) >= 0) {
                         try {
-                            StateStore.readFile(directory, name, MAX_FILE_BYTES, l -> {});
+                            StateStore.readFile(directory, name, MAX_FILE_BYTES, note -> {});
                             reason = intactFileCount++ < retainedFileCount ? null : "older";
                         } catch (StateFileException e) {
-                            // What a later program wrote is sound to that one.
+                            // A file of a newer format is intact for the version that wrote it.
                             reason =
                                     e.kind == StateFileException.Kind.UNSUPPORTED_VERSION
                                             ? null
-                                            : "not whole: " + e.getMessage();
+                                            : "not intact: " + e.getMessage();
                         }
                     }
                     if (reason != null) {
--- a/cli/src/test/java/mulleinlever/cli/ArchitectureTest.java
+++ b/cli/src/test/java/mulleinlever/cli/ArchitectureTest.java
@@ -8,12 +8,19 @@
 import com.tngtech.archunit.junit.ArchTest;
 import com.tngtech.archunit.lang.ArchRule;
 
-/** Arrows point down only, and what decides touches nothing outside. */
+/**
+ * Checks the dependencies between modules, and that the decision logic is deterministic. Guards
+ * against decisions that read a clock, a file or a random number of their own, which the simulator
+ * and the tests could not reproduce, and against cycles between modules.
+ */
 @AnalyzeClasses(packages = "mulleinlever", importOptions = ImportOption.DoNotIncludeTests.class)
 class ArchitectureTest {
     private static final String[] JDK_PACKAGES = {"java.lang..", "java.util..", "java.math.."};
 
-    /** Neither files, sockets, threads nor a clock: time and chance are arguments. */
+    /**
+     * The core uses neither files nor sockets nor threads nor clocks. Times and random seeds are
+     * arguments.
+     */
     @ArchTest
     static final ArchRule CORE_DEPENDS_ONLY_ON_JDK =
             classes()
@@ -58,7 +65,7 @@
                             "mulleinlever.cli..",
                             "io.netty..");
 
-    /** What subsystems decide is as pure as what the policy does, wherever it lies. */
+    /** The decision logic outside the core has no side effects either. */
     @ArchTest
     static final ArchRule STATE_LOGIC_DEPENDS_ONLY_ON_CORE =
             classes()
--- a/cli/src/test/java/mulleinlever/cli/MainTest.java
+++ b/cli/src/test/java/mulleinlever/cli/MainTest.java
@@ -16,7 +16,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The command line as a user meets it: a process of its own, its two outputs and its exit code. */
+/**
+ * Runs the program in a process of its own and checks its standard output, standard error and exit
+ * code. Guards against errors on standard output and against changes of command lines in use.
+ */
 class MainTest {
     @TempDir Path folder;
 
--- a/cli/src/test/java/mulleinlever/cli/StateCommandTest.java
+++ b/cli/src/test/java/mulleinlever/cli/StateCommandTest.java
@@ -22,6 +22,10 @@
 import org.junit.jupiter.api.io.TempDir;
 import picocli.CommandLine;
 
+/**
+ * Checks the output and exit codes of the state commands. Guards against a damaged file that is
+ * taken for an intact one, and against pruning files that are intact, foreign or in use.
+ */
 class StateCommandTest {
     private static final long SECOND_NS = 1_000_000_000L;
 
@@ -81,13 +85,13 @@
         for (String part :
                 List.of(
                         "sidecar n3, zone a",
-                        "number 3, captured 20",
+                        "sequence number 3, captured 20",
                         " s ago",
                         "build 42 stage 1 ON_TRIAL",
                         "2.50 of 4.0",
                         "5.0 of 3.0",
                         "10.0.0.1:6543",
-                        "1 keys that can't go back")) {
+                        "1 one-way keys")) {
             assertTrue(stdout.contains(part), part + " in " + stdout);
         }
         assertEquals(0, run("state", "show", "--json", folder.resolve(StateStore.fileName(2))));
@@ -108,7 +112,9 @@
         byte[] bytes = Files.readAllBytes(intact);
         assertEquals(0, run("state", "check", intact, folder.resolve(StateStore.fileName(3))));
         assertTrue(
-                stdout.contains("state-000000000001.mls: sound, number 1 of n3, 1 pods"), stdout);
+                stdout.contains(
+                        "state-000000000001.mls: intact, sequence number 1 of sidecar n3, 1 pods"),
+                stdout);
         assertEquals(3, run("state", "check", folder.resolve("none")));
         assertEquals(
                 4, run("state", "check", Files.writeString(folder.resolve("x"), "hello, world")));
@@ -137,9 +143,9 @@
 
     @Test
     void pruneKeepsNewestIntactFiles() throws Exception {
-        Files.writeString(folder.resolve(StateStore.fileName(4)), "not whole");
+        Files.writeString(folder.resolve(StateStore.fileName(4)), "damaged");
         Files.writeString(folder.resolve(StateStore.fileName(5) + ".tmp"), "unfinished");
-        Files.writeString(folder.resolve("notes.tmp"), "not ours");
+        Files.writeString(folder.resolve("notes.tmp"), "foreign");
         assertEquals(0, run("state", "prune", "--dry-run", folder));
         assertEquals(4, stdout.lines().filter(l -> l.startsWith("would delete state-")).count());
         assertEquals(0, run("state", "prune", "--keep", 2, folder));
@@ -148,7 +154,10 @@
                 new FileSystemDirectory(folder).list());
         try (var lock = new FileSystemDirectory(folder).tryLock(StateStore.LOCK_FILE_NAME)) {
             assertEquals(1, run("state", "prune", folder));
-            assertTrue(stderr.contains("a sidecar that runs holds it") && lock != null, stderr);
+            assertTrue(
+                    stderr.contains("in use by a running sidecar; nothing was deleted")
+                            && lock != null,
+                    stderr);
         }
         assertEquals(1, run("state", "prune", folder.resolve("none")));
         assertEquals(folder.resolve("none") + ": no such file or folder\n", stderr);
@@ -158,7 +167,7 @@
 
     @Test
     void showOfFolderReportsSkippedFiles() throws Exception {
-        Files.writeString(folder.resolve(StateStore.fileName(4)), "not whole");
+        Files.writeString(folder.resolve(StateStore.fileName(4)), "damaged");
         assertEquals(0, run("state", "show", folder));
         assertEquals(folder + "/state-000000000004.mls: at byte 0: not a file of state\n", stderr);
         assertEquals(3, run("state", "show", Files.createDirectory(folder.resolve("empty"))));
--- a/drill/src/main/java/mulleinlever/drill/DrillSession.java
+++ b/drill/src/main/java/mulleinlever/drill/DrillSession.java
@@ -18,20 +18,40 @@
 import mulleinlever.settings.SettingsReader;
 
 /**
- * The bench's wire: what is read becomes calls on the sidecars' policies, their answers become
- * messages.
+ * A session of the simulator's text protocol. It runs the {@link Policy} of any number of sidecars
+ * in virtual time, without sockets: messages read become calls to the policies, and the policies'
+ * actions become messages written.
+ *
+ * <p>Each line holds a message type and fields separated by tabs. A batch starts with TICK, which
+ * carries the time, and ends with END; its replies are written together and end with EOR. An ABOUT
+ * line selects the sidecar that the following messages of the batch concern; an AT line in the
+ * output names the sidecar whose replies follow.
  */
 public final class DrillSession {
+    /** The phases of a rollout by their numbers in the protocol. */
     private static final RolloutStatus.Phase[] PHASES = RolloutStatus.Phase.values();
 
     private final BufferedReader in;
     private final PrintStream out;
+
+    /** The replies to the current batch. */
     private final StringBuilder reply = new StringBuilder();
+
+    /** The policies of the running sidecars by sidecar id. */
     private final Map<String, Policy> policies = new HashMap<>();
+
+    /** The lists of DEFINE_LIST by their reference number. */
     private final Map<Long, List<PodEntry>> podLists = new HashMap<>();
+
     private long lineNumber;
+
+    /** The virtual time of the current batch. */
     private long nowNs;
+
+    /** The sidecar named by the last AT line written in this batch; null before the first. */
     private String replyingSidecarId;
+
+    /** The sidecar named by the last ABOUT line read in this batch; null before the first. */
     private String currentSidecarId;
 
     public DrillSession(InputStream in, PrintStream out) {
@@ -39,7 +59,11 @@
         this.out = out;
     }
 
-    /** Serves batches until the input ends between two of them. */
+    /**
+     * Processes batches until the end of the input.
+     *
+     * @throws DrillInputException if the input is invalid or ends within a batch
+     */
     public void run() throws IOException {
         for (WireLine line = readLine(); line != null; line = readLine()) {
             if (line.messageType.isEmpty()) {
@@ -63,7 +87,7 @@
         }
     }
 
-    /** The answers of one sidecar go under its name. */
+    /** Returns the buffer for replies of a sidecar, after an AT line if the sidecar changes. */
     StringBuilder outputFor(String sidecarId) {
         if (!sidecarId.equals(replyingSidecarId)) {
             reply.append("AT\tsidecarId=").append(sidecarId).append('\n');
@@ -72,12 +96,14 @@
         return reply;
     }
 
+    /** Returns the next line, or null at the end of the input. */
     private WireLine readLine() throws IOException {
         String text = in.readLine();
         lineNumber++;
         return text == null ? null : new WireLine(lineNumber, text);
     }
 
+    /** Returns the next line of a batch, which must not be the end of the input. */
     private WireLine readBatchLine() throws IOException {
         WireLine line = readLine();
         if (line == null) {
@@ -114,6 +140,10 @@
         }
     }
 
+    /**
+     * Handles a message to the current sidecar. An internal error is reported to the simulator by a
+     * BROKEN message, and the session continues.
+     */
     private void handleSidecarMessage(WireLine line) {
         try {
             if (line.messageType.equals("POWER_ON")) {
@@ -126,7 +156,7 @@
             }
             Policy policy = policies.get(currentSidecarId);
             if (policy == null) {
-                throw line.lineError("needs a sidecar that was started: " + currentSidecarId);
+                throw line.lineError("names a sidecar that was not started: " + currentSidecarId);
             }
             callPolicy(policy, line);
         } catch (DrillInputException e) {
@@ -158,7 +188,7 @@
             case "HEAD_RECEIVED" -> policy.onStreamStarted(nowNs, line.getString("ticket"));
             case "PROMOTION" -> updateRolloutStatus(policy, line);
             case "CLIENT_GONE" -> policy.onClientDisconnected(nowNs, line.getString("ticket"));
-            // The module asks for no probes and no peers' messages.
+            // Policies neither send probes nor exchange messages with other sidecars.
             case "ECHO", "PEER_DATA" -> {}
             case "PLATFORM_SAW" ->
                     policy.onPlatformTally(
@@ -173,6 +203,7 @@
             case "DETACH" -> policies.remove(currentSidecarId);
             case "DISPUTED" ->
                     policy.onComplaint(nowNs, line.getString("pod"), line.getString("cls"));
+            // REPORT_BACK
             default ->
                     policy.onTryEnded(
                             nowNs,
@@ -184,6 +215,7 @@
         }
     }
 
+    /** Reads the entries of a pod list, one M line each, and stores the list. */
     private void definePodList(WireLine header) throws IOException {
         int entryCount = header.getInt("members");
         List<PodEntry> entries = new ArrayList<>();
@@ -221,7 +253,7 @@
         }
         List<PodEntry> entries = podLists.get(line.getLong("ref"));
         if (entries == null) {
-            throw line.lineError("needs a list that was defined: " + line.getString("ref"));
+            throw line.lineError("names a list that was not defined: " + line.getString("ref"));
         }
         switch (kind) {
             case "delta" -> policy.onPodListUpdated(nowNs, entries);
@@ -230,6 +262,10 @@
         }
     }
 
+    /**
+     * Passes on a PROMOTION message: the reply to a vote if the field {@code how} is 1, and the
+     * rollout status unless the platform's call failed.
+     */
     private void updateRolloutStatus(Policy policy, WireLine line) {
         boolean succeeded = line.getString("ending", "ok").equals("ok");
         if (line.getLong("how", 0) == 1) {
@@ -251,6 +287,7 @@
         }
     }
 
+    /** Returns the name of a req's tenant, or null if it has none, written as 0. */
     private static String findTenant(WireLine line) {
         String name = line.getString("owner", "0");
         return name.equals("0") ? null : name;
--- a/drill/src/main/java/mulleinlever/drill/WireLine.java
+++ b/drill/src/main/java/mulleinlever/drill/WireLine.java
@@ -2,7 +2,7 @@
 
 import mulleinlever.settings.FieldReader;
 
-/** One line of the wire: its message and the fields behind it. */
+/** One line of the simulator's protocol: a message type and {@code name=value} fields. */
 final class WireLine extends FieldReader {
     final long lineNumber;
     final String messageType;
@@ -14,6 +14,7 @@
         this.messageType = tokens[0];
     }
 
+    /** Returns the exception to throw if the message as a whole is invalid. */
     DrillInputException lineError(String expected) {
         return new DrillInputException(lineNumber, messageType + " " + expected);
     }
--- a/drill/src/main/java/mulleinlever/drill/WirePolicyActions.java
+++ b/drill/src/main/java/mulleinlever/drill/WirePolicyActions.java
@@ -3,7 +3,7 @@
 import mulleinlever.PolicyActions;
 import mulleinlever.RolloutVote;
 
-/** One sidecar's answers, as messages of the wire. */
+/** Writes the actions of one sidecar's policy as messages of the simulator's protocol. */
 final class WirePolicyActions implements PolicyActions {
     private final DrillSession session;
     private final String sidecarId;
@@ -77,6 +77,7 @@
         output().append("PRINT\tnoteText=").append(toSingleLine(message)).append('\n');
     }
 
+    /** Returns a text with tabs and line breaks, which separate fields and messages, as spaces. */
     static String toSingleLine(String text) {
         return text.replaceAll("[\\t\\r\\n]+", " ");
     }
--- a/drill/src/test/java/mulleinlever/drill/DrillTest.java
+++ b/drill/src/test/java/mulleinlever/drill/DrillTest.java
@@ -13,7 +13,12 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
+/**
+ * Checks the replies of a session and the messages for invalid input. Guards against input that is
+ * skipped silently and against errors that do not name the line.
+ */
 class DrillTest {
+    /** Runs a session and returns its output; spaces in the input stand for tabs. */
     private static String runSession(String input) throws IOException {
         var out = new ByteArrayOutputStream();
         var in =
@@ -37,9 +42,9 @@
         "TICK timeNs=1 frame=1, line 2: expected END",
         "TICK timeNs=1 frame=1|HELLO, line 2: no such message: HELLO",
         "TICK timeNs=1 frame=1|ELAPSED nonce=a, line 2: ELAPSED needs an ABOUT line before it",
-        "TICK timeNs=1 frame=1|ABOUT sidecarId=s|ELAPSED nonce=a, line 3: ELAPSED needs a sidecar",
+        "TICK timeNs=1 frame=1|ABOUT sidecarId=s|ELAPSED nonce=a, line 3: ELAPSED names a sidecar that was not started: s",
         "TICK timeNs=1 frame=1|DEFINE_LIST ref=0 members=2|M pod=a state=ready|END, line 4: expected entry 2",
-        "TICK timeNs=1 frame=1|DEFINE_LIST ref=0 members=1|M pod=a state=odd, line 3: M needs a known word"
+        "TICK timeNs=1 frame=1|DEFINE_LIST ref=0 members=1|M pod=a state=odd, line 3: M needs a known value in state"
     })
     void invalidInputReportsLineNumber(String input, String message) {
         var e = assertThrows(DrillInputException.class, () -> runSession(input.replace('|', '\n')));
--- a/settings/src/main/java/mulleinlever/settings/FeatureSettings.java
+++ b/settings/src/main/java/mulleinlever/settings/FeatureSettings.java
@@ -6,26 +6,33 @@
 import java.util.Map;
 
 /**
- * What is switched on beside the platform's own settings, from TOML files of ours: read, checked
- * and given defaults here and nowhere else. Times are nanoseconds.
+ * The settings of optional features, read from this project's own TOML files, apart from the
+ * platform's configuration. This class is the only place that defines their keys, bounds and
+ * defaults.
+ *
+ * @param stateSettings the settings of the state kept over restarts; null if that is disabled
  */
 public record FeatureSettings(StateSettings stateSettings) {
-    /** Nothing is switched on. */
+    /** The settings with every feature disabled. */
     public static final FeatureSettings NONE = new FeatureSettings(null);
 
     private static final String STATE_TABLE = "state";
 
     /**
-     * What is kept over a restart, and how: null where nothing is.
+     * The settings of the state that a sidecar keeps over restarts: the table {@code state}.
      *
-     * @param folder where the files lie; one sidecar's own
-     * @param captureIntervalNs from one capture to the next
-     * @param jitterRatio the part by which that varies, so that many sidecars do not write at once
-     * @param retainedFileCount how many files stay
-     * @param maxFileBytes the longest file that is read or written
-     * @param readTimeoutNs after so long the start goes on without
-     * @param finalWriteTimeoutNs how long the last write may hold up the end of the process
-     * @param maxCaptureSliceNs the longest that a capture holds the event loop at a time
+     * @param folder the folder of the state files, used by a single sidecar
+     * @param captureIntervalNs the mean time between two snapshots, in nanoseconds
+     * @param jitterRatio the ratio by which the interval varies at random, so that many sidecars do
+     *     not write at the same time
+     * @param retainedFileCount the number of files to retain
+     * @param maxFileBytes the maximum size of a file that is read or written
+     * @param readTimeoutNs the time after which start-up continues without the stored state, in
+     *     nanoseconds
+     * @param finalWriteTimeoutNs the maximum time for which the last write delays the end of the
+     *     process, in nanoseconds
+     * @param maxCaptureSliceNs the maximum time for which one slice of a capture occupies the event
+     *     loop, in nanoseconds
      */
     public record StateSettings(
             Path folder,
@@ -38,9 +45,10 @@
             long maxCaptureSliceNs) {}
 
     /**
-     * Reads the files in the order given; each table may stand in one of them.
+     * Reads the settings from several files. Each table may be present in only one of them.
      *
-     * @throws InvalidInputException naming file, line and column
+     * @throws InvalidInputException if a file can't be read, has an unknown table or key or an
+     *     invalid value, or repeats a table of an earlier file
      */
     public static FeatureSettings read(List<Path> files) {
         FeatureSettings merged = NONE;
@@ -51,12 +59,7 @@
                 Path earlierFile = fileByTable.put(STATE_TABLE, file);
                 if (earlierFile != null) {
                     throw new InvalidInputException(
-                            file
-                                    + ": the table "
-                                    + STATE_TABLE
-                                    + " stands in "
-                                    + earlierFile
-                                    + " too");
+                            file + ": the table " + STATE_TABLE + " is also in " + earlierFile);
                 }
                 merged = settings;
             }
@@ -64,7 +67,11 @@
         return merged;
     }
 
-    /** What one file holds. */
+    /**
+     * Returns the settings in one file.
+     *
+     * @throws InvalidInputException if the file has an unknown table or key, or an invalid value
+     */
     public static FeatureSettings fromToml(TomlFile file) {
         TomlSection section = file.getSection(STATE_TABLE);
         StateSettings state = section.isPresent() ? readStateSettings(section) : null;
--- a/settings/src/main/java/mulleinlever/settings/FieldReader.java
+++ b/settings/src/main/java/mulleinlever/settings/FieldReader.java
@@ -4,15 +4,22 @@
 import java.util.Locale;
 
 /**
- * Named fields, read on demand: those of one line of the wire, or of one object of a configuration.
+ * Typed access to named text fields. The fields are those of one line of the simulator's wire or of
+ * one JSON object. A getter throws {@link #fieldError} if a required field is missing or a value is
+ * invalid; getters with a default value return it if the field is missing.
  */
 public abstract class FieldReader {
     /**
-     * The field's text, or null where there is none; lists of plain values are joined by commas.
+     * Returns the text of a field, or null if it is missing. A list of plain values is returned as
+     * its elements joined by commas.
      */
     protected abstract String findValue(String name);
 
-    /** The fault to throw: which field, and what it needs to hold; null where it is missing. */
+    /**
+     * Returns the exception to throw for an invalid field.
+     *
+     * @param expected a description of the valid values; null if the field is missing
+     */
     public abstract RuntimeException fieldError(String name, String expected);
 
     public final boolean hasField(String name) {
@@ -32,6 +39,10 @@
         return value == null ? defaultValue : value;
     }
 
+    /**
+     * Returns a required whole number. A decimal fraction of zero and an exponent behind a decimal
+     * point are accepted, such as 5.0 and 1.5e3.
+     */
     public final long getLong(String name) {
         return parseLong(name, getString(name));
     }
@@ -41,10 +52,11 @@
         return value == null ? defaultValue : parseLong(name, value);
     }
 
+    /** Returns a required whole number in the range of an {@code int}. */
     public final int getInt(String name) {
         long value = getLong(name);
         if (value < Integer.MIN_VALUE || value > Integer.MAX_VALUE) {
-            throw fieldError(name, "a smaller number");
+            throw fieldError(name, "a 32-bit integer");
         }
         return (int) value;
     }
@@ -54,6 +66,11 @@
         return value == null ? defaultValue : parseDouble(name, value);
     }
 
+    /**
+     * Parses a value of a field, such as an element of a list. Infinities are accepted, NaN is not.
+     *
+     * @param name the field's name for the error message
+     */
     public final double parseDouble(String name, String value) {
         try {
             double number = Double.parseDouble(value);
@@ -66,6 +83,7 @@
         throw fieldError(name, "a number");
     }
 
+    /** Returns a flag written as 1, 0, true or false. */
     public final boolean getBoolean(String name, boolean defaultValue) {
         String value = findValue(name);
         if (value == null) {
@@ -78,12 +96,13 @@
         };
     }
 
+    /** Returns the constant of a required field that holds its name in any letter case. */
     public final <E extends Enum<E>> E getEnum(String name, Class<E> type) {
         String value = getString(name);
         try {
             return Enum.valueOf(type, value.toUpperCase(Locale.ROOT));
         } catch (IllegalArgumentException e) {
-            throw fieldError(name, "a known word");
+            throw fieldError(name, "a known value");
         }
     }
 
--- a/settings/src/main/java/mulleinlever/settings/Json.java
+++ b/settings/src/main/java/mulleinlever/settings/Json.java
@@ -5,9 +5,13 @@
 import java.util.List;
 import java.util.Map;
 
-/** Reads JSON: objects become maps, arrays lists, strings strings, all else a {@link Literal}. */
+/**
+ * A JSON parser. Objects become {@link Map}s in the order of their members, arrays become {@link
+ * List}s, strings become {@link String}s, and all other values become {@link Literal}s. Of members
+ * with equal names the last one counts. An instance parses one text and is not shared.
+ */
 public final class Json {
-    /** A number, true, false or null, as it was written. */
+    /** A number, true, false or null, with the text that it was written as. */
     public record Literal(String text) {
         @Override
         public String toString() {
@@ -15,22 +19,29 @@
         }
     }
 
-    /** Against input made to exhaust the stack. */
+    /** The maximum nesting depth, so that hostile input can't exhaust the stack. */
     private static final int MAX_DEPTH = 40;
 
     private final String input;
+
+    /** The index of the next character to read. */
     private int position;
 
     private Json(String input) {
         this.input = input;
     }
 
+    /**
+     * Parses a text that holds one JSON value.
+     *
+     * @throws InvalidInputException if the text is not valid JSON or is nested too deeply
+     */
     public static Object parse(String text) {
         Json parser = new Json(text);
         Object value = parser.parseValue(0);
         parser.skipWhitespace();
         if (parser.position < text.length()) {
-            throw parser.syntaxError("the end");
+            throw parser.syntaxError("the end of the text");
         }
         return value;
     }
@@ -38,7 +49,7 @@
     private Object parseValue(int depth) {
         skipWhitespace();
         if (depth > MAX_DEPTH) {
-            throw syntaxError("fewer levels");
+            throw syntaxError("fewer nested levels");
         }
         return switch (peek()) {
             case '{' -> parseObject(depth);
@@ -57,7 +68,7 @@
         do {
             skipWhitespace();
             if (peek() != '"') {
-                throw syntaxError("a name");
+                throw syntaxError("a member name in quotes");
             }
             String name = parseString();
             if (!consumeIfNext(':')) {
@@ -127,7 +138,7 @@
                 }
             }
             case '"', '\\', '/' -> peek();
-            default -> throw syntaxError("a known escape");
+            default -> throw syntaxError("a valid escape sequence");
         };
     }
 
@@ -146,7 +157,7 @@
 
     private char peek() {
         if (position >= input.length()) {
-            throw syntaxError("more");
+            throw syntaxError("more text");
         }
         return input.charAt(position);
     }
--- a/settings/src/main/java/mulleinlever/settings/JsonFieldReader.java
+++ b/settings/src/main/java/mulleinlever/settings/JsonFieldReader.java
@@ -5,19 +5,24 @@
 import java.util.stream.Collectors;
 
 /**
- * The fields of a JSON object, those of objects within it under their path; a fault names the whole
- * path.
+ * Reads the fields of a JSON value parsed by {@link Json}. A field is named by a path of member
+ * names and list indexes separated by dots, such as {@code grades.0.name}; the path of a list
+ * followed by {@code .count} is the number of its elements. Error messages name the full path.
  */
 public final class JsonFieldReader extends FieldReader {
     private final String pathPrefix;
     private final Object root;
 
+    /**
+     * @param pathPrefix the text put before each path in error messages
+     * @param root the value that paths start from
+     */
     public JsonFieldReader(String pathPrefix, Object root) {
         this.pathPrefix = pathPrefix;
         this.root = root;
     }
 
-    /** The object at a path within this one. */
+    /** Returns a reader for the object at a path. */
     public JsonFieldReader getObject(String path) {
         if (!(resolve(path) instanceof Map)) {
             throw fieldError(path, "an object");
@@ -25,7 +30,7 @@
         return new JsonFieldReader(pathPrefix + path + ".", resolve(path));
     }
 
-    /** The objects of the list at a path. */
+    /** Returns a reader for each element of the list at a path. */
     public List<JsonFieldReader> getObjects(String path) {
         if (!(resolve(path) instanceof List<?> list)) {
             throw fieldError(path, "a list");
@@ -52,6 +57,7 @@
                 : value.toString();
     }
 
+    /** Returns the value at a path, or null if there is none. */
     private Object resolve(String path) {
         Object value = root;
         for (String key : path.split("\\.")) {
--- a/settings/src/main/java/mulleinlever/settings/SettingsReader.java
+++ b/settings/src/main/java/mulleinlever/settings/SettingsReader.java
@@ -14,10 +14,17 @@
 import mulleinlever.Settings.TenantSettings;
 import mulleinlever.Settings.VoteControl;
 
-/** Reads the settings of a sidecar: from a start line of the wire, or from a configuration. */
+/**
+ * Reads the {@link Settings} of a sidecar from a POWER_ON line of the simulator's wire or from the
+ * JSON configuration. Both use the same field names.
+ */
 public final class SettingsReader {
     private SettingsReader() {}
 
+    /**
+     * Returns the settings. An invalid or missing field raises the exception of {@link
+     * FieldReader#fieldError}.
+     */
     public static Settings read(FieldReader reader) {
         List<RouteSettings> routes = new ArrayList<>();
         for (int i = 0; i < reader.getInt("grades.count"); i++) {
@@ -86,6 +93,7 @@
                 !reader.getString("weights", "off").equals("off"));
     }
 
+    /** Reads the route whose fields start with a prefix, such as {@code grades.0.}. */
     private static RouteSettings readRoute(FieldReader reader, String prefix) {
         RetrySafety retrySafety =
                 switch (reader.getString(prefix + "repeat")) {
@@ -138,6 +146,7 @@
                 reader.getDouble(prefix + "damagePrice", 0));
     }
 
+    /** Reads a required list of numbers. */
     private static List<Double> readNumbers(FieldReader reader, String name) {
         List<Double> numbers = new ArrayList<>();
         for (String value : reader.getString(name).split(",")) {
--- a/settings/src/main/java/mulleinlever/settings/SpellingSuggestion.java
+++ b/settings/src/main/java/mulleinlever/settings/SpellingSuggestion.java
@@ -4,11 +4,15 @@
 import java.util.Comparator;
 import java.util.stream.IntStream;
 
-/** The known name that a misspelt one was most likely meant to be. */
+/** Suggests the known name that is closest to a misspelled one, for error messages. */
 final class SpellingSuggestion {
     private SpellingSuggestion() {}
 
-    /** Words to put behind a fault; none where nothing known is near. */
+    /**
+     * Returns the text to append to an error message, such as "; did you mean every?". It is empty
+     * if every known name differs by more than two letters and by more than a third of the
+     * misspelled name. Of equally close names the first in alphabetical order is suggested.
+     */
     static String suggestionSuffix(String misspelled, Collection<String> known) {
         return known.stream()
                 .filter(
@@ -22,7 +26,10 @@
                 .orElse("");
     }
 
-    /** How many letters are to be put in, taken out or exchanged (Levenshtein's distance). */
+    /**
+     * Returns the Levenshtein distance: the minimum number of letters to insert, delete or replace
+     * to turn one text into the other.
+     */
     static int levenshteinDistance(String from, String to) {
         int[] distances = IntStream.rangeClosed(0, to.length()).toArray();
         for (int i = 1; i <= from.length(); i++) {
--- a/settings/src/main/java/mulleinlever/settings/TomlFile.java
+++ b/settings/src/main/java/mulleinlever/settings/TomlFile.java
@@ -15,12 +15,16 @@
 import org.tomlj.TomlTable;
 
 /**
- * One file of ours, in TOML. Its tables are asked for by name and their keys by type; what was
- * never asked for is a fault, since a misspelt key would else pass for its default. Every fault is
- * one line that names file, line and column.
+ * A settings file of this project in TOML. Callers get tables by name and values by key and type,
+ * and finally call {@link #rejectUnknownKeys}: a key that was never read is an error, since a
+ * misspelled key would otherwise silently leave its setting at the default. The message of each
+ * error is a single line with the file and, where known, line and column.
  */
 public final class TomlFile {
-    /** No honest file of settings is longer; the parser would hold several times as much. */
+    /**
+     * The maximum size of a file. Real settings files are far smaller, and the parser needs several
+     * times the file's size in memory.
+     */
     private static final long MAX_FILE_BYTES = 1 << 20;
 
     private final String fileName;
@@ -33,9 +37,9 @@
     }
 
     /**
-     * Reads a file whole.
+     * Reads and parses a file.
      *
-     * @throws InvalidInputException where it can't be read or is no TOML
+     * @throws InvalidInputException if the file can't be read, is too long or is not valid TOML
      */
     public static TomlFile read(Path file) {
         try {
@@ -45,7 +49,7 @@
             }
             return parse(file.toString(), Files.readString(file));
         } catch (NoSuchFileException e) {
-            throw new InvalidInputException(file + ": there is no such file");
+            throw new InvalidInputException(file + ": no such file");
         } catch (MalformedInputException e) {
             throw new InvalidInputException(file + ": is not UTF-8");
         } catch (IOException e) {
@@ -54,10 +58,11 @@
     }
 
     /**
-     * Reads a text.
+     * Parses a text.
      *
-     * @param fileName what faults name it
-     * @throws InvalidInputException where it is no TOML; of several errors the first is told
+     * @param fileName the file's name for error messages
+     * @throws InvalidInputException if the text is not valid TOML; the message holds the first
+     *     error
      */
     public static TomlFile parse(String fileName, String text) {
         TomlParseResult result = Toml.parse(text);
@@ -65,13 +70,16 @@
             TomlParseError error = result.errors().get(0);
             throw new InvalidInputException(
                     positionPrefix(fileName, error.position())
-                            + error.getMessage().lines().findFirst().orElse("no TOML"));
+                            + error.getMessage().lines().findFirst().orElse("not valid TOML"));
         }
         return new TomlFile(fileName, result);
     }
 
     /**
-     * A table at the top of the file; where there is none it is empty, and says that it is absent.
+     * Returns a top-level table. If the file does not have it, the section is empty and {@link
+     * TomlSection#isPresent} returns false.
+     *
+     * @throws InvalidInputException if the name is that of a plain value
      */
     public TomlSection getSection(String name) {
         return requestedSections.computeIfAbsent(
@@ -89,10 +97,11 @@
     }
 
     /**
-     * To be called when all was asked for.
+     * Checks that the file has no other tables and keys than those that were read. To be called
+     * after the last read.
      *
-     * @throws InvalidInputException at the first key that nothing asked for, with the nearest that
-     *     something did
+     * @throws InvalidInputException for the first table or key that was not read; the message
+     *     suggests the closest known name
      */
     public void rejectUnknownKeys() {
         for (String key : root.keySet()) {
@@ -108,6 +117,11 @@
         requestedSections.values().forEach(TomlSection::rejectUnknownKeys);
     }
 
+    /**
+     * Returns the start of an error message, such as "state.toml:6:1: ".
+     *
+     * @param position the position in the file; null if it is not known
+     */
     static String positionPrefix(String fileName, TomlPosition position) {
         return position == null
                 ? fileName + ": "
--- a/settings/src/main/java/mulleinlever/settings/TomlSection.java
+++ b/settings/src/main/java/mulleinlever/settings/TomlSection.java
@@ -16,9 +16,9 @@
 import org.tomlj.TomlTable;
 
 /**
- * A table of a {@link TomlFile}. Each getter names the key, what stands in for it where it is
- * absent, and its bounds; a value of another type or beyond its bounds is a {@link
- * InvalidInputException} with file, line and column.
+ * A table of a {@link TomlFile}. A getter takes the key, the default value for an absent key, and
+ * the inclusive bounds. It throws an {@link InvalidInputException} with file, line and column if
+ * the value has another type or is out of bounds, or if a required key is absent.
  */
 public final class TomlSection {
     private static final Pattern DURATION =
@@ -36,13 +36,17 @@
                     3_600_000_000_000L,
                     "d",
                     86_400_000_000_000L);
+
+    /** The binary logarithm of each unit's number of bytes. */
     private static final Map<String, Integer> SHIFT_BY_UNIT =
             Map.of("B", 0, "KiB", 10, "MiB", 20, "GiB", 30);
 
     private final String fileName;
+
+    /** The name of the table with those of the tables around it, such as {@code state}. */
     private final String path;
 
-    /** Null where the table is absent. */
+    /** The parsed table; null if the file does not have it. */
     private final TomlTable table;
 
     private final Set<String> requestedKeys = new LinkedHashSet<>();
@@ -55,7 +59,7 @@
         this.table = table;
     }
 
-    /** Whether the file has this table, be it empty. */
+    /** Returns whether the file has this table; an empty table is present. */
     public boolean isPresent() {
         return table != null;
     }
@@ -64,7 +68,7 @@
         return findValue(key) != null;
     }
 
-    /** A text, which must be there. */
+    /** Returns a required string. */
     public String getString(String key) {
         String value = getString(key, null);
         if (value == null) {
@@ -76,12 +80,15 @@
     public String getString(String key, String defaultValue) {
         Object value = findValue(key);
         if (value != null && !(value instanceof String)) {
-            throw keyError(key, "needs a text in quotes");
+            throw keyError(key, "needs a quoted string");
         }
         return value == null ? defaultValue : (String) value;
     }
 
-    /** A path, which must be there; relative ones start from the process's folder. */
+    /**
+     * Returns a required path. A relative path is resolved against the working directory of the
+     * process.
+     */
     public Path getPath(String key) {
         try {
             return Path.of(getString(key));
@@ -90,7 +97,11 @@
         }
     }
 
-    /** A span of time such as "250ms", "10s", "5m", "12h" or "3d", in nanoseconds. */
+    /**
+     * Returns a duration in nanoseconds, written as "250ms", "10s", "5m", "12h" or "3d".
+     *
+     * @param defaultValue the default in the same notation; null if the key is required
+     */
     public long getDurationNs(String key, String defaultValue, String min, String max) {
         String text = getString(key, defaultValue);
         Long durationNs = text == null ? null : parseDurationNs(text);
@@ -99,14 +110,16 @@
                     ? missingKeyError(key)
                     : keyError(
                             key,
-                            "needs a time such as \"250ms\", \"10s\", \"5m\", \"12h\" or \"3d\"");
+                            "needs a duration such as \"250ms\", \"10s\", \"5m\", \"12h\""
+                                    + " or \"3d\"");
         }
         if (durationNs < parseDurationNs(min) || durationNs > parseDurationNs(max)) {
-            throw keyError(key, "needs a time from " + min + " to " + max);
+            throw keyError(key, "needs a duration from " + min + " to " + max);
         }
         return durationNs;
     }
 
+    /** Returns the duration in nanoseconds, or null if the text is not a duration. */
     private static Long parseDurationNs(String text) {
         Matcher matcher = DURATION.matcher(text);
         return matcher.matches()
@@ -117,7 +130,11 @@
                 : null;
     }
 
-    /** A number of bytes such as "512KiB" or "64MiB". */
+    /**
+     * Returns a number of bytes, written as "512KiB" or "64MiB".
+     *
+     * @param defaultValue the default in the same notation, not null
+     */
     public long getSizeBytes(String key, String defaultValue, String min, String max) {
         Long sizeBytes = parseSizeBytes(getString(key, defaultValue));
         if (sizeBytes == null) {
@@ -129,6 +146,7 @@
         return sizeBytes;
     }
 
+    /** Returns the number of bytes, or null if the text is not a size. */
     private static Long parseSizeBytes(String text) {
         Matcher matcher = SIZE.matcher(text);
         return matcher.matches()
@@ -168,7 +186,11 @@
         return value == null ? defaultValue : (Boolean) value;
     }
 
-    /** One of an enum's words, in small letters, with - for _. */
+    /**
+     * Returns an enum constant, written in lower case with hyphens for underscores.
+     *
+     * @param defaultValue the default; null if the key is required
+     */
     public <E extends Enum<E>> E getEnum(String key, Class<E> type, E defaultValue) {
         String value = getString(key, null);
         List<String> words = new ArrayList<>();
@@ -187,7 +209,10 @@
                 : keyError(key, "needs one of " + String.join(", ", words));
     }
 
-    /** A table within this one; where there is none it is empty. */
+    /**
+     * Returns a nested table. If there is none, the section is empty and {@link #isPresent} returns
+     * false.
+     */
     public TomlSection getSection(String key) {
         return subsections.computeIfAbsent(
                 key,
@@ -200,8 +225,11 @@
                 });
     }
 
-    /** The tables of a list, such as those under [[section.key]]; none where it is absent. */
-    @SuppressWarnings("deprecation") // the array's check of its element type
+    /**
+     * Returns the tables of an array of tables, written as {@code [[section.key]]}; an empty list
+     * if the key is absent.
+     */
+    @SuppressWarnings("deprecation") // containsTables()
     public List<TomlSection> getSections(String key) {
         Object value = findValue(key);
         if (value == null) {
@@ -219,20 +247,24 @@
         return sections;
     }
 
-    /** The texts of a list; none where it is absent. */
-    @SuppressWarnings("deprecation") // the array's check of its element type
+    /** Returns the strings of an array; an empty list if the key is absent. */
+    @SuppressWarnings("deprecation") // containsStrings()
     public List<String> getStrings(String key) {
         Object value = findValue(key);
         if (value == null) {
             return List.of();
         }
         if (!(value instanceof TomlArray array) || !array.containsStrings() && !array.isEmpty()) {
-            throw keyError(key, "needs a list of texts in quotes");
+            throw keyError(key, "needs a list of quoted strings");
         }
         return array.toList().stream().map(String.class::cast).toList();
     }
 
-    /** The fault to throw for a key that is read but does not fit. */
+    /**
+     * Returns the exception to throw for a key with an invalid value.
+     *
+     * @param problem the text that follows the key in the message, such as "needs a path"
+     */
     public InvalidInputException keyError(String key, String problem) {
         TomlPosition position =
                 table == null || findValue(key) == null
@@ -246,11 +278,17 @@
         return new InvalidInputException(fileName + ": " + path + "." + key + " is missing");
     }
 
+    /** Returns the value of a key, or null if it is absent, and records the key as known. */
     private Object findValue(String key) {
         requestedKeys.add(key);
         return table == null ? null : table.get(List.of(key));
     }
 
+    /**
+     * Checks this table and the tables within it for keys that were never read.
+     *
+     * @throws InvalidInputException for the first such key
+     */
     void rejectUnknownKeys() {
         if (table == null) {
             return;
--- a/settings/src/main/java/mulleinlever/settings/Version.java
+++ b/settings/src/main/java/mulleinlever/settings/Version.java
@@ -4,8 +4,9 @@
 import java.io.InputStream;
 import java.util.Properties;
 
-/** The program's version, as the build wrote it beside this class. */
+/** The program's version, which the build writes into {@code version.properties}. */
 public final class Version {
+    /** The version, such as 1.2.3, or "unknown" if it can't be read. */
     public static final String TEXT = read();
 
     private Version() {}
--- a/settings/src/test/java/mulleinlever/settings/JsonTest.java
+++ b/settings/src/test/java/mulleinlever/settings/JsonTest.java
@@ -10,10 +10,14 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** Generated values, written plainly and read back. */
+/**
+ * Writes generated values as JSON and parses them. Guards against values that change on the way,
+ * against truncated text that is accepted, and against a stack overflow on deeply nested text.
+ */
 class JsonTest {
     private static final int ROUND_COUNT = 300;
 
+    /** Returns a value as JSON, with white space in unusual but valid places. */
     private static String write(Object value) {
         if (value instanceof Map<?, ?> map) {
             List<String> members = new ArrayList<>();
@@ -33,6 +37,7 @@
                         + "\"";
     }
 
+    /** Returns a random value; containers end below a depth of 4. */
     private static Object generate(SplittableRandom random, int depth) {
         int choice = random.nextInt(4);
         switch (random.nextInt(depth > 3 ? 2 : 4)) {
--- a/settings/src/test/java/mulleinlever/settings/TomlTest.java
+++ b/settings/src/test/java/mulleinlever/settings/TomlTest.java
@@ -15,9 +15,15 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
+/**
+ * Checks the defaults, bounds and error messages of the TOML settings. Guards against a misspelled
+ * or repeated table or key that is ignored silently, and against messages that do not name the
+ * place.
+ */
 class TomlTest {
     @TempDir Path folder;
 
+    /** Parses a text in which "|" stands for a line break. */
     private static FeatureSettings parse(String text) {
         return FeatureSettings.fromToml(TomlFile.parse("x.toml", text.replace('|', '\n')));
     }
@@ -48,9 +54,9 @@
                 "[quite_other], x.toml:1:1: no such table: quite_other",
                 "[state]|  foldr = 'x', x.toml: state.folder is missing",
                 "[state]|folder = 'x'|  evry = '1s', x.toml:3:3: no such key: state.evry; did you mean every?",
-                "[state]|folder = 3, x.toml:2:1: state.folder needs a text in quotes",
-                "[state]|folder = 'x'|every = '10', x.toml:3:1: state.every needs a time such as \"250ms\"",
-                "[state]|folder = 'x'|every = '10ms', x.toml:3:1: state.every needs a time from 50ms to 1h",
+                "[state]|folder = 3, x.toml:2:1: state.folder needs a quoted string",
+                "[state]|folder = 'x'|every = '10', x.toml:3:1: state.every needs a duration such as \"250ms\"",
+                "[state]|folder = 'x'|every = '10ms', x.toml:3:1: state.every needs a duration from 50ms to 1h",
                 "[state]|folder = 'x'|keep = 1, x.toml:3:1: state.keep needs a whole number from 2 to 100",
                 "[state]|folder = 'x'|keep = 2.5, x.toml:3:1: state.keep needs a whole number",
                 "[state]|folder = 'x'|jitter = nan, x.toml:3:1: state.jitter needs a number from 0.0 to 0.9",
@@ -76,11 +82,10 @@
                 assertThrows(
                         InvalidInputException.class,
                         () -> FeatureSettings.read(List.of(first, empty, second)));
-        assertEquals(
-                second + ": the table state stands in " + first + " too", duplicate.getMessage());
+        assertEquals(second + ": the table state is also in " + first, duplicate.getMessage());
         Path missing = folder.resolve("gone.toml");
         assertEquals(
-                missing + ": there is no such file",
+                missing + ": no such file",
                 assertThrows(
                                 InvalidInputException.class,
                                 () -> FeatureSettings.read(List.of(missing)))
@@ -94,7 +99,7 @@
                         .getMessage());
     }
 
-    /** The plain meaning of the distance: the cheapest of three first steps, by recursion. */
+    /** Returns the Levenshtein distance by recursion over the three possible first edits. */
     private static int recursiveDistance(String from, String to) {
         if (from.isEmpty() || to.isEmpty()) {
             return from.length() + to.length();
