--- a/settings/src/main/java/mulleinlever/settings/FeatureSettings.java
+++ b/settings/src/main/java/mulleinlever/settings/FeatureSettings.java
@@ -22,7 +22,7 @@
      * The settings of the state that a sidecar keeps over restarts: the table {@code state}.
      *
      * @param folder the folder of the state files, used by a single sidecar
-     * @param captureIntervalNs the mean time between two snapshots, in nanoseconds
+     * @param captureIntervalNs the mean time from one capture to the next, in nanoseconds
      * @param jitterRatio the ratio by which the interval varies at random, so that many sidecars do
      *     not write at the same time
      * @param retainedFileCount the number of files to retain
@@ -59,7 +59,12 @@
                 Path earlierFile = fileByTable.put(STATE_TABLE, file);
                 if (earlierFile != null) {
                     throw new InvalidInputException(
-                            file + ": the table " + STATE_TABLE + " is also in " + earlierFile);
+                            file
+                                    + ": the table "
+                                    + STATE_TABLE
+                                    + " is in "
+                                    + earlierFile
+                                    + " as well");
                 }
                 merged = settings;
             }
--- a/settings/src/main/java/mulleinlever/settings/FieldReader.java
+++ b/settings/src/main/java/mulleinlever/settings/FieldReader.java
@@ -4,9 +4,9 @@
 import java.util.Locale;
 
 /**
- * Typed access to named text fields. The fields are those of one line of the simulator's wire or of
- * one JSON object. A getter throws {@link #fieldError} if a required field is missing or a value is
- * invalid; getters with a default value return it if the field is missing.
+ * Typed access to named text fields. The fields are those of one line of the simulator's protocol
+ * or of one JSON object. A getter throws {@link #fieldError} if a required field is missing or a
+ * value is invalid; getters with a default value return it if the field is missing.
  */
 public abstract class FieldReader {
     /**
--- a/settings/src/main/java/mulleinlever/settings/SettingsReader.java
+++ b/settings/src/main/java/mulleinlever/settings/SettingsReader.java
@@ -15,8 +15,8 @@
 import mulleinlever.Settings.VoteControl;
 
 /**
- * Reads the {@link Settings} of a sidecar from a POWER_ON line of the simulator's wire or from the
- * JSON configuration. Both use the same field names.
+ * Reads the {@link Settings} of a sidecar from a POWER_ON line of the simulator's protocol or from
+ * the JSON configuration. Both use the same field names.
  */
 public final class SettingsReader {
     private SettingsReader() {}
