--- a/cli/src/main/java/mulleinlever/cli/Main.java
+++ b/cli/src/main/java/mulleinlever/cli/Main.java
@@ -16,58 +16,64 @@
 import mulleinlever.sidecar.SidecarServer;
 
 /**
- * Where the program starts. A bare "serve" runs on the class path alone, which holds what the
- * daemon needs; any other line is read by a parser, and may ask for libraries that lie beside the
- * jar but not on that path. There each of them would keep a descriptor open, and the parser alone
- * makes the first answer 0.13 s later and 8 MB more resident, which is dear where a sidecar may
- * have 32 MB.
+ * The entry point of the program. A bare {@code serve} runs with the class path alone, which holds
+ * only the libraries that the sidecar needs. Any other command line is parsed by picocli and may
+ * use further libraries in the folder {@code lib} beside the jar, which {@link Commands} is loaded
+ * with. They are not on the class path, because each of them would keep a file descriptor open in a
+ * sidecar, and the parser alone delays the first response by 0.13 s and takes 8 MB of resident
+ * memory, while a sidecar may be limited to 32 MB.
  *
- * <p>Exit codes: 0 done, 1 a fault of ours, 2 faulty arguments, configuration or input.
+ * <p>Exit codes: 0 success, 1 internal error, 2 invalid arguments, configuration or input.
  */
 public final class Main {
-    private static final String COMMANDS = "mulleinlever.cli.Commands";
+    private static final String COMMANDS_CLASS = "mulleinlever.cli.Commands";
 
     private Main() {}
 
     public static void main(String[] args) throws Exception {
-        boolean bare = args.length == 1 && args[0].equals("serve");
-        System.exit(bare ? SidecarServer.run(System.getenv(), List.of()) : commands(args));
+        boolean isBareServe = args.length == 1 && args[0].equals("serve");
+        System.exit(
+                isBareServe ? SidecarServer.run(System.getenv(), List.of()) : runCommands(args));
     }
 
-    private static int commands(String[] args) throws Exception {
-        ClassLoader loader = loader();
+    private static int runCommands(String[] args) throws Exception {
+        ClassLoader loader = findClassLoader();
         Thread.currentThread().setContextClassLoader(loader);
         return (int)
-                loader.loadClass(COMMANDS)
+                loader.loadClass(COMMANDS_CLASS)
                         .getMethod("run", String[].class)
                         .invoke(null, (Object) args);
     }
 
     /**
-     * The one that knows the parser already, as in tests; else a new one over the jar and all
-     * beside it.
+     * Returns a class loader that finds picocli: the one of this class if it does, as in tests,
+     * otherwise a new one over the program's jar and the jars in {@code lib}.
      */
-    private static ClassLoader loader() throws IOException, URISyntaxException {
-        ClassLoader ours = Main.class.getClassLoader();
-        if (ours.getResource("picocli/CommandLine.class") != null) {
-            return ours;
+    private static ClassLoader findClassLoader() throws IOException, URISyntaxException {
+        ClassLoader ownLoader = Main.class.getClassLoader();
+        if (ownLoader.getResource("picocli/CommandLine.class") != null) {
+            return ownLoader;
         }
         Path jar = Path.of(Main.class.getProtectionDomain().getCodeSource().getLocation().toURI());
-        // In the order of their names: which jar a class comes from must not hang on the file
-        // system.
+        // Sorted by name, so that the jar that a class is loaded from does not depend on the order
+        // in which the file system lists them.
         Set<Path> jars = new TreeSet<>(Set.of(jar));
-        try (DirectoryStream<Path> all =
+        try (DirectoryStream<Path> libraries =
                 Files.newDirectoryStream(jar.resolveSibling("lib"), "*.jar")) {
-            all.forEach(jars::add);
+            libraries.forEach(jars::add);
         }
         URL[] urls =
-                jars.stream().map(Path::toFile).map(File::toURI).map(Main::url).toArray(URL[]::new);
+                jars.stream()
+                        .map(Path::toFile)
+                        .map(File::toURI)
+                        .map(Main::toUrl)
+                        .toArray(URL[]::new);
         return new URLClassLoader("all", urls, ClassLoader.getPlatformClassLoader());
     }
 
-    private static URL url(URI of) {
+    private static URL toUrl(URI uri) {
         try {
-            return of.toURL();
+            return uri.toURL();
         } catch (MalformedURLException e) {
             throw new IllegalStateException(e);
         }
--- a/cli/src/main/java/mulleinlever/cli/StateCommand.java
+++ b/cli/src/main/java/mulleinlever/cli/StateCommand.java
@@ -30,164 +30,188 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** What sidecars keep over a restart: shown, checked, cleared away. */
+/** Shows, checks and prunes the state files that sidecars keep over restarts. */
 @Command(
         name = "state",
         mixinStandardHelpOptions = true,
-        description = "What a sidecar keeps over a restart.",
+        description = "Shows, checks or prunes the state that a sidecar keeps over restarts.",
         subcommands = {StateCommand.Show.class, StateCommand.Check.class, StateCommand.Prune.class})
 final class StateCommand implements Runnable {
-    private static final long MOST_BYTES = 1L << 30;
+    /** The maximum size of a file to read: the upper bound of the setting {@code most_bytes}. */
+    private static final long MAX_FILE_BYTES = 1L << 30;
 
     @Spec private CommandSpec spec;
 
     @Override
     public void run() {
-        throw new ParameterException(spec.commandLine(), "one of show, check and prune is missing");
+        throw new ParameterException(
+                spec.commandLine(), "a subcommand is missing: show, check or prune");
     }
 
-    private static StateSnapshot read(Path file, List<String> leftOut) throws StateFileException {
-        Path whole = file.toAbsolutePath();
+    /**
+     * Reads a state file.
+     *
+     * @param notes receives a message for each part of the file that was left out
+     */
+    private static StateSnapshot readFile(Path file, List<String> notes) throws StateFileException {
+        Path absoluteFile = file.toAbsolutePath();
         return StateStore.readFile(
-                new FileSystemDirectory(whole.getParent()),
-                whole.getFileName().toString(),
-                MOST_BYTES,
-                leftOut::add);
+                new FileSystemDirectory(absoluteFile.getParent()),
+                absoluteFile.getFileName().toString(),
+                MAX_FILE_BYTES,
+                notes::add);
     }
 
-    /** A fault's message begins with the file's name alone. */
-    private static String located(Path file, String message) {
+    /** Returns a message that starts with a file's bare name, with the file's folder before it. */
+    private static String withFolder(Path file, String message) {
         return file.getParent() == null ? message : file.getParent() + "/" + message;
     }
 
-    /** The whole content of one file, for reading or for scripts. */
+    /** Prints the content of a state file as tables or as JSON. */
     @Command(
             name = "show",
             mixinStandardHelpOptions = true,
-            description = "Shows one file, or the newest whole one of a folder.")
+            description = "Shows a state file, or the newest intact one of a folder.")
     static final class Show implements Callable<Integer> {
         @Spec private CommandSpec spec;
 
         @Parameters(
                 paramLabel = "FILE",
-                description = "A file of state, or the folder of a sidecar.")
+                description = "A state file, or the state folder of a sidecar.")
         private Path file;
 
-        @Option(names = "--json", description = "One JSON object instead of tables.")
-        private boolean json;
+        @Option(names = "--json", description = "Prints one JSON object instead of tables.")
+        private boolean asJson;
 
         @Override
         public Integer call() throws IOException {
             List<String> notes = new ArrayList<>();
             PrintWriter err = spec.commandLine().getErr();
             try {
-                StateSnapshot kept;
+                StateSnapshot snapshot;
                 if (Files.isDirectory(file)) {
-                    StateStore.LoadResult found =
-                            StateStore.readNewest(new FileSystemDirectory(file), MOST_BYTES, null);
-                    found.skippedFiles().forEach(l -> err.println(file + "/" + l));
-                    if (found.snapshot() == null) {
-                        err.println(file + ": no whole file of state");
+                    StateStore.LoadResult loaded =
+                            StateStore.readNewest(
+                                    new FileSystemDirectory(file), MAX_FILE_BYTES, null);
+                    loaded.skippedFiles().forEach(line -> err.println(file + "/" + line));
+                    if (loaded.snapshot() == null) {
+                        err.println(file + ": no intact state file");
                         return StateFileException.Kind.UNREADABLE.exitCode;
                     }
-                    kept = found.snapshot();
+                    snapshot = loaded.snapshot();
                 } else {
-                    kept = read(file, notes);
+                    snapshot = readFile(file, notes);
                 }
-                notes.forEach(n -> err.println(located(file, n)));
-                spec.commandLine().getOut().println(json ? json(kept) : table(kept));
+                notes.forEach(n -> err.println(withFolder(file, n)));
+                spec.commandLine().getOut().println(asJson ? toJson(snapshot) : toTables(snapshot));
                 return 0;
             } catch (StateFileException e) {
-                err.println(located(file, e.getMessage()));
+                err.println(withFolder(file, e.getMessage()));
                 return e.kind.exitCode;
             }
         }
 
-        private static String json(StateSnapshot kept) throws JsonProcessingException {
-            Map<String, Object> all = new LinkedHashMap<>();
-            all.put("head", kept.head());
-            Map<String, Object> news = new LinkedHashMap<>();
-            news.put("build", kept.rolloutStatus().build());
-            news.put("stage", kept.rolloutStatus().stage());
-            news.put("phase", kept.rolloutStatus().phase());
-            news.put("cap", kept.rolloutStatus().cap());
-            all.put("news", news);
-            all.put("links", only(kept, LearnedState.ConnectionStats.class));
-            all.put("routes", only(kept, LearnedState.RouteStats.class));
-            all.put("baselines", only(kept, LearnedState.DetectorBaseline.class));
-            all.put("pods", kept.pods());
-            all.put("keys", only(kept, LearnedState.KeyBuild.class));
+        private static String toJson(StateSnapshot snapshot) throws JsonProcessingException {
+            Map<String, Object> root = new LinkedHashMap<>();
+            root.put("head", snapshot.head());
+            Map<String, Object> rolloutStatus = new LinkedHashMap<>();
+            rolloutStatus.put("build", snapshot.rolloutStatus().build());
+            rolloutStatus.put("stage", snapshot.rolloutStatus().stage());
+            rolloutStatus.put("phase", snapshot.rolloutStatus().phase());
+            rolloutStatus.put("cap", snapshot.rolloutStatus().cap());
+            root.put("news", rolloutStatus);
+            root.put("links", learnedValuesOf(snapshot, LearnedState.ConnectionStats.class));
+            root.put("routes", learnedValuesOf(snapshot, LearnedState.RouteStats.class));
+            root.put("baselines", learnedValuesOf(snapshot, LearnedState.DetectorBaseline.class));
+            root.put("pods", snapshot.pods());
+            root.put("keys", learnedValuesOf(snapshot, LearnedState.KeyBuild.class));
             return new ObjectMapper()
                     .enable(SerializationFeature.INDENT_OUTPUT)
-                    .writeValueAsString(all);
+                    .writeValueAsString(root);
         }
 
-        private static <T> List<T> only(StateSnapshot kept, Class<T> type) {
-            return kept.learnedValues().stream().filter(type::isInstance).map(type::cast).toList();
+        private static <T> List<T> learnedValuesOf(StateSnapshot snapshot, Class<T> type) {
+            return snapshot.learnedValues().stream()
+                    .filter(type::isInstance)
+                    .map(type::cast)
+                    .toList();
         }
 
-        private static String table(StateSnapshot kept) {
-            StateSnapshot.Header h = kept.head();
+        /**
+         * Formats a snapshot as text. A cell "M of W" holds a mean and the number of outcomes,
+         * after decay, that it stands for.
+         */
+        private static String toTables(StateSnapshot snapshot) {
+            StateSnapshot.Header header = snapshot.head();
             long ageNs =
-                    StateDecay.computeAgeNs(h.unixMs(), System.currentTimeMillis() * 1_000_000L);
-            StringBuilder s = new StringBuilder();
-            line(
-                    s,
-                    "sidecar %s, zone %s, machine %s, program %s",
-                    h.instance(),
-                    or(h.zone()),
-                    or(h.machine()),
-                    h.writer());
-            line(
-                    s,
-                    "number %d, captured %s, %s",
-                    h.sequence(),
-                    Instant.ofEpochMilli(h.unixMs()),
+                    StateDecay.computeAgeNs(
+                            header.unixMs(), System.currentTimeMillis() * 1_000_000L);
+            StringBuilder text = new StringBuilder();
+            appendLine(
+                    text,
+                    "sidecar %s, zone %s, machine %s, version %s",
+                    header.instance(),
+                    orUnknown(header.zone()),
+                    orUnknown(header.machine()),
+                    header.writer());
+            appendLine(
+                    text,
+                    "sequence number %d, captured %s, %s",
+                    header.sequence(),
+                    Instant.ofEpochMilli(header.unixMs()),
                     ageNs == StateDecay.UNKNOWN_AGE_NS
-                            ? "later than now"
+                            ? "in the future"
                             : ageNs / 1_000_000_000L + " s ago");
-            line(
-                    s,
-                    "build %d stage %d %s, cap %.2f; list %d",
-                    kept.rolloutStatus().build(),
-                    kept.rolloutStatus().stage(),
-                    kept.rolloutStatus().phase(),
-                    kept.rolloutStatus().cap(),
-                    h.listVersion());
-            for (LearnedState.ConnectionStats l : only(kept, LearnedState.ConnectionStats.class)) {
-                line(
-                        s,
-                        "links refused %s, tries unanswered %s",
-                        share(l.refused()),
-                        share(l.unanswered()));
+            appendLine(
+                    text,
+                    "build %d stage %d %s, exposure cap %.2f; list version %d",
+                    snapshot.rolloutStatus().build(),
+                    snapshot.rolloutStatus().stage(),
+                    snapshot.rolloutStatus().phase(),
+                    snapshot.rolloutStatus().cap(),
+                    header.listVersion());
+            for (LearnedState.ConnectionStats connections :
+                    learnedValuesOf(snapshot, LearnedState.ConnectionStats.class)) {
+                appendLine(
+                        text,
+                        "connections refused %s, tries unanswered %s",
+                        formatMean(connections.refused()),
+                        formatMean(connections.unanswered()));
             }
-            line(s, "%n%-20s %6s %16s %16s", "route", "build", "takes ms", "usually ms");
-            for (LearnedState.RouteStats r : only(kept, LearnedState.RouteStats.class)) {
-                line(s, "%-20s %6d %16s %16s", r.route(), r.build(), ms(r.times()), ms(r.usual()));
+            appendLine(text, "%n%-20s %6s %16s %16s", "route", "build", "time ms", "usual time ms");
+            for (LearnedState.RouteStats route :
+                    learnedValuesOf(snapshot, LearnedState.RouteStats.class)) {
+                appendLine(
+                        text,
+                        "%-20s %6d %16s %16s",
+                        route.route(),
+                        route.build(),
+                        formatMeanMs(route.times()),
+                        formatMeanMs(route.usual()));
             }
-            line(
-                    s,
+            appendLine(
+                    text,
                     "%n%-20s %6s %-16s %8s %10s %8s",
                     "baseline",
                     "build",
-                    "of",
+                    "outcomes",
                     "mean",
                     "deviation",
                     "seconds");
-            for (LearnedState.DetectorBaseline b :
-                    only(kept, LearnedState.DetectorBaseline.class)) {
-                line(
-                        s,
+            for (LearnedState.DetectorBaseline baseline :
+                    learnedValuesOf(snapshot, LearnedState.DetectorBaseline.class)) {
+                appendLine(
+                        text,
                         "%-20s %6d %-16s %8.3f %10.3f %8.0f",
-                        b.route().isEmpty() ? "all" : b.route(),
-                        b.build(),
-                        b.ofLate() ? "late" : "failed, flagged",
-                        b.mean(),
-                        b.deviation(),
-                        b.samples());
+                        baseline.route().isEmpty() ? "all" : baseline.route(),
+                        baseline.build(),
+                        baseline.ofLate() ? "late" : "failed, flagged",
+                        baseline.mean(),
+                        baseline.deviation(),
+                        baseline.samples());
             }
-            line(
-                    s,
+            appendLine(
+                    text,
                     "%n%-20s %-22s %-8s %6s %-9s %14s %14s %7s",
                     "pod",
                     "address",
@@ -197,156 +221,160 @@
                     "slowness",
                     "late",
                     "strikes");
-            for (StateSnapshot.PodSnapshot p : kept.pods()) {
-                PodEntry is = p.learned().is();
-                line(
-                        s,
+            for (StateSnapshot.PodSnapshot pod : snapshot.pods()) {
+                PodEntry entry = pod.learned().is();
+                appendLine(
+                        text,
                         "%-20s %-22s %-8s %6d %-9s %14s %14s %7d",
-                        is.id(),
-                        p.address(),
-                        is.zone(),
-                        is.build(),
-                        is.state().name().toLowerCase(Locale.ROOT),
-                        share(p.learned().slowness()),
-                        share(p.learned().late()),
-                        p.learned().strikes());
+                        entry.id(),
+                        pod.address(),
+                        entry.zone(),
+                        entry.build(),
+                        entry.state().name().toLowerCase(Locale.ROOT),
+                        formatMean(pod.learned().slowness()),
+                        formatMean(pod.learned().late()),
+                        pod.learned().strikes());
             }
-            line(s, "%n%d keys that can't go back", only(kept, LearnedState.KeyBuild.class).size());
-            return s.toString().stripTrailing();
+            appendLine(
+                    text,
+                    "%n%d one-way keys",
+                    learnedValuesOf(snapshot, LearnedState.KeyBuild.class).size());
+            return text.toString().stripTrailing();
         }
 
-        private static void line(StringBuilder to, String format, Object... args) {
-            to.append(String.format(Locale.ROOT, format, args)).append('\n');
+        private static void appendLine(StringBuilder text, String format, Object... args) {
+            text.append(String.format(Locale.ROOT, format, args)).append('\n');
         }
 
-        private static String or(String text) {
+        private static String orUnknown(String text) {
             return text.isEmpty() ? "unknown" : text;
         }
 
-        private static String share(LearnedState.WeightedMean f) {
-            return f.weight() == 0
+        private static String formatMean(LearnedState.WeightedMean mean) {
+            return mean.weight() == 0
                     ? "-"
-                    : String.format(Locale.ROOT, "%.2f of %.1f", f.mean(), f.weight());
+                    : String.format(Locale.ROOT, "%.2f of %.1f", mean.mean(), mean.weight());
         }
 
-        private static String ms(LearnedState.WeightedMean f) {
-            return f.weight() == 0
+        private static String formatMeanMs(LearnedState.WeightedMean meanNs) {
+            return meanNs.weight() == 0
                     ? "-"
-                    : String.format(Locale.ROOT, "%.1f of %.1f", f.mean() / 1e6, f.weight());
+                    : String.format(
+                            Locale.ROOT, "%.1f of %.1f", meanNs.mean() / 1e6, meanNs.weight());
         }
     }
 
-    /** Whether files are whole. */
+    /** Checks that state files are intact. */
     @Command(
             name = "check",
             mixinStandardHelpOptions = true,
-            description = "Checks files and tells what is wrong.",
+            description = "Checks state files and reports what is wrong with them.",
             footer = {
                 "",
-                "Exit codes: 0 all are sound, 3 can't be read, 4 no file of state, 5 of a later format,",
-                "6 cut short, 7 corrupt, 8 too long; of several files the first fault's."
+                "Exit codes: 0 all are intact, 3 not readable, 4 not a state file, 5 newer format,",
+                "6 truncated, 7 corrupt, 8 too large; with several faulty files, that of the first."
             })
     static final class Check implements Callable<Integer> {
         @Spec private CommandSpec spec;
 
-        @Parameters(paramLabel = "FILE", arity = "1..*", description = "Files of state.")
+        @Parameters(paramLabel = "FILE", arity = "1..*", description = "State files.")
         private List<Path> files;
 
         @Override
         public Integer call() {
-            int code = 0;
+            int exitCode = 0;
             for (Path file : files) {
                 List<String> notes = new ArrayList<>();
                 try {
-                    StateSnapshot kept = read(file, notes);
+                    StateSnapshot snapshot = readFile(file, notes);
                     spec.commandLine()
                             .getOut()
                             .println(
                                     file
-                                            + ": sound, number "
-                                            + kept.head().sequence()
-                                            + " of "
-                                            + kept.head().instance()
+                                            + ": intact, sequence number "
+                                            + snapshot.head().sequence()
+                                            + " of sidecar "
+                                            + snapshot.head().instance()
                                             + ", "
-                                            + kept.pods().size()
+                                            + snapshot.pods().size()
                                             + " pods");
                 } catch (StateFileException e) {
                     notes.add(e.getMessage());
-                    code = code == 0 ? e.kind.exitCode : code;
+                    exitCode = exitCode == 0 ? e.kind.exitCode : exitCode;
                 }
-                notes.forEach(n -> spec.commandLine().getErr().println(located(file, n)));
+                notes.forEach(n -> spec.commandLine().getErr().println(withFolder(file, n)));
             }
-            return code;
+            return exitCode;
         }
     }
 
-    /** What a sidecar that is gone, or a fault, left behind. */
+    /** Deletes files that an ended sidecar or a crash left behind. */
     @Command(
             name = "prune",
             mixinStandardHelpOptions = true,
             description =
-                    "Deletes what is unfinished or not whole, and all but the newest whole files.")
+                    "Deletes unfinished and damaged files, and all but the newest intact files.")
     static final class Prune implements Callable<Integer> {
         @Spec private CommandSpec spec;
 
         @Parameters(
                 paramLabel = "FOLDER",
-                description = "The folder of a sidecar that does not run.")
+                description = "The state folder of a sidecar that is not running.")
         private Path folder;
 
         @Option(
                 names = "--keep",
                 paramLabel = "N",
-                description = "So many whole files stay (${DEFAULT-VALUE}).")
-        private int keep = 1;
+                description = "The number of intact files to retain (default: ${DEFAULT-VALUE}).")
+        private int retainedFileCount = 1;
 
-        @Option(names = "--dry-run", description = "Only tells what would be deleted.")
+        @Option(names = "--dry-run", description = "Only prints what would be deleted.")
         private boolean dryRun;
 
         @Override
         public Integer call() throws IOException {
-            if (keep < 0) {
+            if (retainedFileCount < 0) {
                 throw new ParameterException(spec.commandLine(), "--keep needs 0 or more");
             }
-            FileSystemDirectory disk = new FileSystemDirectory(folder);
-            List<String> names = new ArrayList<>(disk.list());
+            FileSystemDirectory directory = new FileSystemDirectory(folder);
+            List<String> names = new ArrayList<>(directory.list());
             Collections.reverse(names);
-            try (Closeable lock = disk.tryLock(StateStore.LOCK_FILE_NAME)) {
+            try (Closeable lock = directory.tryLock(StateStore.LOCK_FILE_NAME)) {
                 if (lock == null) {
                     spec.commandLine()
                             .getErr()
-                            .println(folder + ": a sidecar that runs holds it; nothing is deleted");
+                            .println(folder + ": in use by a running sidecar; nothing was deleted");
                     return 1;
                 }
-                int whole = 0;
+                int intactFileCount = 0;
                 for (String name : names) {
-                    String why = StateStore.isTemporaryFile(name) ? "unfinished" : null;
+                    String reason = StateStore.isTemporaryFile(name) ? "unfinished" : null;
                     if (StateStore.parseSequence(name) >= 0) {
                         try {
-                            StateStore.readFile(disk, name, MOST_BYTES, l -> {});
-                            why = whole++ < keep ? null : "older";
+                            StateStore.readFile(directory, name, MAX_FILE_BYTES, note -> {});
+                            reason = intactFileCount++ < retainedFileCount ? null : "older";
                         } catch (StateFileException e) {
-                            // What a later program wrote is sound to that one.
-                            why =
+                            // A file of a newer format is intact for the version that wrote it.
+                            reason =
                                     e.kind == StateFileException.Kind.UNSUPPORTED_VERSION
                                             ? null
-                                            : "not whole: " + e.getMessage();
+                                            : "not intact: " + e.getMessage();
                         }
                     }
-                    if (why != null) {
+                    if (reason != null) {
                         spec.commandLine()
                                 .getOut()
                                 .println(
                                         (dryRun ? "would delete " : "deleted ")
                                                 + name
                                                 + ", "
-                                                + why);
+                                                + reason);
                         if (!dryRun) {
-                            disk.delete(name);
+                            directory.delete(name);
                         }
                     }
                 }
-                disk.forceDirectory();
+                directory.forceDirectory();
                 return 0;
             }
         }
--- a/drill/src/main/java/mulleinlever/drill/DrillInputException.java
+++ b/drill/src/main/java/mulleinlever/drill/DrillInputException.java
@@ -1,10 +1,10 @@
 package mulleinlever.drill;
 
-/** A line of the wire that can't be read; the message names the line and what was expected. */
+/** Thrown if the simulator's input is invalid. The message names the line and what was expected. */
 public final class DrillInputException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
-    DrillInputException(long lineNo, String expected) {
-        super("line " + lineNo + ": " + expected);
+    DrillInputException(long lineNumber, String expected) {
+        super("line " + lineNumber + ": " + expected);
     }
 }
--- a/settings/src/main/java/mulleinlever/settings/TomlSection.java
+++ b/settings/src/main/java/mulleinlever/settings/TomlSection.java
@@ -16,15 +16,15 @@
 import org.tomlj.TomlTable;
 
 /**
- * A table of a {@link TomlFile}. Each getter names the key, what stands in for it where it is
- * absent, and its bounds; a value of another type or beyond its bounds is a {@link
- * InvalidInputException} with file, line and column.
+ * A table of a {@link TomlFile}. A getter takes the key, the default value for an absent key, and
+ * the inclusive bounds. It throws an {@link InvalidInputException} with file, line and column if
+ * the value has another type or is out of bounds, or if a required key is absent.
  */
 public final class TomlSection {
     private static final Pattern DURATION =
             Pattern.compile("(\\d{1,9}(?:\\.\\d{1,3})?) ?(ms|s|m|h|d)");
     private static final Pattern SIZE = Pattern.compile("(\\d{1,9}) ?(B|KiB|MiB|GiB)");
-    private static final Map<String, Long> NS =
+    private static final Map<String, Long> NS_PER_UNIT =
             Map.of(
                     "ms",
                     1_000_000L,
@@ -36,52 +36,59 @@
                     3_600_000_000_000L,
                     "d",
                     86_400_000_000_000L);
-    private static final Map<String, Integer> BITS =
+
+    /** The binary logarithm of each unit's number of bytes. */
+    private static final Map<String, Integer> SHIFT_BY_UNIT =
             Map.of("B", 0, "KiB", 10, "MiB", 20, "GiB", 30);
 
-    private final String file;
+    private final String fileName;
+
+    /** The name of the table with those of the tables around it, such as {@code state}. */
     private final String path;
 
-    /** Null where the table is absent. */
+    /** The parsed table; null if the file does not have it. */
     private final TomlTable table;
 
-    private final Set<String> known = new LinkedHashSet<>();
-    private final Map<String, TomlSection> inner = new LinkedHashMap<>();
-    private final List<TomlSection> listed = new ArrayList<>();
+    private final Set<String> requestedKeys = new LinkedHashSet<>();
+    private final Map<String, TomlSection> subsections = new LinkedHashMap<>();
+    private final List<TomlSection> listedSections = new ArrayList<>();
 
-    TomlSection(String file, String path, TomlTable table) {
-        this.file = file;
+    TomlSection(String fileName, String path, TomlTable table) {
+        this.fileName = fileName;
         this.path = path;
         this.table = table;
     }
 
-    /** Whether the file has this table, be it empty. */
+    /** Returns whether the file has this table; an empty table is present. */
     public boolean isPresent() {
         return table != null;
     }
 
     public boolean hasKey(String key) {
-        return value(key) != null;
+        return findValue(key) != null;
     }
 
-    /** A text, which must be there. */
+    /** Returns a required string. */
     public String getString(String key) {
-        String v = getString(key, null);
-        if (v == null) {
-            throw missing(key);
+        String value = getString(key, null);
+        if (value == null) {
+            throw missingKeyError(key);
         }
-        return v;
+        return value;
     }
 
-    public String getString(String key, String absent) {
-        Object v = value(key);
-        if (v != null && !(v instanceof String)) {
-            throw keyError(key, "needs a text in quotes");
+    public String getString(String key, String defaultValue) {
+        Object value = findValue(key);
+        if (value != null && !(value instanceof String)) {
+            throw keyError(key, "needs a quoted string");
         }
-        return v == null ? absent : (String) v;
+        return value == null ? defaultValue : (String) value;
     }
 
-    /** A path, which must be there; relative ones start from the process's folder. */
+    /**
+     * Returns a required path. A relative path is resolved against the working directory of the
+     * process.
+     */
     public Path getPath(String key) {
         try {
             return Path.of(getString(key));
@@ -90,173 +97,214 @@
         }
     }
 
-    /** A span of time such as "250ms", "10s", "5m", "12h" or "3d", in nanoseconds. */
-    public long getDurationNs(String key, String absent, String least, String most) {
-        String v = getString(key, absent);
-        Long ns = v == null ? null : nanoseconds(v);
-        if (ns == null) {
-            throw v == null
-                    ? missing(key)
+    /**
+     * Returns a duration in nanoseconds, written as "250ms", "10s", "5m", "12h" or "3d".
+     *
+     * @param defaultValue the default in the same notation; null if the key is required
+     */
+    public long getDurationNs(String key, String defaultValue, String min, String max) {
+        String text = getString(key, defaultValue);
+        Long durationNs = text == null ? null : parseDurationNs(text);
+        if (durationNs == null) {
+            throw text == null
+                    ? missingKeyError(key)
                     : keyError(
                             key,
-                            "needs a time such as \"250ms\", \"10s\", \"5m\", \"12h\" or \"3d\"");
+                            "needs a duration such as \"250ms\", \"10s\", \"5m\", \"12h\""
+                                    + " or \"3d\"");
         }
-        if (ns < nanoseconds(least) || ns > nanoseconds(most)) {
-            throw keyError(key, "needs a time from " + least + " to " + most);
+        if (durationNs < parseDurationNs(min) || durationNs > parseDurationNs(max)) {
+            throw keyError(key, "needs a duration from " + min + " to " + max);
         }
-        return ns;
+        return durationNs;
     }
 
-    private static Long nanoseconds(String text) {
-        Matcher m = DURATION.matcher(text);
-        return m.matches()
-                ? (Long) Math.round(Double.parseDouble(m.group(1)) * NS.get(m.group(2)))
+    /** Returns the duration in nanoseconds, or null if the text is not a duration. */
+    private static Long parseDurationNs(String text) {
+        Matcher matcher = DURATION.matcher(text);
+        return matcher.matches()
+                ? (Long)
+                        Math.round(
+                                Double.parseDouble(matcher.group(1))
+                                        * NS_PER_UNIT.get(matcher.group(2)))
                 : null;
     }
 
-    /** A number of bytes such as "512KiB" or "64MiB". */
-    public long getSizeBytes(String key, String absent, String least, String most) {
-        Long n = bytes(getString(key, absent));
-        if (n == null) {
+    /**
+     * Returns a number of bytes, written as "512KiB" or "64MiB".
+     *
+     * @param defaultValue the default in the same notation, not null
+     */
+    public long getSizeBytes(String key, String defaultValue, String min, String max) {
+        Long sizeBytes = parseSizeBytes(getString(key, defaultValue));
+        if (sizeBytes == null) {
             throw keyError(key, "needs a size such as \"512KiB\" or \"64MiB\"");
         }
-        if (n < bytes(least) || n > bytes(most)) {
-            throw keyError(key, "needs a size from " + least + " to " + most);
+        if (sizeBytes < parseSizeBytes(min) || sizeBytes > parseSizeBytes(max)) {
+            throw keyError(key, "needs a size from " + min + " to " + max);
         }
-        return n;
+        return sizeBytes;
     }
 
-    private static Long bytes(String text) {
-        Matcher m = SIZE.matcher(text);
-        return m.matches() ? (Long) (Long.parseLong(m.group(1)) << BITS.get(m.group(2))) : null;
+    /** Returns the number of bytes, or null if the text is not a size. */
+    private static Long parseSizeBytes(String text) {
+        Matcher matcher = SIZE.matcher(text);
+        return matcher.matches()
+                ? (Long) (Long.parseLong(matcher.group(1)) << SHIFT_BY_UNIT.get(matcher.group(2)))
+                : null;
     }
 
-    public long getLong(String key, long absent, long least, long most) {
-        Object v = value(key);
-        if (v != null && !(v instanceof Long)) {
+    public long getLong(String key, long defaultValue, long min, long max) {
+        Object value = findValue(key);
+        if (value != null && !(value instanceof Long)) {
             throw keyError(key, "needs a whole number");
         }
-        long n = v == null ? absent : (Long) v;
-        if (n < least || n > most) {
-            throw keyError(key, "needs a whole number from " + least + " to " + most);
+        long number = value == null ? defaultValue : (Long) value;
+        if (number < min || number > max) {
+            throw keyError(key, "needs a whole number from " + min + " to " + max);
         }
-        return n;
+        return number;
     }
 
-    public double getDouble(String key, double absent, double least, double most) {
-        Object v = value(key);
-        if (v != null && !(v instanceof Number)) {
+    public double getDouble(String key, double defaultValue, double min, double max) {
+        Object value = findValue(key);
+        if (value != null && !(value instanceof Number)) {
             throw keyError(key, "needs a number");
         }
-        double x = v == null ? absent : ((Number) v).doubleValue();
-        if (!(x >= least && x <= most)) {
-            throw keyError(key, "needs a number from " + least + " to " + most);
+        double number = value == null ? defaultValue : ((Number) value).doubleValue();
+        if (!(number >= min && number <= max)) {
+            throw keyError(key, "needs a number from " + min + " to " + max);
         }
-        return x;
+        return number;
     }
 
-    public boolean getBoolean(String key, boolean absent) {
-        Object v = value(key);
-        if (v != null && !(v instanceof Boolean)) {
+    public boolean getBoolean(String key, boolean defaultValue) {
+        Object value = findValue(key);
+        if (value != null && !(value instanceof Boolean)) {
             throw keyError(key, "needs true or false");
         }
-        return v == null ? absent : (Boolean) v;
+        return value == null ? defaultValue : (Boolean) value;
     }
 
-    /** One of an enum's words, in small letters, with - for _. */
-    public <E extends Enum<E>> E getEnum(String key, Class<E> type, E absent) {
-        String v = getString(key, null);
+    /**
+     * Returns an enum constant, written in lower case with hyphens for underscores.
+     *
+     * @param defaultValue the default; null if the key is required
+     */
+    public <E extends Enum<E>> E getEnum(String key, Class<E> type, E defaultValue) {
+        String value = getString(key, null);
         List<String> words = new ArrayList<>();
-        for (E e : type.getEnumConstants()) {
-            String word = e.name().toLowerCase(Locale.ROOT).replace('_', '-');
+        for (E constant : type.getEnumConstants()) {
+            String word = constant.name().toLowerCase(Locale.ROOT).replace('_', '-');
             words.add(word);
-            if (word.equals(v)) {
-                return e;
+            if (word.equals(value)) {
+                return constant;
             }
         }
-        if (v == null && absent != null) {
-            return absent;
+        if (value == null && defaultValue != null) {
+            return defaultValue;
         }
-        throw v == null ? missing(key) : keyError(key, "needs one of " + String.join(", ", words));
+        throw value == null
+                ? missingKeyError(key)
+                : keyError(key, "needs one of " + String.join(", ", words));
     }
 
-    /** A table within this one; where there is none it is empty. */
+    /**
+     * Returns a nested table. If there is none, the section is empty and {@link #isPresent} returns
+     * false.
+     */
     public TomlSection getSection(String key) {
-        return inner.computeIfAbsent(
+        return subsections.computeIfAbsent(
                 key,
                 k -> {
-                    Object v = value(k);
-                    if (v != null && !(v instanceof TomlTable)) {
+                    Object value = findValue(k);
+                    if (value != null && !(value instanceof TomlTable)) {
                         throw keyError(k, "needs to be a table");
                     }
-                    return new TomlSection(file, path + "." + k, (TomlTable) v);
+                    return new TomlSection(fileName, path + "." + k, (TomlTable) value);
                 });
     }
 
-    /** The tables of a list, such as those under [[section.key]]; none where it is absent. */
-    @SuppressWarnings("deprecation") // the array's check of its element type
+    /**
+     * Returns the tables of an array of tables, written as {@code [[section.key]]}; an empty list
+     * if the key is absent.
+     */
+    @SuppressWarnings("deprecation") // containsTables()
     public List<TomlSection> getSections(String key) {
-        Object v = value(key);
-        if (v == null) {
+        Object value = findValue(key);
+        if (value == null) {
             return List.of();
         }
-        if (!(v instanceof TomlArray array) || !array.containsTables() && !array.isEmpty()) {
+        if (!(value instanceof TomlArray array) || !array.containsTables() && !array.isEmpty()) {
             throw keyError(key, "needs to be a list of tables, [[" + path + "." + key + "]]");
         }
-        List<TomlSection> all = new ArrayList<>();
+        List<TomlSection> sections = new ArrayList<>();
         for (int i = 0; i < array.size(); i++) {
-            all.add(new TomlSection(file, path + "." + key + "[" + i + "]", array.getTable(i)));
+            sections.add(
+                    new TomlSection(fileName, path + "." + key + "[" + i + "]", array.getTable(i)));
         }
-        listed.addAll(all);
-        return all;
+        listedSections.addAll(sections);
+        return sections;
     }
 
-    /** The texts of a list; none where it is absent. */
-    @SuppressWarnings("deprecation") // the array's check of its element type
+    /** Returns the strings of an array; an empty list if the key is absent. */
+    @SuppressWarnings("deprecation") // containsStrings()
     public List<String> getStrings(String key) {
-        Object v = value(key);
-        if (v == null) {
+        Object value = findValue(key);
+        if (value == null) {
             return List.of();
         }
-        if (!(v instanceof TomlArray array) || !array.containsStrings() && !array.isEmpty()) {
-            throw keyError(key, "needs a list of texts in quotes");
+        if (!(value instanceof TomlArray array) || !array.containsStrings() && !array.isEmpty()) {
+            throw keyError(key, "needs a list of quoted strings");
         }
         return array.toList().stream().map(String.class::cast).toList();
     }
 
-    /** The fault to throw for a key that is read but does not fit. */
-    public InvalidInputException keyError(String key, String needs) {
-        TomlPosition at =
-                table == null || value(key) == null ? null : table.inputPositionOf(List.of(key));
+    /**
+     * Returns the exception to throw for a key with an invalid value.
+     *
+     * @param problem the text that follows the key in the message, such as "needs a path"
+     */
+    public InvalidInputException keyError(String key, String problem) {
+        TomlPosition position =
+                table == null || findValue(key) == null
+                        ? null
+                        : table.inputPositionOf(List.of(key));
         return new InvalidInputException(
-                TomlFile.positionPrefix(file, at) + path + "." + key + " " + needs);
+                TomlFile.positionPrefix(fileName, position) + path + "." + key + " " + problem);
     }
 
-    private InvalidInputException missing(String key) {
-        return new InvalidInputException(file + ": " + path + "." + key + " is missing");
+    private InvalidInputException missingKeyError(String key) {
+        return new InvalidInputException(fileName + ": " + path + "." + key + " is missing");
     }
 
-    private Object value(String key) {
-        known.add(key);
+    /** Returns the value of a key, or null if it is absent, and records the key as known. */
+    private Object findValue(String key) {
+        requestedKeys.add(key);
         return table == null ? null : table.get(List.of(key));
     }
 
+    /**
+     * Checks this table and the tables within it for keys that were never read.
+     *
+     * @throws InvalidInputException for the first such key
+     */
     void rejectUnknownKeys() {
         if (table == null) {
             return;
         }
         for (String key : table.keySet()) {
-            if (!known.contains(key)) {
+            if (!requestedKeys.contains(key)) {
                 throw new InvalidInputException(
-                        TomlFile.positionPrefix(file, table.inputPositionOf(List.of(key)))
+                        TomlFile.positionPrefix(fileName, table.inputPositionOf(List.of(key)))
                                 + "no such key: "
                                 + path
                                 + "."
                                 + key
-                                + SpellingSuggestion.suggestionSuffix(key, known));
+                                + SpellingSuggestion.suggestionSuffix(key, requestedKeys));
             }
         }
-        inner.values().forEach(TomlSection::rejectUnknownKeys);
-        listed.forEach(TomlSection::rejectUnknownKeys);
+        subsections.values().forEach(TomlSection::rejectUnknownKeys);
+        listedSections.forEach(TomlSection::rejectUnknownKeys);
     }
 }
