--- a/cli/src/main/java/mulleinlever/cli/StateCommand.java
+++ b/cli/src/main/java/mulleinlever/cli/StateCommand.java
@@ -291,9 +291,9 @@
                             .getOut()
                             .println(
                                     file
-                                            + ": intact, sequence number "
+                                            + ": sound, number "
                                             + snapshot.head().sequence()
-                                            + " of sidecar "
+                                            + " of "
                                             + snapshot.head().instance()
                                             + ", "
                                             + snapshot.pods().size()
