--- a/disk/src/main/java/mulleinlever/disk/Directory.java
+++ b/disk/src/main/java/mulleinlever/disk/Directory.java
@@ -31,7 +31,7 @@
      *     for them
      * @throws java.nio.file.NoSuchFileException where there is no such file
      */
-    byte[] read(String name, long most) throws IOException;
+    byte[] read(String name, long maxBytes) throws IOException;
 
     /** A new and empty file, in place of any of that name. */
     FileOutput create(String name) throws IOException;
@@ -55,8 +55,8 @@
     final class FileTooLargeException extends IOException {
         private static final long serialVersionUID = 1L;
 
-        public FileTooLargeException(String name, long size, long most) {
-            super(name + " has " + size + " bytes, more than " + most);
+        public FileTooLargeException(String name, long sizeBytes, long maxBytes) {
+            super(name + " has " + sizeBytes + " bytes, more than " + maxBytes);
         }
     }
 }
--- a/disk/src/main/java/mulleinlever/disk/FaultInjectingDirectory.java
+++ b/disk/src/main/java/mulleinlever/disk/FaultInjectingDirectory.java
@@ -36,30 +36,30 @@
         }
     }
 
-    private static final class Content {
-        private byte[] forced = new byte[0];
-        private final ByteArrayOutputStream now = new ByteArrayOutputStream();
+    private static final class FileContent {
+        private byte[] forcedBytes = new byte[0];
+        private final ByteArrayOutputStream writtenBytes = new ByteArrayOutputStream();
 
         /** Where each write since the last force began. */
-        private final List<Integer> writes = new ArrayList<>();
+        private final List<Integer> unforcedWriteOffsets = new ArrayList<>();
     }
 
     /**
      * A change of names that a force has not made sure yet: a file given a name, or a name taken
      * away, or both.
      */
-    private record Naming(String gone, String name, Content content) {}
+    private record NameChange(String removedName, String addedName, FileContent content) {}
 
     private final SplittableRandom random;
-    private final TreeMap<String, Content> names = new TreeMap<>();
-    private final TreeMap<String, Content> forcedNames = new TreeMap<>();
-    private final List<Naming> namings = new ArrayList<>();
-    private final List<String> locked = new ArrayList<>();
-    private Fault trouble;
-    private int troubleAt = -1;
-    private int calls;
+    private final TreeMap<String, FileContent> files = new TreeMap<>();
+    private final TreeMap<String, FileContent> forcedFiles = new TreeMap<>();
+    private final List<NameChange> unforcedChanges = new ArrayList<>();
+    private final List<String> lockedNames = new ArrayList<>();
+    private Fault injectedFault;
+    private int faultCallIndex = -1;
+    private int callCount;
     private boolean crashed;
-    private CountDownLatch hung;
+    private CountDownLatch unblockLatch;
 
     public FaultInjectingDirectory(long seed) {
         this.random = new SplittableRandom(seed);
@@ -69,14 +69,14 @@
      * Lets trouble befall the call of that number, counted from 0 over all calls that touch the
      * disk.
      */
-    public synchronized void injectFault(Fault what, int atCall) {
-        trouble = what;
-        troubleAt = atCall;
+    public synchronized void injectFault(Fault fault, int callIndex) {
+        injectedFault = fault;
+        faultCallIndex = callIndex;
     }
 
     /** How many calls there were. */
     public synchronized int callCount() {
-        return calls;
+        return callCount;
     }
 
     /** Whether the process that used it has ended. */
@@ -86,77 +86,83 @@
 
     /** From now on calls wait until {@link #unblockCalls}. */
     public synchronized void blockCalls() {
-        hung = new CountDownLatch(1);
+        unblockLatch = new CountDownLatch(1);
     }
 
     public synchronized void unblockCalls() {
-        hung.countDown();
-        hung = null;
+        unblockLatch.countDown();
+        unblockLatch = null;
     }
 
     /** What another start finds after a crash now: this disk is not changed by it. */
     public synchronized FaultInjectingDirectory copyAfterCrash(long seed) {
-        FaultInjectingDirectory next = new FaultInjectingDirectory(seed);
-        TreeMap<String, Content> left = new TreeMap<>(forcedNames);
-        for (Naming n : namings) {
-            if (next.random.nextBoolean()) {
-                rename(left, n);
+        FaultInjectingDirectory copy = new FaultInjectingDirectory(seed);
+        TreeMap<String, FileContent> survivingFiles = new TreeMap<>(forcedFiles);
+        for (NameChange change : unforcedChanges) {
+            if (copy.random.nextBoolean()) {
+                applyChange(survivingFiles, change);
             }
         }
-        left.forEach(
+        survivingFiles.forEach(
                 (name, content) -> {
-                    Content c = new Content();
-                    c.forced = survives(content, next.random);
-                    c.now.writeBytes(c.forced);
-                    next.names.put(name, c);
-                    next.forcedNames.put(name, c);
+                    FileContent survivingContent = new FileContent();
+                    survivingContent.forcedBytes = survivingBytes(content, copy.random);
+                    survivingContent.writtenBytes.writeBytes(survivingContent.forcedBytes);
+                    copy.files.put(name, survivingContent);
+                    copy.forcedFiles.put(name, survivingContent);
                 });
-        return next;
+        return copy;
     }
 
-    private static byte[] survives(Content c, SplittableRandom random) {
-        byte[] all = c.now.toByteArray();
-        byte[] left = Arrays.copyOf(c.forced, all.length);
-        int length = c.forced.length;
-        for (int i = 0; i < c.writes.size(); i++) {
-            int from = c.writes.get(i);
-            int to = i + 1 < c.writes.size() ? c.writes.get(i + 1) : all.length;
-            int some =
+    private static byte[] survivingBytes(FileContent content, SplittableRandom random) {
+        byte[] written = content.writtenBytes.toByteArray();
+        byte[] surviving = Arrays.copyOf(content.forcedBytes, written.length);
+        int length = content.forcedBytes.length;
+        for (int i = 0; i < content.unforcedWriteOffsets.size(); i++) {
+            int start = content.unforcedWriteOffsets.get(i);
+            int end =
+                    i + 1 < content.unforcedWriteOffsets.size()
+                            ? content.unforcedWriteOffsets.get(i + 1)
+                            : written.length;
+            int survivingEnd =
                     switch (random.nextInt(3)) {
-                        case 0 -> from;
-                        case 1 -> to;
-                        default -> from + random.nextInt(to - from + 1);
+                        case 0 -> start;
+                        case 1 -> end;
+                        default -> start + random.nextInt(end - start + 1);
                     };
-            System.arraycopy(all, from, left, from, some - from);
+            System.arraycopy(written, start, surviving, start, survivingEnd - start);
             // The length may be on the disk before the bytes are: what lies between reads as zeros.
-            length = some > from ? Math.max(length, random.nextBoolean() ? some : to) : length;
+            length =
+                    survivingEnd > start
+                            ? Math.max(length, random.nextBoolean() ? survivingEnd : end)
+                            : length;
         }
-        return Arrays.copyOf(left, length);
+        return Arrays.copyOf(surviving, length);
     }
 
-    private static void rename(TreeMap<String, Content> in, Naming n) {
-        if (n.gone != null) {
-            in.remove(n.gone);
+    private static void applyChange(TreeMap<String, FileContent> target, NameChange change) {
+        if (change.removedName != null) {
+            target.remove(change.removedName);
         }
-        if (n.name != null) {
-            in.put(n.name, n.content);
+        if (change.addedName != null) {
+            target.put(change.addedName, change.content);
         }
     }
 
-    private void change(Naming n) {
-        rename(names, n);
-        namings.add(n);
+    private void changeNames(NameChange change) {
+        applyChange(files, change);
+        unforcedChanges.add(change);
     }
 
     /** Whether this call is to be torn; other trouble is thrown. */
-    private boolean touch(String what) throws IOException {
-        CountDownLatch until;
+    private boolean beginCall(String subject) throws IOException {
+        CountDownLatch latch;
         synchronized (this) {
-            until = hung;
+            latch = unblockLatch;
         }
-        if (until != null) {
+        if (latch != null) {
             try {
-                until.await();
+                latch.await();
             } catch (InterruptedException e) {
                 throw new IOException("interrupted", e);
             }
@@ -165,12 +171,12 @@
             if (crashed) {
                 throw new SimulatedCrashError();
             }
-            if (calls++ != troubleAt) {
+            if (callCount++ != faultCallIndex) {
                 return false;
             }
-            switch (trouble) {
-                case IO_ERROR -> throw new IOException(what + ": Input/output error");
-                case NO_SPACE -> throw new IOException(what + ": No space left on device");
+            switch (injectedFault) {
+                case IO_ERROR -> throw new IOException(subject + ": Input/output error");
+                case NO_SPACE -> throw new IOException(subject + ": No space left on device");
                 case CRASH -> {
                     crashed = true;
                     return false;
@@ -183,7 +189,7 @@
     }
 
     /** A call in which the process ends may have done its work, but for a force. */
-    private synchronized void mayEndHere() {
+    private synchronized void throwIfCrashed() {
         if (crashed) {
             throw new SimulatedCrashError();
         }
@@ -191,124 +197,124 @@
 
     @Override
     public List<String> list() throws IOException {
-        touch("list");
-        mayEndHere();
+        beginCall("list");
+        throwIfCrashed();
         synchronized (this) {
-            return List.copyOf(names.keySet());
+            return List.copyOf(files.keySet());
         }
     }
 
     @Override
-    public byte[] read(String name, long most) throws IOException {
-        touch(name);
-        mayEndHere();
+    public byte[] read(String name, long maxBytes) throws IOException {
+        beginCall(name);
+        throwIfCrashed();
         synchronized (this) {
-            Content c = names.get(name);
-            if (c == null) {
+            FileContent content = files.get(name);
+            if (content == null) {
                 throw new NoSuchFileException(name);
             }
-            if (c.now.size() > most) {
-                throw new FileTooLargeException(name, c.now.size(), most);
+            if (content.writtenBytes.size() > maxBytes) {
+                throw new FileTooLargeException(name, content.writtenBytes.size(), maxBytes);
             }
-            return c.now.toByteArray();
+            return content.writtenBytes.toByteArray();
         }
     }
 
     /** Puts a file there as it stands, forced. */
     public synchronized void addForcedFile(String name, byte[] bytes) {
-        Content c = new Content();
-        c.forced = bytes.clone();
-        c.now.writeBytes(bytes);
-        names.put(name, c);
-        forcedNames.put(name, c);
+        FileContent content = new FileContent();
+        content.forcedBytes = bytes.clone();
+        content.writtenBytes.writeBytes(bytes);
+        files.put(name, content);
+        forcedFiles.put(name, content);
     }
 
     @Override
     public FileOutput create(String name) throws IOException {
-        touch(name);
-        Content c = new Content();
+        beginCall(name);
+        FileContent content = new FileContent();
         synchronized (this) {
-            change(new Naming(null, name, c));
+            changeNames(new NameChange(null, name, content));
         }
-        mayEndHere();
+        throwIfCrashed();
         return new FileOutput() {
             @Override
             public void write(ByteBuffer bytes) throws IOException {
-                boolean torn = touch(name);
+                boolean isTorn = beginCall(name);
                 synchronized (FaultInjectingDirectory.this) {
-                    byte[] all = new byte[torn ? bytes.remaining() / 2 : bytes.remaining()];
-                    bytes.get(all);
-                    c.writes.add(c.now.size());
-                    c.now.writeBytes(all);
+                    byte[] written = new byte[isTorn ? bytes.remaining() / 2 : bytes.remaining()];
+                    bytes.get(written);
+                    content.unforcedWriteOffsets.add(content.writtenBytes.size());
+                    content.writtenBytes.writeBytes(written);
                 }
-                mayEndHere();
-                if (torn) {
+                throwIfCrashed();
+                if (isTorn) {
                     throw new IOException(name + ": Input/output error");
                 }
             }
 
             @Override
             public void force() throws IOException {
-                touch(name);
-                mayEndHere();
+                beginCall(name);
+                throwIfCrashed();
                 synchronized (FaultInjectingDirectory.this) {
-                    c.forced = c.now.toByteArray();
-                    c.writes.clear();
+                    content.forcedBytes = content.writtenBytes.toByteArray();
+                    content.unforcedWriteOffsets.clear();
                 }
             }
 
             @Override
             public void close() throws IOException {
-                touch(name);
-                mayEndHere();
+                beginCall(name);
+                throwIfCrashed();
             }
         };
     }
 
     @Override
     public void rename(String from, String to) throws IOException {
-        touch(to);
+        beginCall(to);
         synchronized (this) {
-            Content c = names.get(from);
-            if (c == null) {
+            FileContent content = files.get(from);
+            if (content == null) {
                 throw new NoSuchFileException(from);
             }
-            change(new Naming(from, to, c));
+            changeNames(new NameChange(from, to, content));
         }
-        mayEndHere();
+        throwIfCrashed();
     }
 
     @Override
     public void delete(String name) throws IOException {
-        touch(name);
+        beginCall(name);
         synchronized (this) {
-            if (names.containsKey(name)) {
-                change(new Naming(name, null, null));
+            if (files.containsKey(name)) {
+                changeNames(new NameChange(name, null, null));
             }
         }
-        mayEndHere();
+        throwIfCrashed();
     }
 
     @Override
     public void forceDirectory() throws IOException {
-        touch("folder");
-        mayEndHere();
+        beginCall("folder");
+        throwIfCrashed();
         synchronized (this) {
-            forcedNames.clear();
-            forcedNames.putAll(names);
-            namings.clear();
+            forcedFiles.clear();
+            forcedFiles.putAll(files);
+            unforcedChanges.clear();
         }
     }
 
     @Override
     public synchronized Closeable tryLock(String name) {
-        if (locked.contains(name)) {
+        if (lockedNames.contains(name)) {
             return null;
         }
-        locked.add(name);
+        lockedNames.add(name);
         return () -> {
             synchronized (this) {
-                locked.remove(name);
+                lockedNames.remove(name);
             }
         };
     }
--- a/disk/src/main/java/mulleinlever/disk/FileSystemDirectory.java
+++ b/disk/src/main/java/mulleinlever/disk/FileSystemDirectory.java
@@ -18,49 +18,49 @@
 
 /** A folder of the file system. */
 public final class FileSystemDirectory implements Directory {
-    private final Path folder;
+    private final Path path;
 
-    public FileSystemDirectory(Path folder) {
-        this.folder = folder;
+    public FileSystemDirectory(Path path) {
+        this.path = path;
     }
 
     /** Makes the folder, and those it lies in, where they are missing. */
     public void createDirectories() throws IOException {
-        Files.createDirectories(folder);
+        Files.createDirectories(path);
     }
 
     @Override
     public List<String> list() throws IOException {
         List<String> names = new ArrayList<>();
-        try (DirectoryStream<Path> all = Files.newDirectoryStream(folder)) {
-            all.forEach(p -> names.add(p.getFileName().toString()));
+        try (DirectoryStream<Path> entries = Files.newDirectoryStream(path)) {
+            entries.forEach(p -> names.add(p.getFileName().toString()));
         }
         Collections.sort(names);
         return names;
     }
 
     @Override
-    public byte[] read(String name, long most) throws IOException {
-        try (FileChannel in = FileChannel.open(folder.resolve(name), StandardOpenOption.READ)) {
-            long size = in.size();
-            if (size > most) {
-                throw new FileTooLargeException(name, size, most);
+    public byte[] read(String name, long maxBytes) throws IOException {
+        try (FileChannel in = FileChannel.open(path.resolve(name), StandardOpenOption.READ)) {
+            long sizeBytes = in.size();
+            if (sizeBytes > maxBytes) {
+                throw new FileTooLargeException(name, sizeBytes, maxBytes);
             }
-            ByteBuffer all = ByteBuffer.allocate((int) size);
-            while (all.hasRemaining()) {
-                if (in.read(all) < 0) {
+            ByteBuffer content = ByteBuffer.allocate((int) sizeBytes);
+            while (content.hasRemaining()) {
+                if (in.read(content) < 0) {
                     throw new EOFException(name + " became shorter while it was read");
                 }
             }
-            return all.array();
+            return content.array();
         }
     }
 
     @Override
     public FileOutput create(String name) throws IOException {
-        FileChannel to =
+        FileChannel channel =
                 FileChannel.open(
-                        folder.resolve(name),
+                        path.resolve(name),
                         StandardOpenOption.CREATE,
                         StandardOpenOption.WRITE,
                         StandardOpenOption.TRUNCATE_EXISTING);
@@ -68,59 +68,59 @@
             @Override
             public void write(ByteBuffer bytes) throws IOException {
                 while (bytes.hasRemaining()) {
-                    to.write(bytes);
+                    channel.write(bytes);
                 }
             }
 
             @Override
             public void force() throws IOException {
-                to.force(true);
+                channel.force(true);
             }
 
             @Override
             public void close() throws IOException {
-                to.close();
+                channel.close();
             }
         };
     }
 
     @Override
     public void rename(String from, String to) throws IOException {
-        Files.move(folder.resolve(from), folder.resolve(to), StandardCopyOption.ATOMIC_MOVE);
+        Files.move(path.resolve(from), path.resolve(to), StandardCopyOption.ATOMIC_MOVE);
     }
 
     @Override
     public void delete(String name) throws IOException {
-        Files.deleteIfExists(folder.resolve(name));
+        Files.deleteIfExists(path.resolve(name));
     }
 
     @Override
     public void forceDirectory() throws IOException {
-        try (FileChannel names = FileChannel.open(folder, StandardOpenOption.READ)) {
-            names.force(true);
+        try (FileChannel channel = FileChannel.open(path, StandardOpenOption.READ)) {
+            channel.force(true);
         }
     }
 
     @Override
     public Closeable tryLock(String name) throws IOException {
-        FileChannel at =
+        FileChannel channel =
                 FileChannel.open(
-                        folder.resolve(name), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
+                        path.resolve(name), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
         FileLock lock = null;
         try {
-            lock = at.tryLock();
+            lock = channel.tryLock();
         } catch (OverlappingFileLockException e) {
             // Held within this very process.
         } finally {
             if (lock == null) {
-                at.close();
+                channel.close();
             }
         }
-        return lock == null ? null : at;
+        return lock == null ? null : channel;
     }
 
     @Override
     public String toString() {
-        return folder.toString();
+        return path.toString();
     }
 }
--- a/disk/src/test/java/mulleinlever/disk/DirectoryTest.java
+++ b/disk/src/test/java/mulleinlever/disk/DirectoryTest.java
@@ -22,18 +22,19 @@
 class DirectoryTest {
     @TempDir Path tempDir;
 
-    private static ByteBuffer bytes(String text) {
-        return ByteBuffer.wrap(text.getBytes(StandardCharsets.US_ASCII));
+    private static ByteBuffer bytes(String content) {
+        return ByteBuffer.wrap(content.getBytes(StandardCharsets.US_ASCII));
     }
 
-    private static String text(Directory d, String name) throws IOException {
-        return new String(d.read(name, 1000), StandardCharsets.US_ASCII);
+    private static String text(Directory directory, String name) throws IOException {
+        return new String(directory.read(name, 1000), StandardCharsets.US_ASCII);
     }
 
-    private static void write(Directory d, String name, String... parts) throws IOException {
-        try (Directory.FileOutput out = d.create(name)) {
-            for (String p : parts) {
-                out.write(bytes(p));
+    private static void write(Directory directory, String name, String... parts)
+            throws IOException {
+        try (Directory.FileOutput out = directory.create(name)) {
+            for (String part : parts) {
+                out.write(bytes(part));
             }
             out.force();
         }
@@ -42,55 +43,55 @@
     /** The folder and the one in memory agree on what calls do. */
     @Test
     void implementationsBehaveAlike() throws IOException {
-        FileSystemDirectory real = new FileSystemDirectory(tempDir.resolve("a/b"));
-        assertThrows(NoSuchFileException.class, real::list);
-        real.createDirectories();
-        for (Directory d : List.of(real, new FaultInjectingDirectory(1))) {
-            write(d, "b", "one", "two");
-            write(d, "a", "x");
-            assertEquals(List.of("a", "b"), d.list());
-            assertEquals("onetwo", text(d, "b"));
-            d.rename("b", "a");
-            assertEquals("onetwo", text(d, "a"));
-            write(d, "a", "short");
-            assertEquals("short", text(d, "a"));
-            d.forceDirectory();
-            assertThrows(Directory.FileTooLargeException.class, () -> d.read("a", 4));
-            assertThrows(NoSuchFileException.class, () -> d.read("b", 4));
-            assertThrows(NoSuchFileException.class, () -> d.rename("b", "c"));
-            d.delete("a");
-            d.delete("a");
-            assertEquals(List.of(), d.list());
-            Closeable lock = d.tryLock("lock");
+        FileSystemDirectory onFileSystem = new FileSystemDirectory(tempDir.resolve("a/b"));
+        assertThrows(NoSuchFileException.class, onFileSystem::list);
+        onFileSystem.createDirectories();
+        for (Directory directory : List.of(onFileSystem, new FaultInjectingDirectory(1))) {
+            write(directory, "b", "one", "two");
+            write(directory, "a", "x");
+            assertEquals(List.of("a", "b"), directory.list());
+            assertEquals("onetwo", text(directory, "b"));
+            directory.rename("b", "a");
+            assertEquals("onetwo", text(directory, "a"));
+            write(directory, "a", "short");
+            assertEquals("short", text(directory, "a"));
+            directory.forceDirectory();
+            assertThrows(Directory.FileTooLargeException.class, () -> directory.read("a", 4));
+            assertThrows(NoSuchFileException.class, () -> directory.read("b", 4));
+            assertThrows(NoSuchFileException.class, () -> directory.rename("b", "c"));
+            directory.delete("a");
+            directory.delete("a");
+            assertEquals(List.of(), directory.list());
+            Closeable lock = directory.tryLock("lock");
             assertNotNull(lock);
-            assertNull(d.tryLock("lock"));
+            assertNull(directory.tryLock("lock"));
             lock.close();
-            d.tryLock("lock").close();
+            directory.tryLock("lock").close();
         }
     }
 
     @Test
     void forcedDataSurvivesCrashAndUnforcedMayNot() throws IOException {
-        Set<String> seen = new HashSet<>();
+        Set<String> outcomes = new HashSet<>();
         for (int seed = 0; seed < 200; seed++) {
-            FaultInjectingDirectory d = new FaultInjectingDirectory(seed);
-            Directory.FileOutput kept = d.create("kept");
+            FaultInjectingDirectory directory = new FaultInjectingDirectory(seed);
+            Directory.FileOutput kept = directory.create("kept");
             kept.write(bytes("sure"));
             kept.force();
-            d.forceDirectory();
+            directory.forceDirectory();
             kept.write(bytes("AB"));
             kept.write(bytes("CD"));
-            write(d, "tmp", "new");
-            d.rename("tmp", "new");
-            FaultInjectingDirectory after = d.copyAfterCrash(seed);
-            String left = text(after, "kept");
-            assertTrue(left.startsWith("sure"), left);
-            seen.add(
-                    left.replace('\0', '0')
-                            + after.list().contains("new")
-                            + after.list().contains("tmp"));
-            if (after.list().contains("new")) {
-                assertEquals("new", text(after, "new"));
+            write(directory, "tmp", "new");
+            directory.rename("tmp", "new");
+            FaultInjectingDirectory afterCrash = directory.copyAfterCrash(seed);
+            String survivingText = text(afterCrash, "kept");
+            assertTrue(survivingText.startsWith("sure"), survivingText);
+            outcomes.add(
+                    survivingText.replace('\0', '0')
+                            + afterCrash.list().contains("new")
+                            + afterCrash.list().contains("tmp"));
+            if (afterCrash.list().contains("new")) {
+                assertEquals("new", text(afterCrash, "new"));
             }
         }
         // Torn, out of order, and each naming with or without the one before it.
@@ -102,29 +103,30 @@
                         "sureA",
                         "surefalsetrue")) {
             assertTrue(
-                    seen.stream().anyMatch(s -> s.startsWith(possible)), possible + " of " + seen);
+                    outcomes.stream().anyMatch(s -> s.startsWith(possible)),
+                    possible + " of " + outcomes);
         }
     }
 
     @Test
     void faultHitsRequestedCall() throws IOException {
         for (int call = 0; call < 5; call++) {
-            FaultInjectingDirectory d = new FaultInjectingDirectory(1);
-            d.injectFault(FaultInjectingDirectory.Fault.IO_ERROR, call);
+            FaultInjectingDirectory directory = new FaultInjectingDirectory(1);
+            directory.injectFault(FaultInjectingDirectory.Fault.IO_ERROR, call);
             assertThrows(
                     IOException.class,
                     () -> {
-                        write(d, "a", "x");
-                        d.list();
+                        write(directory, "a", "x");
+                        directory.list();
                     });
         }
         FaultInjectingDirectory torn = new FaultInjectingDirectory(1);
         torn.injectFault(FaultInjectingDirectory.Fault.TORN_WRITE, 1);
         assertThrows(IOException.class, () -> write(torn, "a", "1234"));
         assertArrayEquals("12".getBytes(StandardCharsets.US_ASCII), torn.read("a", 9));
-        FaultInjectingDirectory dead = new FaultInjectingDirectory(1);
-        dead.injectFault(FaultInjectingDirectory.Fault.CRASH, 0);
-        assertThrows(FaultInjectingDirectory.SimulatedCrashError.class, () -> dead.create("a"));
-        assertThrows(FaultInjectingDirectory.SimulatedCrashError.class, dead::list);
+        FaultInjectingDirectory crashed = new FaultInjectingDirectory(1);
+        crashed.injectFault(FaultInjectingDirectory.Fault.CRASH, 0);
+        assertThrows(FaultInjectingDirectory.SimulatedCrashError.class, () -> crashed.create("a"));
+        assertThrows(FaultInjectingDirectory.SimulatedCrashError.class, crashed::list);
     }
 }
--- a/state/src/main/java/mulleinlever/state/SnapshotBuilder.java
+++ b/state/src/main/java/mulleinlever/state/SnapshotBuilder.java
@@ -16,48 +16,48 @@
  */
 public final class SnapshotBuilder {
     /** Pieces between two looks at the clock: some microseconds of work. */
-    private static final int BETWEEN_LOOKS = 16;
+    private static final int VALUES_PER_CLOCK_READ = 16;
 
-    private final Iterator<LearnedState> pieces;
-    private final Function<String, String> addresses;
+    private final Iterator<LearnedState> values;
+    private final Function<String, String> addressOfPod;
     private final List<StateSnapshot.PodSnapshot> pods = new ArrayList<>();
-    private final List<LearnedState> learned = new ArrayList<>();
+    private final List<LearnedState> learnedValues = new ArrayList<>();
 
     /**
-     * @param pieces what a policy gives out
-     * @param addresses where a pod listens, by its id; null for pods whose address is not known,
+     * @param values what a policy gives out
+     * @param addressOfPod where a pod listens, by its id; null for pods whose address is not known,
      *     which are left out
      */
-    public SnapshotBuilder(Iterator<LearnedState> pieces, Function<String, String> addresses) {
-        this.pieces = pieces;
-        this.addresses = addresses;
+    public SnapshotBuilder(Iterator<LearnedState> values, Function<String, String> addressOfPod) {
+        this.values = values;
+        this.addressOfPod = addressOfPod;
     }
 
     /** Takes pieces until a time, some at least; true once all are taken. */
-    public boolean collectUntil(LongSupplier clock, long untilNs) {
-        for (int i = 1; pieces.hasNext(); i++) {
-            take(pieces.next());
-            if (i % BETWEEN_LOOKS == 0 && clock.getAsLong() >= untilNs) {
-                return !pieces.hasNext();
+    public boolean collectUntil(LongSupplier clock, long deadlineNs) {
+        for (int i = 1; values.hasNext(); i++) {
+            add(values.next());
+            if (i % VALUES_PER_CLOCK_READ == 0 && clock.getAsLong() >= deadlineNs) {
+                return !values.hasNext();
             }
         }
         return true;
     }
 
-    private void take(LearnedState one) {
-        if (!(one instanceof LearnedState.PodStats p)) {
-            learned.add(one);
+    private void add(LearnedState value) {
+        if (!(value instanceof LearnedState.PodStats pod)) {
+            learnedValues.add(value);
             return;
         }
         String address =
-                p.is().state() == PodEntry.State.GONE ? null : addresses.apply(p.is().id());
+                pod.is().state() == PodEntry.State.GONE ? null : addressOfPod.apply(pod.is().id());
         if (address != null) {
-            pods.add(new StateSnapshot.PodSnapshot(address, p));
+            pods.add(new StateSnapshot.PodSnapshot(address, pod));
         }
     }
 
     /** What was captured, under a head whose number the keeper gives. */
-    public StateSnapshot toSnapshot(StateSnapshot.Header head, RolloutStatus news) {
-        return new StateSnapshot(head, news, pods, learned);
+    public StateSnapshot toSnapshot(StateSnapshot.Header head, RolloutStatus rolloutStatus) {
+        return new StateSnapshot(head, rolloutStatus, pods, learnedValues);
     }
 }
--- a/state/src/main/java/mulleinlever/state/SnapshotFilter.java
+++ b/state/src/main/java/mulleinlever/state/SnapshotFilter.java
@@ -34,22 +34,22 @@
         /** For one line of a log: how many of each sort. */
         @Override
         public String toString() {
-            Map<String, Long> sorts =
+            Map<String, Long> countByCategory =
                     restoredValues.stream()
                             .collect(
                                     Collectors.groupingBy(
-                                            SnapshotFilter::sort,
+                                            SnapshotFilter::categoryName,
                                             TreeMap::new,
                                             Collectors.counting()));
-            String taken =
-                    sorts.isEmpty()
+            String restored =
+                    countByCategory.isEmpty()
                             ? "nothing"
-                            : sorts.entrySet().stream()
+                            : countByCategory.entrySet().stream()
                                     .map(e -> e.getValue() + " " + e.getKey())
                                     .collect(Collectors.joining(", "));
             return rejectedCounts.isEmpty()
-                    ? taken
-                    : taken
+                    ? restored
+                    : restored
                             + "; left out: "
                             + rejectedCounts.entrySet().stream()
                                     .map(e -> e.getValue() + " " + e.getKey())
@@ -59,8 +59,8 @@
 
     private SnapshotFilter() {}
 
-    private static String sort(LearnedState one) {
-        return switch (StateDecay.categoryOf(one)) {
+    private static String categoryName(LearnedState value) {
+        return switch (StateDecay.categoryOf(value)) {
             case PODS -> "pods";
             case LINKS -> "links";
             case ROUTES -> "routes";
@@ -70,59 +70,68 @@
     }
 
     /** What holds of all that was kept, after that age. */
-    public static RestoreResult filter(StateSnapshot kept, long ageNs, RestoreContext here) {
-        List<LearnedState> taken = new ArrayList<>();
-        Map<String, Integer> leftOut = new TreeMap<>();
-        for (StateSnapshot.PodSnapshot p : kept.pods()) {
-            sift(p.learned(), misfit(p, kept, here), ageNs, taken, leftOut);
+    public static RestoreResult filter(StateSnapshot snapshot, long ageNs, RestoreContext context) {
+        List<LearnedState> restored = new ArrayList<>();
+        Map<String, Integer> rejectedCounts = new TreeMap<>();
+        for (StateSnapshot.PodSnapshot pod : snapshot.pods()) {
+            addOrReject(
+                    pod.learned(),
+                    mismatch(pod, snapshot, context),
+                    ageNs,
+                    restored,
+                    rejectedCounts);
         }
-        for (LearnedState one : kept.learnedValues()) {
-            sift(one, misfit(one, kept, here), ageNs, taken, leftOut);
+        for (LearnedState value : snapshot.learnedValues()) {
+            addOrReject(value, mismatch(value, snapshot, context), ageNs, restored, rejectedCounts);
         }
-        return new RestoreResult(taken, leftOut);
+        return new RestoreResult(restored, rejectedCounts);
     }
 
-    private static void sift(
-            LearnedState one,
-            String misfit,
+    private static void addOrReject(
+            LearnedState value,
+            String mismatch,
             long ageNs,
-            List<LearnedState> taken,
-            Map<String, Integer> leftOut) {
-        LearnedState aged = misfit == null ? StateDecay.decay(one, ageNs) : null;
-        if (aged != null) {
-            taken.add(aged);
+            List<LearnedState> restored,
+            Map<String, Integer> rejectedCounts) {
+        LearnedState decayed = mismatch == null ? StateDecay.decay(value, ageNs) : null;
+        if (decayed != null) {
+            restored.add(decayed);
         } else {
-            leftOut.merge(sort(one) + (misfit == null ? " faded" : " " + misfit), 1, Integer::sum);
+            rejectedCounts.merge(
+                    categoryName(value) + (mismatch == null ? " faded" : " " + mismatch),
+                    1,
+                    Integer::sum);
         }
     }
 
     /** Why a pod's past is not its own any more; null where it is. */
-    private static String misfit(
-            StateSnapshot.PodSnapshot p, StateSnapshot kept, RestoreContext here) {
-        PodEntry then = p.learned().is();
-        PodEntry now = here.pods().get(then.id());
-        if (now == null || now.state() == PodEntry.State.GONE) {
+    private static String mismatch(
+            StateSnapshot.PodSnapshot pod, StateSnapshot snapshot, RestoreContext context) {
+        PodEntry saved = pod.learned().is();
+        PodEntry current = context.pods().get(saved.id());
+        if (current == null || current.state() == PodEntry.State.GONE) {
             return "gone";
         }
-        if (now.startedNs() != then.startedNs() || now.build() != then.build()) {
+        if (current.startedNs() != saved.startedNs() || current.build() != saved.build()) {
             return "started anew";
         }
-        if (!p.address().equals(here.podAddresses().get(then.id()))) {
+        if (!pod.address().equals(context.podAddresses().get(saved.id()))) {
             return "at another address";
         }
-        return kept.head().zone().equals(here.zone()) ? null : "seen from another zone";
+        return snapshot.head().zone().equals(context.zone()) ? null : "seen from another zone";
     }
 
-    private static String misfit(LearnedState one, StateSnapshot kept, RestoreContext here) {
-        if (one instanceof LearnedState.ConnectionStats
-                && !kept.head().zone().equals(here.zone())) {
+    private static String mismatch(
+            LearnedState value, StateSnapshot snapshot, RestoreContext context) {
+        if (value instanceof LearnedState.ConnectionStats
+                && !snapshot.head().zone().equals(context.zone())) {
             return "seen from another zone";
         }
         String route =
-                one instanceof LearnedState.RouteStats r
+                value instanceof LearnedState.RouteStats r
                         ? r.route()
-                        : one instanceof LearnedState.DetectorBaseline b ? b.route() : "";
-        return route.isEmpty() || here.routes().contains(route) ? null : "of no route here";
+                        : value instanceof LearnedState.DetectorBaseline b ? b.route() : "";
+        return route.isEmpty() || context.routes().contains(route) ? null : "of no route here";
     }
 
     /**
@@ -130,9 +139,9 @@
      * for none). A list that names too little or old addresses costs tries, until discovery tells
      * better.
      */
-    public static boolean isPodListUsable(StateSnapshot kept, long ageNs, long otherVersion) {
-        return kept.head().listVersion() > otherVersion
-                && !kept.pods().isEmpty()
+    public static boolean isPodListUsable(StateSnapshot snapshot, long ageNs, long otherVersion) {
+        return snapshot.head().listVersion() > otherVersion
+                && !snapshot.pods().isEmpty()
                 && StateDecay.remainingFraction(StateDecay.Category.POD_LIST, ageNs) > 0;
     }
 
@@ -140,17 +149,17 @@
      * The news that was kept where it allows less than what is told at the start, else null. What
      * allows more is never remembered: a cap that has been lowered meanwhile would be passed.
      */
-    public static RolloutStatus selectIfStricter(RolloutStatus kept, RolloutStatus told) {
-        boolean back =
-                kept.phase() == RolloutStatus.Phase.REVERTING
-                        || kept.phase() == RolloutStatus.Phase.WITHDRAWN;
-        boolean sooner =
-                kept.build() > told.build()
-                        || kept.build() == told.build()
-                                && (told.phase() == RolloutStatus.Phase.ON_TRIAL
-                                        || told.phase() == RolloutStatus.Phase.RELEASED);
-        return back && sooner
-                ? new RolloutStatus(kept.build(), kept.stage(), kept.phase(), 0, 0)
+    public static RolloutStatus selectIfStricter(RolloutStatus saved, RolloutStatus current) {
+        boolean isRevertingOrWithdrawn =
+                saved.phase() == RolloutStatus.Phase.REVERTING
+                        || saved.phase() == RolloutStatus.Phase.WITHDRAWN;
+        boolean isAheadOfCurrent =
+                saved.build() > current.build()
+                        || saved.build() == current.build()
+                                && (current.phase() == RolloutStatus.Phase.ON_TRIAL
+                                        || current.phase() == RolloutStatus.Phase.RELEASED);
+        return isRevertingOrWithdrawn && isAheadOfCurrent
+                ? new RolloutStatus(saved.build(), saved.stage(), saved.phase(), 0, 0)
                 : null;
     }
 }
--- a/state/src/main/java/mulleinlever/state/StateDecay.java
+++ b/state/src/main/java/mulleinlever/state/StateDecay.java
@@ -14,13 +14,13 @@
      */
     public static final long UNKNOWN_AGE_NS = -1;
 
-    private static final long SECOND = 1_000_000_000L;
-    private static final long MINUTE = 60 * SECOND;
-    private static final long HOUR = 60 * MINUTE;
-    private static final long DAY = 24 * HOUR;
+    private static final long SECOND_NS = 1_000_000_000L;
+    private static final long MINUTE_NS = 60 * SECOND_NS;
+    private static final long HOUR_NS = 60 * MINUTE_NS;
+    private static final long DAY_NS = 24 * HOUR_NS;
 
     /** Below so many outcomes a figure says nothing. */
-    private static final double LEAST = 0.1;
+    private static final double MIN_WEIGHT = 0.1;
 
     /** What fades alike: its half-life, and the age beyond which nothing of it is taken. */
     public enum Category {
@@ -28,29 +28,29 @@
          * A slow or hung pod is restarted or recovers within minutes; wrong suspicion of it costs
          * room.
          */
-        PODS(MINUTE, 15 * MINUTE, false),
+        PODS(MINUTE_NS, 15 * MINUTE_NS, false),
         /** Connections are refused while something lasts, and others hold on to them since. */
-        LINKS(15 * SECOND, 2 * MINUTE, false),
+        LINKS(15 * SECOND_NS, 2 * MINUTE_NS, false),
         /** What a route's work takes changes with builds and the hour of the day. */
-        ROUTES(10 * MINUTE, DAY, true),
+        ROUTES(10 * MINUTE_NS, DAY_NS, true),
         /** The earlier build's share of failures, as long as it is the earlier build. */
-        BASELINES(HOUR, DAY, true),
+        BASELINES(HOUR_NS, DAY_NS, true),
         /** A rule, not an estimate: it does not fade, but long after its build it binds nothing. */
-        KEYS(Long.MAX_VALUE, DAY, true),
+        KEYS(Long.MAX_VALUE, DAY_NS, true),
         /**
          * Discovery tells better at once; where it can't, an old list may name addresses that are
          * others' now.
          */
-        POD_LIST(Long.MAX_VALUE, HOUR, false);
+        POD_LIST(Long.MAX_VALUE, HOUR_NS, false);
 
         final long halfLifeNs;
         final long maxAgeNs;
         final boolean isUsedAtUnknownAge;
 
-        Category(long halfLifeNs, long mostNs, boolean agelessToo) {
+        Category(long halfLifeNs, long maxAgeNs, boolean isUsedAtUnknownAge) {
             this.halfLifeNs = halfLifeNs;
-            this.maxAgeNs = mostNs;
-            this.isUsedAtUnknownAge = agelessToo;
+            this.maxAgeNs = maxAgeNs;
+            this.isUsedAtUnknownAge = isUsedAtUnknownAge;
         }
     }
 
@@ -66,68 +66,78 @@
     }
 
     /** The part of a figure's weight that is left; 0 where the group is dropped. */
-    public static double remainingFraction(Category group, long ageNs) {
+    public static double remainingFraction(Category category, long ageNs) {
         if (ageNs == UNKNOWN_AGE_NS) {
-            return group.isUsedAtUnknownAge ? 0.5 : 0;
+            return category.isUsedAtUnknownAge ? 0.5 : 0;
         }
-        return ageNs > group.maxAgeNs ? 0 : Math.pow(0.5, (double) ageNs / group.halfLifeNs);
+        return ageNs > category.maxAgeNs ? 0 : Math.pow(0.5, (double) ageNs / category.halfLifeNs);
     }
 
-    static Category categoryOf(LearnedState one) {
-        return one instanceof LearnedState.PodStats
+    static Category categoryOf(LearnedState value) {
+        return value instanceof LearnedState.PodStats
                 ? Category.PODS
-                : one instanceof LearnedState.ConnectionStats
+                : value instanceof LearnedState.ConnectionStats
                         ? Category.LINKS
-                        : one instanceof LearnedState.RouteStats
+                        : value instanceof LearnedState.RouteStats
                                 ? Category.ROUTES
-                                : one instanceof LearnedState.DetectorBaseline
+                                : value instanceof LearnedState.DetectorBaseline
                                         ? Category.BASELINES
                                         : Category.KEYS;
     }
 
     /** What is left of one thing learned; null where nothing is. */
-    public static LearnedState decay(LearnedState one, long ageNs) {
-        double left = remainingFraction(categoryOf(one), ageNs);
-        if (left == 0) {
+    public static LearnedState decay(LearnedState value, long ageNs) {
+        double remaining = remainingFraction(categoryOf(value), ageNs);
+        if (remaining == 0) {
             return null;
         }
-        if (one instanceof LearnedState.PodStats p) {
-            LearnedState.PodStats aged =
+        if (value instanceof LearnedState.PodStats pod) {
+            LearnedState.PodStats decayed =
                     new LearnedState.PodStats(
-                            p.is(),
-                            faded(p.slowness(), left),
-                            faded(p.late(), left),
-                            (int) Math.round(p.strikes() * left));
-            return aged.slowness().weight() + aged.late().weight() + aged.strikes() > 0
-                    ? aged
+                            pod.is(),
+                            decayMean(pod.slowness(), remaining),
+                            decayMean(pod.late(), remaining),
+                            (int) Math.round(pod.strikes() * remaining));
+            return decayed.slowness().weight() + decayed.late().weight() + decayed.strikes() > 0
+                    ? decayed
                     : null;
         }
-        if (one instanceof LearnedState.ConnectionStats l) {
-            LearnedState.ConnectionStats aged =
+        if (value instanceof LearnedState.ConnectionStats connections) {
+            LearnedState.ConnectionStats decayed =
                     new LearnedState.ConnectionStats(
-                            faded(l.refused(), left), faded(l.unanswered(), left));
-            return aged.refused().weight() + aged.unanswered().weight() > 0 ? aged : null;
+                            decayMean(connections.refused(), remaining),
+                            decayMean(connections.unanswered(), remaining));
+            return decayed.refused().weight() + decayed.unanswered().weight() > 0 ? decayed : null;
         }
-        if (one instanceof LearnedState.RouteStats r) {
-            LearnedState.RouteStats aged =
+        if (value instanceof LearnedState.RouteStats route) {
+            LearnedState.RouteStats decayed =
                     new LearnedState.RouteStats(
-                            r.route(), r.build(), faded(r.times(), left), faded(r.usual(), left));
-            return aged.times().weight() + aged.usual().weight() > 0 ? aged : null;
+                            route.route(),
+                            route.build(),
+                            decayMean(route.times(), remaining),
+                            decayMean(route.usual(), remaining));
+            return decayed.times().weight() + decayed.usual().weight() > 0 ? decayed : null;
         }
-        if (one instanceof LearnedState.DetectorBaseline b) {
-            double samples = b.samples() * left;
+        if (value instanceof LearnedState.DetectorBaseline baseline) {
+            double samples = baseline.samples() * remaining;
             return samples < 1
                     ? null
                     : new LearnedState.DetectorBaseline(
-                            b.build(), b.route(), b.ofLate(), b.mean(), b.deviation(), samples);
+                            baseline.build(),
+                            baseline.route(),
+                            baseline.ofLate(),
+                            baseline.mean(),
+                            baseline.deviation(),
+                            samples);
         }
-        return one;
+        return value;
     }
 
-    private static LearnedState.WeightedMean faded(LearnedState.WeightedMean f, double left) {
-        double weight = f.weight() * left;
-        return weight < LEAST
+    private static LearnedState.WeightedMean decayMean(
+            LearnedState.WeightedMean mean, double remaining) {
+        double weight = mean.weight() * remaining;
+        return weight < MIN_WEIGHT
                 ? new LearnedState.WeightedMean(0, 0)
-                : new LearnedState.WeightedMean(f.mean(), weight);
+                : new LearnedState.WeightedMean(mean.mean(), weight);
     }
 }
--- a/state/src/main/java/mulleinlever/state/StateFileFormat.java
+++ b/state/src/main/java/mulleinlever/state/StateFileFormat.java
@@ -33,12 +33,12 @@
 final class StateFileFormat {
     static final int FORMAT_VERSION = 1;
     static final byte[] MAGIC = {(byte) 0x89, 'M', 'L', 'S', 'T', '\r', '\n', 0x1a};
-    private static final int HEAD = 20;
+    private static final int SECTION_HEADER_BYTES = 20;
 
     /** Our schemas take less than a thousand bytes; nothing honest comes near this. */
-    private static final int LONGEST_SCHEMA = 1 << 16;
+    private static final int MAX_SCHEMA_BYTES = 1 << 16;
 
-    private static final int END = sectionTag("END ");
+    private static final int END_TAG = sectionTag("END ");
 
     /** What one kind of section holds. */
     private enum Section {
@@ -50,12 +50,12 @@
         PODS,
         KEYS;
 
-        private final int kind = StateFileFormat.sectionTag((name() + " ").substring(0, 4));
-        private final Schema schema = schema(name());
+        private final int tag = StateFileFormat.sectionTag((name() + " ").substring(0, 4));
+        private final Schema schema = loadSchema(name());
 
-        private static Schema schema(String of) {
+        private static Schema loadSchema(String sectionName) {
             String file =
-                    switch (of) {
+                    switch (sectionName) {
                         case "HEAD" -> "head";
                         case "NEWS" -> "news";
                         case "LINK" -> "links";
@@ -78,94 +78,103 @@
         return ByteBuffer.wrap(name.getBytes(StandardCharsets.US_ASCII)).getInt();
     }
 
-    private static String name(int kind) {
+    private static String tagName(int tag) {
         String text =
-                new String(
-                        ByteBuffer.allocate(4).putInt(kind).array(), StandardCharsets.ISO_8859_1);
+                new String(ByteBuffer.allocate(4).putInt(tag).array(), StandardCharsets.ISO_8859_1);
         return text.chars().allMatch(c -> c >= ' ' && c <= '~')
                 ? text.trim()
-                : String.format("%08x", kind);
+                : String.format("%08x", tag);
     }
 
     // ---- Writing.
 
-    static byte[] encode(StateSnapshot kept) {
+    static byte[] encode(StateSnapshot snapshot) {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         out.writeBytes(MAGIC);
         out.writeBytes(ByteBuffer.allocate(4).putInt(FORMAT_VERSION).array());
-        writeSection(out, Section.HEAD, List.of(kept.head()), StateFileFormat::put);
-        writeSection(out, Section.NEWS, List.of(kept.rolloutStatus()), StateFileFormat::put);
+        writeSection(out, Section.HEAD, List.of(snapshot.head()), StateFileFormat::writeFields);
+        writeSection(
+                out, Section.NEWS, List.of(snapshot.rolloutStatus()), StateFileFormat::writeFields);
         writeSection(
                 out,
                 Section.LINK,
-                only(kept, LearnedState.ConnectionStats.class),
-                StateFileFormat::put);
+                valuesOfType(snapshot, LearnedState.ConnectionStats.class),
+                StateFileFormat::writeFields);
         writeSection(
-                out, Section.ROUT, only(kept, LearnedState.RouteStats.class), StateFileFormat::put);
+                out,
+                Section.ROUT,
+                valuesOfType(snapshot, LearnedState.RouteStats.class),
+                StateFileFormat::writeFields);
         writeSection(
                 out,
                 Section.BASE,
-                only(kept, LearnedState.DetectorBaseline.class),
-                StateFileFormat::put);
-        writeSection(out, Section.PODS, kept.pods(), StateFileFormat::put);
+                valuesOfType(snapshot, LearnedState.DetectorBaseline.class),
+                StateFileFormat::writeFields);
+        writeSection(out, Section.PODS, snapshot.pods(), StateFileFormat::writeFields);
         writeSection(
-                out, Section.KEYS, only(kept, LearnedState.KeyBuild.class), StateFileFormat::put);
+                out,
+                Section.KEYS,
+                valuesOfType(snapshot, LearnedState.KeyBuild.class),
+                StateFileFormat::writeFields);
         writeSection(
                 out,
-                END,
+                END_TAG,
                 new byte[0],
                 Section.values().length,
                 ByteBuffer.allocate(8).putLong(out.size()).array());
         return out.toByteArray();
     }
 
-    private static <T> List<T> only(StateSnapshot kept, Class<T> type) {
-        return kept.learnedValues().stream().filter(type::isInstance).map(type::cast).toList();
+    private static <T> List<T> valuesOfType(StateSnapshot snapshot, Class<T> type) {
+        return snapshot.learnedValues().stream().filter(type::isInstance).map(type::cast).toList();
     }
 
-    private interface Put<T> {
-        void into(GenericRecord r, T value);
+    private interface FieldWriter<T> {
+        void writeFields(GenericRecord record, T value);
     }
 
     private static <T> void writeSection(
-            ByteArrayOutputStream to, Section s, List<T> all, Put<T> put) {
+            ByteArrayOutputStream out,
+            Section section,
+            List<T> values,
+            FieldWriter<T> fieldWriter) {
         ByteArrayOutputStream records = new ByteArrayOutputStream();
         BinaryEncoder encoder = EncoderFactory.get().binaryEncoder(records, null);
-        GenericDatumWriter<GenericRecord> writer = new GenericDatumWriter<>(s.schema);
+        GenericDatumWriter<GenericRecord> writer = new GenericDatumWriter<>(section.schema);
         try {
-            for (T one : all) {
-                GenericRecord r = new GenericData.Record(s.schema);
-                put.into(r, one);
-                writer.write(r, encoder);
+            for (T value : values) {
+                GenericRecord record = new GenericData.Record(section.schema);
+                fieldWriter.writeFields(record, value);
+                writer.write(record, encoder);
             }
             encoder.flush();
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
         writeSection(
-                to,
-                s.kind,
-                s.schema.toString().getBytes(StandardCharsets.UTF_8),
-                all.size(),
+                out,
+                section.tag,
+                section.schema.toString().getBytes(StandardCharsets.UTF_8),
+                values.size(),
                 records.toByteArray());
     }
 
     static void writeSection(
-            ByteArrayOutputStream to, int kind, byte[] schema, int count, byte[] records) {
-        ByteBuffer head =
-                ByteBuffer.allocate(HEAD)
-                        .putInt(kind)
+            ByteArrayOutputStream out, int tag, byte[] schema, int count, byte[] records) {
+        ByteBuffer header =
+                ByteBuffer.allocate(SECTION_HEADER_BYTES)
+                        .putInt(tag)
                         .putInt(schema.length)
                         .putInt(count)
                         .putInt(records.length);
-        head.putInt(crc(head.array(), 0, HEAD - 4));
-        to.writeBytes(head.array());
-        to.writeBytes(schema);
-        to.writeBytes(records);
+        header.putInt(crc(header.array(), 0, SECTION_HEADER_BYTES - 4));
+        out.writeBytes(header.array());
+        out.writeBytes(schema);
+        out.writeBytes(records);
         CRC32C crc = new CRC32C();
         crc.update(schema);
         crc.update(records);
-        to.writeBytes(ByteBuffer.allocate(4).putInt((int) crc.getValue()).array());
+        out.writeBytes(ByteBuffer.allocate(4).putInt((int) crc.getValue()).array());
     }
 
     private static int crc(byte[] bytes, int from, int to) {
@@ -174,70 +183,73 @@
         return (int) crc.getValue();
     }
 
-    private static void put(GenericRecord r, StateSnapshot.Header h) {
-        r.put("writer", h.writer());
-        r.put("instance", h.instance());
-        r.put("machine", h.machine());
-        r.put("zone", h.zone());
-        r.put("start", h.start());
-        r.put("sequence", h.sequence());
-        r.put("unixMs", h.unixMs());
-        r.put("listVersion", h.listVersion());
+    private static void writeFields(GenericRecord record, StateSnapshot.Header header) {
+        record.put("writer", header.writer());
+        record.put("instance", header.instance());
+        record.put("machine", header.machine());
+        record.put("zone", header.zone());
+        record.put("start", header.start());
+        record.put("sequence", header.sequence());
+        record.put("unixMs", header.unixMs());
+        record.put("listVersion", header.listVersion());
     }
 
-    private static void put(GenericRecord r, RolloutStatus n) {
-        r.put("build", n.build());
-        r.put("stage", n.stage());
-        r.put("phase", n.phase().name());
-        r.put("cap", n.cap());
+    private static void writeFields(GenericRecord record, RolloutStatus status) {
+        record.put("build", status.build());
+        record.put("stage", status.stage());
+        record.put("phase", status.phase().name());
+        record.put("cap", status.cap());
     }
 
-    private static void put(GenericRecord r, LearnedState.ConnectionStats l) {
-        put(r, "refused", "refusedWeight", l.refused());
-        put(r, "unanswered", "unansweredWeight", l.unanswered());
+    private static void writeFields(GenericRecord record, LearnedState.ConnectionStats stats) {
+        writeFields(record, "refused", "refusedWeight", stats.refused());
+        writeFields(record, "unanswered", "unansweredWeight", stats.unanswered());
     }
 
-    private static void put(GenericRecord r, LearnedState.RouteStats l) {
-        r.put("route", l.route());
-        r.put("build", l.build());
-        put(r, "timesNs", "timesWeight", l.times());
-        put(r, "usualNs", "usualWeight", l.usual());
+    private static void writeFields(GenericRecord record, LearnedState.RouteStats stats) {
+        record.put("route", stats.route());
+        record.put("build", stats.build());
+        writeFields(record, "timesNs", "timesWeight", stats.times());
+        writeFields(record, "usualNs", "usualWeight", stats.usual());
     }
 
-    private static void put(GenericRecord r, LearnedState.DetectorBaseline l) {
-        r.put("build", l.build());
-        r.put("route", l.route());
-        r.put("ofLate", l.ofLate());
-        r.put("mean", l.mean());
-        r.put("deviation", l.deviation());
-        r.put("samples", l.samples());
+    private static void writeFields(GenericRecord record, LearnedState.DetectorBaseline stats) {
+        record.put("build", stats.build());
+        record.put("route", stats.route());
+        record.put("ofLate", stats.ofLate());
+        record.put("mean", stats.mean());
+        record.put("deviation", stats.deviation());
+        record.put("samples", stats.samples());
     }
 
-    private static void put(GenericRecord r, StateSnapshot.PodSnapshot p) {
-        PodEntry is = p.learned().is();
-        r.put("id", is.id());
-        r.put("address", p.address());
-        r.put("zone", is.zone());
-        r.put("kind", is.kind());
-        r.put("cell", is.cell());
-        r.put("build", is.build());
-        r.put("state", is.state().name());
-        r.put("weight", is.weight());
-        r.put("startedNs", is.startedNs());
-        put(r, "slowness", "slownessWeight", p.learned().slowness());
-        put(r, "late", "lateWeight", p.learned().late());
-        r.put("strikes", p.learned().strikes());
+    private static void writeFields(GenericRecord record, StateSnapshot.PodSnapshot pod) {
+        PodEntry entry = pod.learned().is();
+        record.put("id", entry.id());
+        record.put("address", pod.address());
+        record.put("zone", entry.zone());
+        record.put("kind", entry.kind());
+        record.put("cell", entry.cell());
+        record.put("build", entry.build());
+        record.put("state", entry.state().name());
+        record.put("weight", entry.weight());
+        record.put("startedNs", entry.startedNs());
+        writeFields(record, "slowness", "slownessWeight", pod.learned().slowness());
+        writeFields(record, "late", "lateWeight", pod.learned().late());
+        record.put("strikes", pod.learned().strikes());
     }
 
-    private static void put(GenericRecord r, LearnedState.KeyBuild k) {
-        r.put("key", k.key());
-        r.put("build", k.build());
+    private static void writeFields(GenericRecord record, LearnedState.KeyBuild keyBuild) {
+        record.put("key", keyBuild.key());
+        record.put("build", keyBuild.build());
     }
 
-    private static void put(
-            GenericRecord r, String mean, String weight, LearnedState.WeightedMean f) {
-        r.put(mean, f.mean());
-        r.put(weight, f.weight());
+    private static void writeFields(
+            GenericRecord record,
+            String meanField,
+            String weightField,
+            LearnedState.WeightedMean value) {
+        record.put(meanField, value.mean());
+        record.put(weightField, value.weight());
     }
 
     // ---- Reading.
@@ -245,32 +257,33 @@
     /**
      * Reads a whole file.
      *
-     * @param file what faults name it
-     * @param leftOut hears of each section that a later writer added and we do not know
+     * @param fileName what faults name it
+     * @param onSkippedSection hears of each section that a later writer added and we do not know
      */
-    static StateSnapshot decode(String file, byte[] bytes, Consumer<String> leftOut)
+    static StateSnapshot decode(String fileName, byte[] bytes, Consumer<String> onSkippedSection)
             throws StateFileException {
-        return new Reader(file, bytes, leftOut).read();
+        return new Reader(fileName, bytes, onSkippedSection).read();
     }
 
     private static final class Reader {
-        private final String file;
+        private final String fileName;
         private final ByteBuffer in;
-        private final Consumer<String> leftOut;
-        private StateSnapshot.Header head;
-        private RolloutStatus news;
+        private final Consumer<String> onSkippedSection;
+        private StateSnapshot.Header header;
+        private RolloutStatus rolloutStatus;
         private final List<StateSnapshot.PodSnapshot> pods = new ArrayList<>();
-        private final List<LearnedState> learned = new ArrayList<>();
-        private int sections;
+        private final List<LearnedState> learnedValues = new ArrayList<>();
+        private int sectionCount;
 
-        Reader(String file, byte[] bytes, Consumer<String> leftOut) {
-            this.file = file;
+        Reader(String fileName, byte[] bytes, Consumer<String> onSkippedSection) {
+            this.fileName = fileName;
             this.in = ByteBuffer.wrap(bytes);
-            this.leftOut = leftOut;
+            this.onSkippedSection = onSkippedSection;
         }
 
-        private StateFileException fault(StateFileException.Kind kind, int at, String what) {
-            return new StateFileException(kind, file + ": at byte " + at + ": " + what);
+        private StateFileException exceptionAt(
+                StateFileException.Kind kind, int offset, String problem) {
+            return new StateFileException(kind, fileName + ": at byte " + offset + ": " + problem);
         }
 
         StateSnapshot read() throws StateFileException {
@@ -278,164 +291,175 @@
             in.get(magic);
             for (int i = 0; i < magic.length; i++) {
                 if (magic[i] != MAGIC[i]) {
-                    throw fault(StateFileException.Kind.NOT_A_STATE_FILE, i, "not a file of state");
+                    throw exceptionAt(
+                            StateFileException.Kind.NOT_A_STATE_FILE, i, "not a file of state");
                 }
             }
-            need(4, "the version");
+            requireBytes(4, "the version");
             int version = in.getInt();
             if (version > FORMAT_VERSION) {
-                throw fault(
+                throw exceptionAt(
                         StateFileException.Kind.UNSUPPORTED_VERSION,
                         8,
                         "format " + version + ", and we know up to " + FORMAT_VERSION);
             }
             if (version < 1) {
-                throw fault(StateFileException.Kind.CORRUPT, 8, "no such format: " + version);
+                throw exceptionAt(StateFileException.Kind.CORRUPT, 8, "no such format: " + version);
             }
-            while (section()) {
-                sections++;
+            while (readSection()) {
+                sectionCount++;
             }
             if (in.hasRemaining()) {
-                throw fault(
+                throw exceptionAt(
                         StateFileException.Kind.CORRUPT,
                         in.position(),
                         in.remaining() + " bytes behind the end");
             }
-            if (head == null || news == null) {
-                throw fault(StateFileException.Kind.CORRUPT, 12, "no head or no news");
+            if (header == null || rolloutStatus == null) {
+                throw exceptionAt(StateFileException.Kind.CORRUPT, 12, "no head or no news");
             }
-            return new StateSnapshot(head, news, List.copyOf(pods), List.copyOf(learned));
+            return new StateSnapshot(
+                    header, rolloutStatus, List.copyOf(pods), List.copyOf(learnedValues));
         }
 
-        private void need(long n, String what) throws StateFileException {
-            if (in.remaining() < n) {
-                throw fault(
-                        StateFileException.Kind.TRUNCATED, in.position(), "ends within " + what);
+        private void requireBytes(long count, String part) throws StateFileException {
+            if (in.remaining() < count) {
+                throw exceptionAt(
+                        StateFileException.Kind.TRUNCATED, in.position(), "ends within " + part);
             }
         }
 
         /** False at the end. */
-        private boolean section() throws StateFileException {
-            int from = in.position();
-            need(HEAD, "a section's head");
-            int kind = in.getInt();
+        private boolean readSection() throws StateFileException {
+            int headerOffset = in.position();
+            requireBytes(SECTION_HEADER_BYTES, "a section's head");
+            int tag = in.getInt();
             int schemaLength = in.getInt();
-            int count = in.getInt();
-            int length = in.getInt();
-            if (in.getInt() != crc(in.array(), from, from + HEAD - 4)) {
-                throw fault(
+            int recordCount = in.getInt();
+            int recordsLength = in.getInt();
+            if (in.getInt()
+                    != crc(in.array(), headerOffset, headerOffset + SECTION_HEADER_BYTES - 4)) {
+                throw exceptionAt(
                         StateFileException.Kind.CORRUPT,
-                        from,
+                        headerOffset,
                         "a section's head differs from its checksum");
             }
-            String name = name(kind);
+            String name = tagName(tag);
             if (schemaLength < 0
-                    || schemaLength > LONGEST_SCHEMA
-                    || length < 0
-                    || count < 0
-                    || count > length) {
-                throw fault(
+                    || schemaLength > MAX_SCHEMA_BYTES
+                    || recordsLength < 0
+                    || recordCount < 0
+                    || recordCount > recordsLength) {
+                throw exceptionAt(
                         StateFileException.Kind.CORRUPT,
-                        from,
+                        headerOffset,
                         "lengths that can't be in section " + name);
             }
-            int body = in.position();
-            need(schemaLength + (long) length + 4, "section " + name);
-            in.position(body + schemaLength + length);
-            if (in.getInt() != crc(in.array(), body, body + schemaLength + length)) {
-                throw fault(
+            int bodyOffset = in.position();
+            requireBytes(schemaLength + (long) recordsLength + 4, "section " + name);
+            in.position(bodyOffset + schemaLength + recordsLength);
+            if (in.getInt()
+                    != crc(in.array(), bodyOffset, bodyOffset + schemaLength + recordsLength)) {
+                throw exceptionAt(
                         StateFileException.Kind.CORRUPT,
-                        body,
+                        bodyOffset,
                         "section " + name + " differs from its checksum");
             }
-            if (kind == END) {
-                if (length != 8 || in.getLong(body) != from || count != sections) {
-                    throw fault(
+            if (tag == END_TAG) {
+                if (recordsLength != 8
+                        || in.getLong(bodyOffset) != headerOffset
+                        || recordCount != sectionCount) {
+                    throw exceptionAt(
                             StateFileException.Kind.CORRUPT,
-                            from,
+                            headerOffset,
                             "the end does not fit what comes before it");
                 }
                 return false;
             }
             try {
-                take(
-                        kind,
+                readRecords(
+                        tag,
                         name,
-                        new String(in.array(), body, schemaLength, StandardCharsets.UTF_8),
-                        count,
-                        body + schemaLength,
-                        length);
+                        new String(in.array(), bodyOffset, schemaLength, StandardCharsets.UTF_8),
+                        recordCount,
+                        bodyOffset + schemaLength,
+                        recordsLength);
             } catch (IOException | RuntimeException e) {
-                throw fault(
+                throw exceptionAt(
                         StateFileException.Kind.CORRUPT,
-                        body,
+                        bodyOffset,
                         "section " + name + " makes no sense: " + e.getMessage());
             }
             return true;
         }
 
-        private void take(int kind, String name, String schema, int count, int from, int length)
+        private void readRecords(
+                int tag, String name, String writerSchema, int count, int offset, int length)
                 throws IOException {
-            Section s = null;
+            Section section = null;
             for (Section known : Section.values()) {
-                s = known.kind == kind ? known : s;
+                section = known.tag == tag ? known : section;
             }
-            if (s == null) {
-                leftOut.accept("section " + name + " of a later writer");
+            if (section == null) {
+                onSkippedSection.accept("section " + name + " of a later writer");
                 return;
             }
             GenericDatumReader<GenericRecord> reader =
-                    new GenericDatumReader<>(new Schema.Parser().parse(schema), s.schema);
+                    new GenericDatumReader<>(
+                            new Schema.Parser().parse(writerSchema), section.schema);
             BinaryDecoder decoder =
-                    DecoderFactory.get().binaryDecoder(in.array(), from, length, null);
+                    DecoderFactory.get().binaryDecoder(in.array(), offset, length, null);
             for (int i = 0; i < count; i++) {
-                GenericRecord r = reader.read(null, decoder);
-                switch (s) {
+                GenericRecord record = reader.read(null, decoder);
+                switch (section) {
                     case HEAD ->
-                            head =
+                            header =
                                     new StateSnapshot.Header(
-                                            text(r, "writer"),
-                                            text(r, "instance"),
-                                            text(r, "machine"),
-                                            text(r, "zone"),
-                                            (Long) r.get("start"),
-                                            (Long) r.get("sequence"),
-                                            (Long) r.get("unixMs"),
-                                            (Long) r.get("listVersion"));
+                                            stringField(record, "writer"),
+                                            stringField(record, "instance"),
+                                            stringField(record, "machine"),
+                                            stringField(record, "zone"),
+                                            (Long) record.get("start"),
+                                            (Long) record.get("sequence"),
+                                            (Long) record.get("unixMs"),
+                                            (Long) record.get("listVersion"));
                     case NEWS ->
-                            news =
+                            rolloutStatus =
                                     new RolloutStatus(
-                                            (Integer) r.get("build"),
-                                            (Integer) r.get("stage"),
-                                            RolloutStatus.Phase.valueOf(text(r, "phase")),
-                                            number(r, "cap"),
+                                            (Integer) record.get("build"),
+                                            (Integer) record.get("stage"),
+                                            RolloutStatus.Phase.valueOf(
+                                                    stringField(record, "phase")),
+                                            doubleField(record, "cap"),
                                             0);
                     case LINK ->
-                            learned.add(
+                            learnedValues.add(
                                     new LearnedState.ConnectionStats(
-                                            figure(r, "refused", "refusedWeight"),
-                                            figure(r, "unanswered", "unansweredWeight")));
+                                            weightedMean(record, "refused", "refusedWeight"),
+                                            weightedMean(
+                                                    record, "unanswered", "unansweredWeight")));
                     case ROUT ->
-                            learned.add(
+                            learnedValues.add(
                                     new LearnedState.RouteStats(
-                                            text(r, "route"),
-                                            (Integer) r.get("build"),
-                                            figure(r, "timesNs", "timesWeight"),
-                                            figure(r, "usualNs", "usualWeight")));
+                                            stringField(record, "route"),
+                                            (Integer) record.get("build"),
+                                            weightedMean(record, "timesNs", "timesWeight"),
+                                            weightedMean(record, "usualNs", "usualWeight")));
                     case BASE ->
-                            learned.add(
+                            learnedValues.add(
                                     new LearnedState.DetectorBaseline(
-                                            (Integer) r.get("build"),
-                                            text(r, "route"),
-                                            (Boolean) r.get("ofLate"),
-                                            number(r, "mean"),
-                                            number(r, "deviation"),
-                                            number(r, "samples")));
-                    case PODS -> pods.add(pod(r));
+                                            (Integer) record.get("build"),
+                                            stringField(record, "route"),
+                                            (Boolean) record.get("ofLate"),
+                                            doubleField(record, "mean"),
+                                            doubleField(record, "deviation"),
+                                            doubleField(record, "samples")));
+                    case PODS -> pods.add(readPod(record));
                     default ->
-                            learned.add(
+                            learnedValues.add(
                                     new LearnedState.KeyBuild(
-                                            (Long) r.get("key"), (Integer) r.get("build")));
+                                            (Long) record.get("key"),
+                                            (Integer) record.get("build")));
                 }
             }
             if (!decoder.isEnd()) {
@@ -443,42 +467,43 @@
             }
         }
 
-        private static StateSnapshot.PodSnapshot pod(GenericRecord r) {
-            PodEntry is =
+        private static StateSnapshot.PodSnapshot readPod(GenericRecord record) {
+            PodEntry entry =
                     new PodEntry(
-                            text(r, "id"),
-                            text(r, "zone"),
-                            text(r, "kind"),
-                            (Integer) r.get("cell"),
-                            (Integer) r.get("build"),
-                            PodEntry.State.valueOf(text(r, "state")),
-                            number(r, "weight"),
-                            (Long) r.get("startedNs"));
+                            stringField(record, "id"),
+                            stringField(record, "zone"),
+                            stringField(record, "kind"),
+                            (Integer) record.get("cell"),
+                            (Integer) record.get("build"),
+                            PodEntry.State.valueOf(stringField(record, "state")),
+                            doubleField(record, "weight"),
+                            (Long) record.get("startedNs"));
             return new StateSnapshot.PodSnapshot(
-                    text(r, "address"),
+                    stringField(record, "address"),
                     new LearnedState.PodStats(
-                            is,
-                            figure(r, "slowness", "slownessWeight"),
-                            figure(r, "late", "lateWeight"),
-                            (Integer) r.get("strikes")));
+                            entry,
+                            weightedMean(record, "slowness", "slownessWeight"),
+                            weightedMean(record, "late", "lateWeight"),
+                            (Integer) record.get("strikes")));
         }
 
-        private static String text(GenericRecord r, String field) {
-            return r.get(field).toString();
+        private static String stringField(GenericRecord record, String field) {
+            return record.get(field).toString();
         }
 
-        private static LearnedState.WeightedMean figure(
-                GenericRecord r, String mean, String weight) {
-            return new LearnedState.WeightedMean(number(r, mean), number(r, weight));
+        private static LearnedState.WeightedMean weightedMean(
+                GenericRecord record, String meanField, String weightField) {
+            return new LearnedState.WeightedMean(
+                    doubleField(record, meanField), doubleField(record, weightField));
         }
 
         /** No figure of ours is below 0 or endless; one that is would poison every sum it joins. */
-        private static double number(GenericRecord r, String field) {
-            double x = (Double) r.get(field);
-            if (!(x >= 0 && x < Double.MAX_VALUE)) {
-                throw new AvroRuntimeException(field + " is " + x);
+        private static double doubleField(GenericRecord record, String field) {
+            double value = (Double) record.get(field);
+            if (!(value >= 0 && value < Double.MAX_VALUE)) {
+                throw new AvroRuntimeException(field + " is " + value);
             }
-            return x;
+            return value;
         }
     }
 }
--- a/state/src/main/java/mulleinlever/state/StateSnapshot.java
+++ b/state/src/main/java/mulleinlever/state/StateSnapshot.java
@@ -37,8 +37,9 @@
             long sequence,
             long unixMs,
             long listVersion) {
-        Header withSequence(long next) {
-            return new Header(writer, instance, machine, zone, start, next, unixMs, listVersion);
+        Header withSequence(long newSequence) {
+            return new Header(
+                    writer, instance, machine, zone, start, newSequence, unixMs, listVersion);
         }
     }
 
--- a/state/src/main/java/mulleinlever/state/StateStore.java
+++ b/state/src/main/java/mulleinlever/state/StateStore.java
@@ -29,10 +29,10 @@
  */
 public final class StateStore {
     /** Pieces that a file is written in. */
-    private static final int PIECE = 1 << 16;
+    private static final int WRITE_CHUNK_BYTES = 1 << 16;
 
-    private static final Pattern NAME = Pattern.compile("state-(\\d{12})\\.mls");
-    private static final String UNFINISHED = ".tmp";
+    private static final Pattern FILE_NAME_PATTERN = Pattern.compile("state-(\\d{12})\\.mls");
+    private static final String TEMPORARY_SUFFIX = ".tmp";
 
     /** The file whose lock says that a sidecar uses the folder. */
     public static final String LOCK_FILE_NAME = "lock";
@@ -40,33 +40,37 @@
     /** What a read found: null where nothing was whole, and a line for each file passed over. */
     public record LoadResult(String fileName, StateSnapshot snapshot, List<String> skippedFiles) {}
 
-    private final Directory disk;
-    private final int keep;
-    private final long mostBytes;
+    private final Directory directory;
+    private final int retainedFileCount;
+    private final long maxFileBytes;
     private final String instance;
     private final Consumer<String> log;
-    private final ThreadPoolExecutor thread;
+    private final ThreadPoolExecutor executor;
     private Closeable lock;
-    private long sequence;
-    private boolean off;
-    private String trouble = "";
+    private long lastSequence;
+    private boolean isDisabled;
+    private String loggedProblem = "";
 
     /**
-     * @param keep how many files stay
-     * @param mostBytes the longest file that is read or written
+     * @param retainedFileCount how many files stay
+     * @param maxFileBytes the longest file that is read or written
      * @param instance whose files are taken
      * @param log hears one line for each thing worth telling, on the keeper's thread
      */
     public StateStore(
-            Directory disk, int keep, long mostBytes, String instance, Consumer<String> log) {
-        this.disk = disk;
-        this.keep = keep;
-        this.mostBytes = mostBytes;
+            Directory directory,
+            int retainedFileCount,
+            long maxFileBytes,
+            String instance,
+            Consumer<String> log) {
+        this.directory = directory;
+        this.retainedFileCount = retainedFileCount;
+        this.maxFileBytes = maxFileBytes;
         this.instance = instance;
         this.log = log;
         // One job may wait while one runs: what comes then is newer than what waits, but the next
         // will be newer still.
-        this.thread =
+        this.executor =
                 new ThreadPoolExecutor(
                         1,
                         1,
@@ -89,34 +93,34 @@
 
     /** The sequence number in a file's name; -1 where it is no such name. */
     public static long parseSequence(String name) {
-        Matcher m = NAME.matcher(name);
-        return m.matches() ? Long.parseLong(m.group(1)) : -1;
+        Matcher matcher = FILE_NAME_PATTERN.matcher(name);
+        return matcher.matches() ? Long.parseLong(matcher.group(1)) : -1;
     }
 
     /** Whether a file of that name was being written when its writer ended. */
     public static boolean isTemporaryFile(String name) {
-        return name.endsWith(UNFINISHED)
-                && parseSequence(name.substring(0, name.length() - UNFINISHED.length())) >= 0;
+        return name.endsWith(TEMPORARY_SUFFIX)
+                && parseSequence(name.substring(0, name.length() - TEMPORARY_SUFFIX.length())) >= 0;
     }
 
     /** Takes the lock and reads the newest whole file, on the keeper's thread. */
     public Future<LoadResult> openAsync() {
-        return thread.submit(this::begin);
+        return executor.submit(this::acquireAndLoad);
     }
 
     /**
      * What {@link #openAsync} found, if it is done within a time; else null, and the log hears why.
      */
-    public LoadResult awaitLoad(Future<LoadResult> opening, long withinNs)
+    public LoadResult awaitLoad(Future<LoadResult> load, long timeoutNs)
             throws InterruptedException {
         try {
-            return opening.get(withinNs, TimeUnit.NANOSECONDS);
+            return load.get(timeoutNs, TimeUnit.NANOSECONDS);
         } catch (TimeoutException e) {
             log.accept(
                     "nothing taken: reading "
-                            + disk
+                            + directory
                             + " took longer than "
-                            + withinNs / 1_000_000
+                            + timeoutNs / 1_000_000
                             + " ms");
         } catch (ExecutionException e) {
             log.accept("nothing taken: " + e.getCause());
@@ -124,11 +128,11 @@
         return null;
     }
 
-    private LoadResult begin() {
+    private LoadResult acquireAndLoad() {
         try {
-            return holds() ? readNewest(disk, mostBytes, instance) : null;
+            return acquire() ? readNewest(directory, maxFileBytes, instance) : null;
         } catch (IOException e) {
-            log.accept("nothing taken: " + disk + ": " + e);
+            log.accept("nothing taken: " + directory + ": " + e);
             return null;
         }
     }
@@ -137,27 +141,27 @@
      * Whether the folder is ours to write to; what a start before left unfinished is cleared away
      * first.
      */
-    private boolean holds() throws IOException {
-        if (lock != null || off) {
-            return !off;
+    private boolean acquire() throws IOException {
+        if (lock != null || isDisabled) {
+            return !isDisabled;
         }
-        List<String> names = disk.list();
-        lock = disk.tryLock(LOCK_FILE_NAME);
+        List<String> names = directory.list();
+        lock = directory.tryLock(LOCK_FILE_NAME);
         if (lock == null) {
-            off = true;
-            log.accept("off: another sidecar holds " + disk);
+            isDisabled = true;
+            log.accept("off: another sidecar holds " + directory);
             return false;
         }
-        sequence = highest(names);
+        lastSequence = highestSequence(names);
         for (String name : names) {
             if (isTemporaryFile(name)) {
-                disk.delete(name);
+                directory.delete(name);
             }
         }
         return true;
     }
 
-    private static long highest(List<String> names) {
+    private static long highestSequence(List<String> names) {
         return names.stream()
                 .mapToLong(StateStore::parseSequence)
                 .filter(n -> n >= 0)
@@ -166,42 +170,47 @@
     }
 
     /** The newest whole file of a folder, that of an instance if one is named. */
-    public static LoadResult readNewest(Directory disk, long mostBytes, String instance)
+    public static LoadResult readNewest(Directory directory, long maxFileBytes, String instance)
             throws IOException {
-        List<String> names = new ArrayList<>(disk.list());
+        List<String> names = new ArrayList<>(directory.list());
         names.removeIf(n -> parseSequence(n) < 0);
         Collections.reverse(names);
-        List<String> passedOver = new ArrayList<>();
+        List<String> skippedFiles = new ArrayList<>();
         for (String name : names) {
             try {
-                StateSnapshot kept = readFile(disk, name, mostBytes, passedOver::add);
-                if (instance != null && !kept.head().instance().equals(instance)) {
-                    passedOver.add(
-                            name + ": is of " + kept.head().instance() + ", not of " + instance);
+                StateSnapshot snapshot = readFile(directory, name, maxFileBytes, skippedFiles::add);
+                if (instance != null && !snapshot.head().instance().equals(instance)) {
+                    skippedFiles.add(
+                            name
+                                    + ": is of "
+                                    + snapshot.head().instance()
+                                    + ", not of "
+                                    + instance);
                 } else {
-                    return new LoadResult(name, kept, passedOver);
+                    return new LoadResult(name, snapshot, skippedFiles);
                 }
             } catch (StateFileException e) {
-                passedOver.add(e.getMessage());
+                skippedFiles.add(e.getMessage());
             }
         }
-        return new LoadResult(null, null, passedOver);
+        return new LoadResult(null, null, skippedFiles);
     }
 
     /** One file, whole. */
     public static StateSnapshot readFile(
-            Directory disk, String name, long mostBytes, Consumer<String> leftOut)
+            Directory directory, String name, long maxFileBytes, Consumer<String> onSkippedSection)
             throws StateFileException {
         byte[] bytes;
         try {
-            bytes = disk.read(name, mostBytes);
+            bytes = directory.read(name, maxFileBytes);
         } catch (Directory.FileTooLargeException e) {
             throw new StateFileException(StateFileException.Kind.TOO_LARGE, e.getMessage());
         } catch (IOException e) {
             throw new StateFileException(
                     StateFileException.Kind.UNREADABLE, name + ": can't be read: " + e);
         }
-        return StateFileFormat.decode(name, bytes, l -> leftOut.accept(name + ": left out " + l));
+        return StateFileFormat.decode(
+                name, bytes, l -> onSkippedSection.accept(name + ": left out " + l));
     }
 
     /**
@@ -209,9 +218,9 @@
      * the one before is still under way and another waits: the disk is slow, and this one is
      * dropped.
      */
-    public boolean offer(StateSnapshot next) {
+    public boolean offer(StateSnapshot snapshot) {
         try {
-            thread.execute(() -> write(next));
+            executor.execute(() -> write(snapshot));
             return true;
         } catch (RejectedExecutionException e) {
             return false;
@@ -220,17 +229,17 @@
 
     /** Whether nothing is under way: what is captured meanwhile would only be dropped. */
     public boolean isIdle() {
-        return thread.getActiveCount() == 0 && thread.getQueue().isEmpty();
+        return executor.getActiveCount() == 0 && executor.getQueue().isEmpty();
     }
 
     /**
      * Waits until all that was handed over is done with; for tests, and for those that have time.
      */
     void awaitPendingWrites() throws InterruptedException, ExecutionException {
-        for (boolean queued = false; !queued; ) {
+        for (boolean isDone = false; !isDone; ) {
             try {
-                thread.submit(() -> {}).get();
-                queued = true;
+                executor.submit(() -> {}).get();
+                isDone = true;
             } catch (RejectedExecutionException e) {
                 Thread.sleep(1);
             }
@@ -238,12 +247,12 @@
     }
 
     /** Lets what was handed over be written, for so long at most, and gives up the lock. */
-    public void close(long withinNs) throws InterruptedException {
-        thread.shutdown();
-        if (thread.awaitTermination(withinNs, TimeUnit.NANOSECONDS)) {
+    public void close(long timeoutNs) throws InterruptedException {
+        executor.shutdown();
+        if (executor.awaitTermination(timeoutNs, TimeUnit.NANOSECONDS)) {
             unlock();
         } else {
-            log.accept("the last write was not done within " + withinNs / 1_000_000 + " ms");
+            log.accept("the last write was not done within " + timeoutNs / 1_000_000 + " ms");
         }
     }
 
@@ -257,50 +266,58 @@
         }
     }
 
-    private void write(StateSnapshot next) {
+    private void write(StateSnapshot snapshot) {
         try {
-            if (!holds()) {
+            if (!acquire()) {
                 return;
             }
-            List<String> names = disk.list();
-            long there = highest(names);
-            if (there > sequence) {
+            List<String> names = directory.list();
+            long newestSequence = highestSequence(names);
+            if (newestSequence > lastSequence) {
                 // A lock may not reach over machines; to write on would mix two sidecars' pasts.
-                off = true;
-                log.accept("off: another sidecar writes to " + disk + ": " + fileName(there));
+                isDisabled = true;
+                log.accept(
+                        "off: another sidecar writes to "
+                                + directory
+                                + ": "
+                                + fileName(newestSequence));
                 return;
             }
-            byte[] bytes = StateFileFormat.encode(next.withSequence(sequence + 1));
-            if (bytes.length > mostBytes) {
-                tell("not written: " + bytes.length + " bytes, more than " + mostBytes);
+            byte[] bytes = StateFileFormat.encode(snapshot.withSequence(lastSequence + 1));
+            if (bytes.length > maxFileBytes) {
+                logProblemOnce(
+                        "not written: " + bytes.length + " bytes, more than " + maxFileBytes);
                 return;
             }
             // Taken even if the write fails: its name may be there all the same.
-            put(fileName(++sequence), bytes);
+            writeFile(fileName(++lastSequence), bytes);
             prune(names);
-            tell("");
+            logProblemOnce("");
         } catch (IOException | RuntimeException e) {
-            tell("not written: " + disk + ": " + e);
+            logProblemOnce("not written: " + directory + ": " + e);
         }
     }
 
-    private void put(String name, byte[] bytes) throws IOException {
-        String unfinished = name + UNFINISHED;
-        try (Directory.FileOutput out = disk.create(unfinished)) {
-            for (int at = 0; at < bytes.length; at += PIECE) {
-                out.write(ByteBuffer.wrap(bytes, at, Math.min(PIECE, bytes.length - at)));
+    private void writeFile(String name, byte[] bytes) throws IOException {
+        String temporaryName = name + TEMPORARY_SUFFIX;
+        try (Directory.FileOutput out = directory.create(temporaryName)) {
+            for (int offset = 0; offset < bytes.length; offset += WRITE_CHUNK_BYTES) {
+                out.write(
+                        ByteBuffer.wrap(
+                                bytes, offset, Math.min(WRITE_CHUNK_BYTES, bytes.length - offset)));
             }
             out.force();
         }
-        disk.rename(unfinished, name);
-        disk.forceDirectory();
+        directory.rename(temporaryName, name);
+        directory.forceDirectory();
     }
 
     /** Those behind the newest go only when one more is sure to be there. */
-    private void prune(List<String> before) throws IOException {
-        for (String name : before) {
-            if (parseSequence(name) >= 0 && parseSequence(name) <= sequence - keep) {
-                disk.delete(name);
+    private void prune(List<String> names) throws IOException {
+        for (String name : names) {
+            if (parseSequence(name) >= 0
+                    && parseSequence(name) <= lastSequence - retainedFileCount) {
+                directory.delete(name);
             }
         }
     }
@@ -309,10 +326,10 @@
      * Once for each kind of trouble, and once when it is over: a line at every write would say no
      * more.
      */
-    private void tell(String now) {
-        if (!now.equals(trouble)) {
-            trouble = now;
-            log.accept(now.isEmpty() ? "written again, as " + fileName(sequence) : now);
+    private void logProblemOnce(String problem) {
+        if (!problem.equals(loggedProblem)) {
+            loggedProblem = problem;
+            log.accept(problem.isEmpty() ? "written again, as " + fileName(lastSequence) : problem);
         }
     }
 }
--- a/state/src/test/java/mulleinlever/state/SampleSnapshots.java
+++ b/state/src/test/java/mulleinlever/state/SampleSnapshots.java
@@ -11,11 +11,11 @@
 final class SampleSnapshots {
     private SampleSnapshots() {}
 
-    static StateSnapshot snapshot(long seed, int pods) {
+    static StateSnapshot snapshot(long seed, int podCount) {
         SplittableRandom random = new SplittableRandom(seed);
-        List<StateSnapshot.PodSnapshot> all = new ArrayList<>();
-        for (int i = 0; i < pods; i++) {
-            PodEntry is =
+        List<StateSnapshot.PodSnapshot> pods = new ArrayList<>();
+        for (int i = 0; i < podCount; i++) {
+            PodEntry entry =
                     new PodEntry(
                             "s-" + i,
                             random.nextBoolean() ? "a" : "b\u00e9",
@@ -27,24 +27,24 @@
                             random.nextInt(5) == 0
                                     ? 0
                                     : 1_790_000_000_000_000_000L + random.nextInt(1000));
-            all.add(
+            pods.add(
                     new StateSnapshot.PodSnapshot(
                             "10.0.0." + i + ":6543",
                             new LearnedState.PodStats(
-                                    is,
-                                    randomFigure(random),
-                                    randomFigure(random),
+                                    entry,
+                                    randomMean(random),
+                                    randomMean(random),
                                     random.nextInt(7))));
         }
-        List<LearnedState> learned = new ArrayList<>();
-        learned.add(new LearnedState.ConnectionStats(randomFigure(random), randomFigure(random)));
+        List<LearnedState> learnedValues = new ArrayList<>();
+        learnedValues.add(new LearnedState.ConnectionStats(randomMean(random), randomMean(random)));
         for (String route : List.of("get", "put", "")) {
             if (!route.isEmpty()) {
-                learned.add(
+                learnedValues.add(
                         new LearnedState.RouteStats(
-                                route, 42, randomFigure(random), randomFigure(random)));
+                                route, 42, randomMean(random), randomMean(random)));
             }
-            learned.add(
+            learnedValues.add(
                     new LearnedState.DetectorBaseline(
                             42,
                             route,
@@ -54,10 +54,10 @@
                             random.nextInt(100)));
         }
         for (int i = random.nextInt(5); i > 0; i--) {
-            learned.add(new LearnedState.KeyBuild(random.nextLong(), 40 + random.nextInt(3)));
+            learnedValues.add(new LearnedState.KeyBuild(random.nextLong(), 40 + random.nextInt(3)));
         }
         // In the order in which sections hold them.
-        learned.sort((a, b) -> Integer.compare(order(a), order(b)));
+        learnedValues.sort((a, b) -> Integer.compare(sectionOrder(a), sectionOrder(b)));
         return new StateSnapshot(
                 new StateSnapshot.Header(
                         "0.0.1", "n3", "m-1", "a", random.nextLong(), 7, 1_790_000_000_000L, 41),
@@ -67,19 +67,19 @@
                         RolloutStatus.Phase.values()[random.nextInt(4)],
                         random.nextDouble(),
                         0),
-                all,
-                learned);
+                pods,
+                learnedValues);
     }
 
-    private static int order(LearnedState l) {
-        return l instanceof LearnedState.ConnectionStats
+    private static int sectionOrder(LearnedState value) {
+        return value instanceof LearnedState.ConnectionStats
                 ? 0
-                : l instanceof LearnedState.RouteStats
+                : value instanceof LearnedState.RouteStats
                         ? 1
-                        : l instanceof LearnedState.DetectorBaseline ? 2 : 3;
+                        : value instanceof LearnedState.DetectorBaseline ? 2 : 3;
     }
 
-    static LearnedState.WeightedMean randomFigure(SplittableRandom random) {
+    static LearnedState.WeightedMean randomMean(SplittableRandom random) {
         return new LearnedState.WeightedMean(
                 random.nextDouble() * 9, random.nextInt(3) == 0 ? 0 : random.nextDouble() * 200);
     }
--- a/state/src/test/java/mulleinlever/state/SnapshotFilterTest.java
+++ b/state/src/test/java/mulleinlever/state/SnapshotFilterTest.java
@@ -18,30 +18,31 @@
 import org.junit.jupiter.api.Test;
 
 class SnapshotFilterTest {
-    private static final long S = 1_000_000_000L;
+    private static final long SECOND_NS = 1_000_000_000L;
 
     /** The list as another start meets it: some pods gone, some started anew, some elsewhere. */
-    private static SnapshotFilter.RestoreContext met(StateSnapshot kept, SplittableRandom random) {
+    private static SnapshotFilter.RestoreContext randomContext(
+            StateSnapshot snapshot, SplittableRandom random) {
         Map<String, PodEntry> pods = new HashMap<>();
         Map<String, String> addresses = new HashMap<>();
-        for (StateSnapshot.PodSnapshot p : kept.pods()) {
-            PodEntry is = p.learned().is();
-            int what = random.nextInt(8);
-            if (what == 0) {
+        for (StateSnapshot.PodSnapshot pod : snapshot.pods()) {
+            PodEntry entry = pod.learned().is();
+            int change = random.nextInt(8);
+            if (change == 0) {
                 continue;
             }
             pods.put(
-                    is.id(),
+                    entry.id(),
                     new PodEntry(
-                            is.id(),
-                            is.zone(),
-                            is.kind(),
-                            is.cell(),
-                            is.build() + (what == 1 ? 1 : 0),
-                            what == 2 ? PodEntry.State.GONE : PodEntry.State.READY,
+                            entry.id(),
+                            entry.zone(),
+                            entry.kind(),
+                            entry.cell(),
+                            entry.build() + (change == 1 ? 1 : 0),
+                            change == 2 ? PodEntry.State.GONE : PodEntry.State.READY,
                             1,
-                            is.startedNs() + (what == 3 ? 1 : 0)));
-            addresses.put(is.id(), what == 4 ? "10.9.9.9:1" : p.address());
+                            entry.startedNs() + (change == 3 ? 1 : 0)));
+            addresses.put(entry.id(), change == 4 ? "10.9.9.9:1" : pod.address());
         }
         return new SnapshotFilter.RestoreContext(
                 random.nextInt(5) == 0 ? "b" : "a", Set.of("get", "other"), pods, addresses);
@@ -50,49 +51,52 @@
     @Test
     void filterAgreesWithReferenceModel() {
         SplittableRandom random = new SplittableRandom(8);
-        int left = 0;
+        int rejectedCount = 0;
         for (int round = 0; round < 300; round++) {
-            StateSnapshot kept = SampleSnapshots.snapshot(round, 20);
-            SnapshotFilter.RestoreContext here = met(kept, random);
-            long age =
-                    random.nextInt(6) == 0 ? StateDecay.UNKNOWN_AGE_NS : random.nextLong(1000 * S);
+            StateSnapshot snapshot = SampleSnapshots.snapshot(round, 20);
+            SnapshotFilter.RestoreContext context = randomContext(snapshot, random);
+            long ageNs =
+                    random.nextInt(6) == 0
+                            ? StateDecay.UNKNOWN_AGE_NS
+                            : random.nextLong(1000 * SECOND_NS);
             List<LearnedState> expected = new ArrayList<>();
-            for (StateSnapshot.PodSnapshot p : kept.pods()) {
-                PodEntry then = p.learned().is();
-                PodEntry now = here.pods().get(then.id());
-                boolean same =
-                        now != null
-                                && now.state() != PodEntry.State.GONE
-                                && now.build() == then.build()
-                                && now.startedNs() == then.startedNs()
-                                && p.address().equals(here.podAddresses().get(then.id()));
+            for (StateSnapshot.PodSnapshot pod : snapshot.pods()) {
+                PodEntry saved = pod.learned().is();
+                PodEntry current = context.pods().get(saved.id());
+                boolean isSamePod =
+                        current != null
+                                && current.state() != PodEntry.State.GONE
+                                && current.build() == saved.build()
+                                && current.startedNs() == saved.startedNs()
+                                && pod.address().equals(context.podAddresses().get(saved.id()));
                 expected.add(
-                        same && here.zone().equals("a")
-                                ? StateDecay.decay(p.learned(), age)
+                        isSamePod && context.zone().equals("a")
+                                ? StateDecay.decay(pod.learned(), ageNs)
                                 : null);
             }
-            for (LearnedState l : kept.learnedValues()) {
-                boolean ofPut = l.toString().contains("route=put");
-                boolean elsewhere =
-                        l instanceof LearnedState.ConnectionStats && !here.zone().equals("a");
-                expected.add(ofPut || elsewhere ? null : StateDecay.decay(l, age));
+            for (LearnedState value : snapshot.learnedValues()) {
+                boolean isUnknownRoute = value.toString().contains("route=put");
+                boolean isOtherZone =
+                        value instanceof LearnedState.ConnectionStats
+                                && !context.zone().equals("a");
+                expected.add(isUnknownRoute || isOtherZone ? null : StateDecay.decay(value, ageNs));
             }
-            SnapshotFilter.RestoreResult taken = SnapshotFilter.filter(kept, age, here);
+            SnapshotFilter.RestoreResult result = SnapshotFilter.filter(snapshot, ageNs, context);
             assertEquals(
-                    expected.stream().filter(Objects::nonNull).toList(), taken.restoredValues());
-            int out = taken.rejectedCounts().values().stream().mapToInt(n -> n).sum();
-            assertEquals(expected.size(), taken.restoredValues().size() + out);
-            left += out;
+                    expected.stream().filter(Objects::nonNull).toList(), result.restoredValues());
+            int rejectedInRound = result.rejectedCounts().values().stream().mapToInt(n -> n).sum();
+            assertEquals(expected.size(), result.restoredValues().size() + rejectedInRound);
+            rejectedCount += rejectedInRound;
         }
-        assertTrue(left > 1000);
+        assertTrue(rejectedCount > 1000);
     }
 
     @Test
     void logLineListsRestoredAndRejected() {
-        StateSnapshot kept = SampleSnapshots.snapshot(1, 3);
+        StateSnapshot snapshot = SampleSnapshots.snapshot(1, 3);
         Map<String, PodEntry> pods = new HashMap<>();
         Map<String, String> addresses = new HashMap<>();
-        kept.pods()
+        snapshot.pods()
                 .subList(0, 2)
                 .forEach(
                         p -> {
@@ -101,7 +105,7 @@
                         });
         String line =
                 SnapshotFilter.filter(
-                                kept,
+                                snapshot,
                                 0,
                                 new SnapshotFilter.RestoreContext(
                                         "a", Set.of("put"), pods, addresses))
@@ -115,30 +119,32 @@
 
     @Test
     void podListIsUsableOnlyIfNewerAndNotTooOld() {
-        StateSnapshot kept = SampleSnapshots.snapshot(1, 3);
-        assertTrue(SnapshotFilter.isPodListUsable(kept, 0, 40));
-        assertTrue(SnapshotFilter.isPodListUsable(kept, 3600 * S, -1));
+        StateSnapshot snapshot = SampleSnapshots.snapshot(1, 3);
+        assertTrue(SnapshotFilter.isPodListUsable(snapshot, 0, 40));
+        assertTrue(SnapshotFilter.isPodListUsable(snapshot, 3600 * SECOND_NS, -1));
         assertTrue(
-                !SnapshotFilter.isPodListUsable(kept, 3601 * S, -1)
-                        && !SnapshotFilter.isPodListUsable(kept, 0, 41)
-                        && !SnapshotFilter.isPodListUsable(kept, StateDecay.UNKNOWN_AGE_NS, 40)
+                !SnapshotFilter.isPodListUsable(snapshot, 3601 * SECOND_NS, -1)
+                        && !SnapshotFilter.isPodListUsable(snapshot, 0, 41)
+                        && !SnapshotFilter.isPodListUsable(snapshot, StateDecay.UNKNOWN_AGE_NS, 40)
                         && !SnapshotFilter.isPodListUsable(SampleSnapshots.snapshot(1, 0), 0, 40));
     }
 
     @Test
     void newsIsRestoredOnlyIfStricter() {
-        for (Phase then : Phase.values()) {
-            for (Phase now : Phase.values()) {
+        for (Phase savedPhase : Phase.values()) {
+            for (Phase currentPhase : Phase.values()) {
                 for (int build = 41; build <= 43; build++) {
-                    RolloutStatus kept = new RolloutStatus(build, 2, then, 0.7, 0);
-                    RolloutStatus told = new RolloutStatus(42, 1, now, 0.2, 500);
-                    RolloutStatus taken = SnapshotFilter.selectIfStricter(kept, told);
-                    boolean back = then == Phase.REVERTING || then == Phase.WITHDRAWN;
-                    boolean forth = now == Phase.ON_TRIAL || now == Phase.RELEASED;
-                    if (back && (build == 43 || build == 42 && forth)) {
-                        assertEquals(new RolloutStatus(build, 2, then, 0, 0), taken);
+                    RolloutStatus saved = new RolloutStatus(build, 2, savedPhase, 0.7, 0);
+                    RolloutStatus current = new RolloutStatus(42, 1, currentPhase, 0.2, 500);
+                    RolloutStatus selected = SnapshotFilter.selectIfStricter(saved, current);
+                    boolean isRevertingOrWithdrawn =
+                            savedPhase == Phase.REVERTING || savedPhase == Phase.WITHDRAWN;
+                    boolean isCurrentActive =
+                            currentPhase == Phase.ON_TRIAL || currentPhase == Phase.RELEASED;
+                    if (isRevertingOrWithdrawn && (build == 43 || build == 42 && isCurrentActive)) {
+                        assertEquals(new RolloutStatus(build, 2, savedPhase, 0, 0), selected);
                     } else {
-                        assertNull(taken);
+                        assertNull(selected);
                     }
                 }
             }
--- a/state/src/test/java/mulleinlever/state/StateDecayTest.java
+++ b/state/src/test/java/mulleinlever/state/StateDecayTest.java
@@ -10,10 +10,10 @@
 import org.junit.jupiter.api.Test;
 
 class StateDecayTest {
-    private static final long S = 1_000_000_000L;
+    private static final long SECOND_NS = 1_000_000_000L;
 
     /** The plain model: a weight that loses the same part at each of many steps. */
-    private static double plainly(double weight, double halfLifeS, double ageS) {
+    private static double decayInSteps(double weight, double halfLifeS, double ageS) {
         int steps = 20_000;
         double lost = ageS / halfLifeS / steps * Math.log(2);
         for (int i = 0; i < steps; i++) {
@@ -30,49 +30,60 @@
     void weightsDecayAsInReferenceModel() {
         SplittableRandom random = new SplittableRandom(4);
         for (int i = 0; i < 300; i++) {
-            LearnedState.WeightedMean f =
+            LearnedState.WeightedMean mean =
                     new LearnedState.WeightedMean(
                             random.nextDouble() * 9, random.nextDouble() * 50);
-            long ageNs = random.nextLong(200) * S / 10;
-            double pods = plainly(f.weight(), 60, ageNs / 1e9);
-            LearnedState.PodStats p =
+            long ageNs = random.nextLong(200) * SECOND_NS / 10;
+            double podWeight = decayInSteps(mean.weight(), 60, ageNs / 1e9);
+            LearnedState.PodStats pod =
                     (LearnedState.PodStats)
-                            StateDecay.decay(new LearnedState.PodStats(pod(), f, f, 6), ageNs);
-            assertEquals(pods < 0.1 ? 0 : pods, p.slowness().weight(), 1e-2);
-            assertEquals(p.slowness(), p.late());
-            assertEquals(plainly(6, 60, ageNs / 1e9), p.strikes(), 0.51);
-            double links = plainly(f.weight(), 15, ageNs / 1e9);
-            LearnedState.ConnectionStats l =
+                            StateDecay.decay(
+                                    new LearnedState.PodStats(pod(), mean, mean, 6), ageNs);
+            assertEquals(podWeight < 0.1 ? 0 : podWeight, pod.slowness().weight(), 1e-2);
+            assertEquals(pod.slowness(), pod.late());
+            assertEquals(decayInSteps(6, 60, ageNs / 1e9), pod.strikes(), 0.51);
+            double connectionWeight = decayInSteps(mean.weight(), 15, ageNs / 1e9);
+            LearnedState.ConnectionStats connections =
                     (LearnedState.ConnectionStats)
-                            StateDecay.decay(new LearnedState.ConnectionStats(f, f), ageNs);
-            assertEquals(links < 0.1 ? 0 : links, l == null ? 0 : l.refused().weight(), 1e-2);
-            double routes = plainly(f.weight(), 600, ageNs / 1e9);
-            LearnedState.RouteStats r =
+                            StateDecay.decay(new LearnedState.ConnectionStats(mean, mean), ageNs);
+            assertEquals(
+                    connectionWeight < 0.1 ? 0 : connectionWeight,
+                    connections == null ? 0 : connections.refused().weight(),
+                    1e-2);
+            double routeWeight = decayInSteps(mean.weight(), 600, ageNs / 1e9);
+            LearnedState.RouteStats route =
                     (LearnedState.RouteStats)
-                            StateDecay.decay(new LearnedState.RouteStats("r", 1, f, f), ageNs);
-            assertEquals(routes < 0.1 ? 0 : routes, r == null ? 0 : r.usual().weight(), 1e-2);
+                            StateDecay.decay(
+                                    new LearnedState.RouteStats("r", 1, mean, mean), ageNs);
+            assertEquals(
+                    routeWeight < 0.1 ? 0 : routeWeight,
+                    route == null ? 0 : route.usual().weight(),
+                    1e-2);
         }
     }
 
     @Test
     void dropsCategoryPastMaxAge() {
-        LearnedState.WeightedMean f = new LearnedState.WeightedMean(5, 1e9);
-        LearnedState pod = new LearnedState.PodStats(pod(), f, f, 6);
-        assertTrue(StateDecay.decay(pod, 900 * S) != null);
-        assertNull(StateDecay.decay(pod, 901 * S));
-        assertNull(StateDecay.decay(new LearnedState.ConnectionStats(f, f), 121 * S));
+        LearnedState.WeightedMean mean = new LearnedState.WeightedMean(5, 1e9);
+        LearnedState pod = new LearnedState.PodStats(pod(), mean, mean, 6);
+        assertTrue(StateDecay.decay(pod, 900 * SECOND_NS) != null);
+        assertNull(StateDecay.decay(pod, 901 * SECOND_NS));
+        assertNull(StateDecay.decay(new LearnedState.ConnectionStats(mean, mean), 121 * SECOND_NS));
         LearnedState.KeyBuild key = new LearnedState.KeyBuild(1, 2);
-        assertEquals(key, StateDecay.decay(key, 86_400 * S));
-        assertNull(StateDecay.decay(key, 86_401 * S));
-        LearnedState.DetectorBaseline base =
+        assertEquals(key, StateDecay.decay(key, 86_400 * SECOND_NS));
+        assertNull(StateDecay.decay(key, 86_401 * SECOND_NS));
+        LearnedState.DetectorBaseline baseline =
                 new LearnedState.DetectorBaseline(1, "", true, 0.2, 0.1, 50);
         assertEquals(
                 25,
-                ((LearnedState.DetectorBaseline) StateDecay.decay(base, 3600 * S)).samples(),
+                ((LearnedState.DetectorBaseline) StateDecay.decay(baseline, 3600 * SECOND_NS))
+                        .samples(),
                 1e-9);
         // Six half-lives: less than one sample is none.
-        assertNull(StateDecay.decay(base, 6 * 3600 * S));
-        assertNull(StateDecay.decay(new LearnedState.RouteStats("r", 1, f, f), 3 * 86_400 * S));
+        assertNull(StateDecay.decay(baseline, 6 * 3600 * SECOND_NS));
+        assertNull(
+                StateDecay.decay(
+                        new LearnedState.RouteStats("r", 1, mean, mean), 3 * 86_400 * SECOND_NS));
     }
 
     @Test
@@ -87,18 +98,19 @@
 
     @Test
     void dropsShortLivedDataAtUnknownAge() {
-        LearnedState.WeightedMean f = new LearnedState.WeightedMean(5, 100);
+        LearnedState.WeightedMean mean = new LearnedState.WeightedMean(5, 100);
         assertNull(
                 StateDecay.decay(
-                        new LearnedState.PodStats(pod(), f, f, 6), StateDecay.UNKNOWN_AGE_NS));
+                        new LearnedState.PodStats(pod(), mean, mean, 6),
+                        StateDecay.UNKNOWN_AGE_NS));
         assertNull(
                 StateDecay.decay(
-                        new LearnedState.ConnectionStats(f, f), StateDecay.UNKNOWN_AGE_NS));
+                        new LearnedState.ConnectionStats(mean, mean), StateDecay.UNKNOWN_AGE_NS));
         assertEquals(
                 50,
                 ((LearnedState.RouteStats)
                                 StateDecay.decay(
-                                        new LearnedState.RouteStats("r", 1, f, f),
+                                        new LearnedState.RouteStats("r", 1, mean, mean),
                                         StateDecay.UNKNOWN_AGE_NS))
                         .times()
                         .weight());
--- a/state/src/test/java/mulleinlever/state/StateFileFormatTest.java
+++ b/state/src/test/java/mulleinlever/state/StateFileFormatTest.java
@@ -23,31 +23,31 @@
 import org.junit.jupiter.api.Test;
 
 class StateFileFormatTest {
-    private static StateSnapshot read(byte[] bytes) throws StateFileException {
+    private static StateSnapshot decode(byte[] bytes) throws StateFileException {
         return StateFileFormat.decode("x.mls", bytes, l -> {});
     }
 
-    private static StateFileException.Kind kindOf(byte[] bytes) {
-        StateFileException f = assertThrows(StateFileException.class, () -> read(bytes));
-        assertTrue(f.getMessage().startsWith("x.mls: at byte "), f.getMessage());
-        return f.kind;
+    private static StateFileException.Kind decodeFailure(byte[] bytes) {
+        StateFileException exception = assertThrows(StateFileException.class, () -> decode(bytes));
+        assertTrue(exception.getMessage().startsWith("x.mls: at byte "), exception.getMessage());
+        return exception.kind;
     }
 
     @Test
     void roundTrips() throws StateFileException {
         for (int seed = 0; seed < 200; seed++) {
-            StateSnapshot kept = SampleSnapshots.snapshot(seed, seed % 20);
-            assertEquals(kept, read(StateFileFormat.encode(kept)));
+            StateSnapshot snapshot = SampleSnapshots.snapshot(seed, seed % 20);
+            assertEquals(snapshot, decode(StateFileFormat.encode(snapshot)));
         }
     }
 
     /** A file of each format that ever landed, made by the writer of that time. */
     @Test
     void readsFilesOfEveryFormatVersion() throws IOException, StateFileException {
-        for (int format = 1; format <= StateFileFormat.FORMAT_VERSION; format++) {
+        for (int version = 1; version <= StateFileFormat.FORMAT_VERSION; version++) {
             try (InputStream in =
-                    StateFileFormatTest.class.getResourceAsStream("format-" + format + ".mls")) {
-                assertEquals(SampleSnapshots.snapshot(format, 12), read(in.readAllBytes()));
+                    StateFileFormatTest.class.getResourceAsStream("format-" + version + ".mls")) {
+                assertEquals(SampleSnapshots.snapshot(version, 12), decode(in.readAllBytes()));
             }
         }
     }
@@ -55,36 +55,39 @@
     @Test
     void rejectsFileTruncatedAtAnyByte() {
         byte[] whole = StateFileFormat.encode(SampleSnapshots.snapshot(3, 4));
-        for (int n = 0; n < whole.length; n++) {
+        for (int length = 0; length < whole.length; length++) {
             assertEquals(
-                    StateFileException.Kind.TRUNCATED, kindOf(Arrays.copyOf(whole, n)), "at " + n);
+                    StateFileException.Kind.TRUNCATED,
+                    decodeFailure(Arrays.copyOf(whole, length)),
+                    "at " + length);
         }
         assertEquals(
-                StateFileException.Kind.CORRUPT, kindOf(Arrays.copyOf(whole, whole.length + 1)));
+                StateFileException.Kind.CORRUPT,
+                decodeFailure(Arrays.copyOf(whole, whole.length + 1)));
     }
 
     @Test
     void rejectsAnyBitFlip() {
         byte[] whole = StateFileFormat.encode(SampleSnapshots.snapshot(3, 2));
-        for (int at = 0; at < whole.length; at++) {
+        for (int offset = 0; offset < whole.length; offset++) {
             for (int bit = 0; bit < 8; bit++) {
-                byte[] one = whole.clone();
-                one[at] ^= (byte) (1 << bit);
-                StateFileException.Kind kind = kindOf(one);
+                byte[] corrupt = whole.clone();
+                corrupt[offset] ^= (byte) (1 << bit);
+                StateFileException.Kind kind = decodeFailure(corrupt);
                 assertEquals(
-                        at < 8
+                        offset < 8
                                 ? StateFileException.Kind.NOT_A_STATE_FILE
-                                : at < 12 && bytes(one, 8) > StateFileFormat.FORMAT_VERSION
+                                : offset < 12 && intAt(corrupt, 8) > StateFileFormat.FORMAT_VERSION
                                         ? StateFileException.Kind.UNSUPPORTED_VERSION
                                         : StateFileException.Kind.CORRUPT,
                         kind,
-                        "at " + at);
+                        "at " + offset);
             }
         }
     }
 
-    private static int bytes(byte[] in, int at) {
-        return ByteBuffer.wrap(in).getInt(at);
+    private static int intAt(byte[] bytes, int offset) {
+        return ByteBuffer.wrap(bytes).getInt(offset);
     }
 
     @Test
@@ -93,8 +96,8 @@
         for (int i = 0; i < 500; i++) {
             byte[] noise = new byte[random.nextInt(400)];
             random.nextBytes(noise);
-            kindOf(noise);
-            byte[] behindMagic =
+            decodeFailure(noise);
+            byte[] noiseAfterMagic =
                     new ByteArrayOutputStream() {
                         {
                             writeBytes(StateFileFormat.MAGIC);
@@ -102,33 +105,34 @@
                             writeBytes(noise);
                         }
                     }.toByteArray();
-            kindOf(behindMagic);
+            decodeFailure(noiseAfterMagic);
         }
     }
 
-    private static byte[] behindMagic(int version, byte[]... parts) {
+    private static byte[] fileWithVersion(int version, byte[]... parts) {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         out.writeBytes(StateFileFormat.MAGIC);
         out.writeBytes(ByteBuffer.allocate(4).putInt(version).array());
-        for (byte[] p : parts) {
-            out.writeBytes(p);
+        for (byte[] part : parts) {
+            out.writeBytes(part);
         }
         return out.toByteArray();
     }
 
     @Test
     void rejectsImpossibleLengths() {
-        for (int claimed : new int[] {Integer.MAX_VALUE, Integer.MAX_VALUE - 30, -1}) {
+        for (int length : new int[] {Integer.MAX_VALUE, Integer.MAX_VALUE - 30, -1}) {
             for (int field = 1; field < 4; field++) {
-                ByteBuffer head =
+                ByteBuffer header =
                         ByteBuffer.allocate(20).putInt(StateFileFormat.sectionTag("PODS"));
-                head.putInt(4 * field, claimed);
+                header.putInt(4 * field, length);
                 CRC32C crc = new CRC32C();
-                crc.update(head.array(), 0, 16);
-                head.putInt(16, (int) crc.getValue());
-                StateFileException.Kind kind = kindOf(behindMagic(1, head.array(), new byte[100]));
+                crc.update(header.array(), 0, 16);
+                header.putInt(16, (int) crc.getValue());
+                StateFileException.Kind kind =
+                        decodeFailure(fileWithVersion(1, header.array(), new byte[100]));
                 assertEquals(
-                        field == 3 && claimed > 0
+                        field == 3 && length > 0
                                 ? StateFileException.Kind.TRUNCATED
                                 : StateFileException.Kind.CORRUPT,
                         kind);
@@ -136,11 +140,11 @@
         }
     }
 
-    private static byte[] section(String kind, String schema, int count, byte[] records) {
+    private static byte[] section(String tagName, String schema, int count, byte[] records) {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         StateFileFormat.writeSection(
                 out,
-                StateFileFormat.sectionTag(kind),
+                StateFileFormat.sectionTag(tagName),
                 schema.getBytes(StandardCharsets.UTF_8),
                 count,
                 records);
@@ -148,16 +152,16 @@
     }
 
     /** The file with one section put in front of the end, which is counted anew. */
-    private static byte[] with(byte[] file, int sections, byte[] more) {
-        int end = file.length - 32;
+    private static byte[] withSection(byte[] file, int sectionCount, byte[] section) {
+        int endSectionOffset = file.length - 32;
         ByteArrayOutputStream out = new ByteArrayOutputStream();
-        out.write(file, 0, end);
-        out.writeBytes(more);
+        out.write(file, 0, endSectionOffset);
+        out.writeBytes(section);
         StateFileFormat.writeSection(
                 out,
                 StateFileFormat.sectionTag("END "),
                 new byte[0],
-                sections,
+                sectionCount,
                 ByteBuffer.allocate(8).putLong(out.size()).array());
         return out.toByteArray();
     }
@@ -171,16 +175,16 @@
                         + "[{\"name\":\"t\",\"type\":\"string\"},{\"name\":\"key\",\"type\":\"long\"},"
                         + "{\"name\":\"build\",\"type\":\"int\"}]}";
         byte[] file =
-                with(
+                withSection(
                         StateFileFormat.encode(SampleSnapshots.snapshot(1, 1)),
                         8,
                         section("KEYS", schema, 1, records));
-        assertEquals(StateFileException.Kind.CORRUPT, kindOf(file));
+        assertEquals(StateFileException.Kind.CORRUPT, decodeFailure(file));
     }
 
     @Test
     void rejectsInvalidSectionWithValidChecksum() {
-        byte[] sound = StateFileFormat.encode(SampleSnapshots.snapshot(1, 1));
+        byte[] file = StateFileFormat.encode(SampleSnapshots.snapshot(1, 1));
         for (String schema :
                 List.of(
                         "",
@@ -189,58 +193,59 @@
                         "{\"type\":\"record\",\"name\":\"Key\",\"fields\":[]}")) {
             assertEquals(
                     StateFileException.Kind.CORRUPT,
-                    kindOf(with(sound, 8, section("KEYS", schema, 1, new byte[] {1}))));
+                    decodeFailure(
+                            withSection(file, 8, section("KEYS", schema, 1, new byte[] {1}))));
         }
         assertEquals(
                 StateFileException.Kind.CORRUPT,
-                kindOf(with(sound, 9, section("KEYS", "{}", 0, new byte[0]))));
+                decodeFailure(withSection(file, 9, section("KEYS", "{}", 0, new byte[0]))));
     }
 
     @Test
     void reportsUnsupportedVersion() {
         assertEquals(
                 StateFileException.Kind.UNSUPPORTED_VERSION,
-                kindOf(behindMagic(StateFileFormat.FORMAT_VERSION + 1, new byte[50])));
+                decodeFailure(fileWithVersion(StateFileFormat.FORMAT_VERSION + 1, new byte[50])));
     }
 
     @Test
     void skipsAndReportsUnknownSections() throws IOException, StateFileException {
-        StateSnapshot kept = SampleSnapshots.snapshot(1, 3);
+        StateSnapshot snapshot = SampleSnapshots.snapshot(1, 3);
         byte[] file =
-                with(
-                        StateFileFormat.encode(kept),
+                withSection(
+                        StateFileFormat.encode(snapshot),
                         8,
                         section("MORE", "{}", 1, new byte[] {1, 2, 3}));
-        List<String> leftOut = new ArrayList<>();
-        assertEquals(kept, StateFileFormat.decode("x", file, leftOut::add));
-        assertEquals(List.of("section MORE of a later writer"), leftOut);
+        List<String> skippedSections = new ArrayList<>();
+        assertEquals(snapshot, StateFileFormat.decode("x", file, skippedSections::add));
+        assertEquals(List.of("section MORE of a later writer"), skippedSections);
         // A field more in a record that we know, and one less that has a default.
-        Schema later =
+        Schema laterSchema =
                 new Schema.Parser()
                         .parse(
                                 "{\"type\":\"record\",\"name\":\"Route\",\"namespace\":"
                                         + "\"mulleinlever.state\",\"fields\":[{\"name\":\"route\",\"type\":\"string\"},{\"name\":\"more\","
                                         + "\"type\":\"long\"},{\"name\":\"build\",\"type\":\"int\"},{\"name\":\"timesNs\",\"type\":\"double\"},"
                                         + "{\"name\":\"timesWeight\",\"type\":\"double\"}]}");
-        GenericRecord r = new GenericData.Record(later);
-        r.put("route", "later");
-        r.put("more", 5L);
-        r.put("build", 42);
-        r.put("timesNs", 3.0);
-        r.put("timesWeight", 2.0);
+        GenericRecord record = new GenericData.Record(laterSchema);
+        record.put("route", "later");
+        record.put("more", 5L);
+        record.put("build", 42);
+        record.put("timesNs", 3.0);
+        record.put("timesWeight", 2.0);
         ByteArrayOutputStream records = new ByteArrayOutputStream();
         BinaryEncoder encoder = EncoderFactory.get().binaryEncoder(records, null);
-        new GenericDatumWriter<GenericRecord>(later).write(r, encoder);
+        new GenericDatumWriter<GenericRecord>(laterSchema).write(record, encoder);
         encoder.flush();
-        StateSnapshot got =
-                read(
-                        with(
-                                StateFileFormat.encode(kept),
+        StateSnapshot decoded =
+                decode(
+                        withSection(
+                                StateFileFormat.encode(snapshot),
                                 8,
-                                section("ROUT", later.toString(), 1, records.toByteArray())));
-        assertEquals(kept.learnedValues().size() + 1, got.learnedValues().size());
+                                section("ROUT", laterSchema.toString(), 1, records.toByteArray())));
+        assertEquals(snapshot.learnedValues().size() + 1, decoded.learnedValues().size());
         assertTrue(
-                got.learnedValues()
+                decoded.learnedValues()
                         .toString()
                         .contains(
                                 "RouteStats[route=later, build=42, times=WeightedMean[mean=3.0, weight=2.0], "
