--- a/disk/src/main/java/mulleinlever/disk/Directory.java
+++ b/disk/src/main/java/mulleinlever/disk/Directory.java
@@ -6,57 +6,61 @@
 import java.util.List;
 
 /**
- * One folder, as far as those need it that keep something there. What was written is sure to
- * outlast a crash only after {@link FileOutput#force}, and a file's name only after {@link
- * #forceDirectory}. Any call may fail or take for ever: none is made on an event loop. Names are
- * plain, without a path.
+ * The operations on one directory that code storing files in it needs. Written bytes are guaranteed
+ * to survive a crash only after {@link FileOutput#force}, and file names only after {@link
+ * #forceDirectory}. Any call may fail or block forever, so none may be made on an event loop. File
+ * names are plain names without a path.
  */
 public interface Directory {
-    /** A file being written. */
+    /** A file that is being written. */
     interface FileOutput extends Closeable {
-        /** Writes all of the buffer's remaining bytes behind those written before. */
+        /** Appends all remaining bytes of the buffer to the file. */
         void write(ByteBuffer bytes) throws IOException;
 
-        /** After this, what was written so far outlasts a crash. */
+        /** Forces all bytes written so far to the disk, so that they survive a crash. */
         void force() throws IOException;
     }
 
-    /** The names of the files there, in the order of their letters. */
+    /** Returns the names of the files in this directory, sorted. */
     List<String> list() throws IOException;
 
     /**
-     * A file's bytes.
+     * Returns the content of a file.
      *
-     * @throws FileTooLargeException where there are more than {@code most}; nothing is allocated
-     *     for them
-     * @throws java.nio.file.NoSuchFileException where there is no such file
+     * @throws FileTooLargeException if the file has more than {@code maxBytes} bytes; no memory is
+     *     allocated for them
+     * @throws java.nio.file.NoSuchFileException if there is no such file
      */
     byte[] read(String name, long maxBytes) throws IOException;
 
-    /** A new and empty file, in place of any of that name. */
+    /** Creates an empty file, replacing any file of that name. */
     FileOutput create(String name) throws IOException;
 
-    /** Gives a file another name, in one step, in place of any that has it. */
+    /**
+     * Renames a file atomically, replacing any file that has the new name.
+     *
+     * @throws java.nio.file.NoSuchFileException if there is no file named {@code from}
+     */
     void rename(String from, String to) throws IOException;
 
-    /** Deletes a file; nothing happens where there is none. */
+    /** Deletes a file; does nothing if there is no such file. */
     void delete(String name) throws IOException;
 
-    /** After this, the names as they are now outlast a crash. */
+    /** Forces the current file names to the disk, so that they survive a crash. */
     void forceDirectory() throws IOException;
 
     /**
-     * Holds a file of that name locked against other processes until closed; null where another
-     * holds it.
+     * Locks the file of that name, which is created if missing, until the returned object is
+     * closed. Returns null if the lock is held already, by another process or within this one.
      */
     Closeable tryLock(String name) throws IOException;
 
-    /** A file that is longer than its reader takes. */
+    /** Thrown when a file is longer than the maximum that its reader accepts. */
     final class FileTooLargeException extends IOException {
         private static final long serialVersionUID = 1L;
 
         public FileTooLargeException(String name, long sizeBytes, long maxBytes) {
-            super(name + " has " + sizeBytes + " bytes, more than " + maxBytes);
+            super(name + " has " + sizeBytes + " bytes, more than the maximum of " + maxBytes);
         }
     }
 }
--- a/disk/src/main/java/mulleinlever/disk/FaultInjectingDirectory.java
+++ b/disk/src/main/java/mulleinlever/disk/FaultInjectingDirectory.java
@@ -13,88 +13,122 @@
 import java.util.concurrent.CountDownLatch;
 
 /**
- * A folder in memory whose calls can be made to fail, to tear or to be the last before a crash, for
- * tests and measurements. What was forced outlasts a crash, always. Of what was not, each write and
- * each change of a name does so or not by chance, in any combination, and a write perhaps in part
- * only.
+ * A directory in memory for tests and measurements. A call can be made to fail, to write only a
+ * part of its bytes, to crash the simulated process, or to block. Forced data always survives a
+ * simulated crash. Each unforced write and each unforced change of a file name survives or is lost
+ * at random, independently of the others, and a write may survive in part.
+ *
+ * <p>Thread-safe, as the code under test calls it from a thread of its own.
  */
 public final class FaultInjectingDirectory implements Directory {
-    /** What befalls a call. */
+    /** The ways in which a call can fail. */
     public enum Fault {
+        /** The call throws an I/O error and has no effect. */
         IO_ERROR,
+        /** The call throws an I/O error as on a full disk and has no effect. */
         NO_SPACE,
+        /** A write stores half of its bytes and throws an I/O error; other calls succeed. */
         TORN_WRITE,
+        /** The process ends during the call: this call and all later disk accesses throw. */
         CRASH
     }
 
-    /** The process ended within a call; nothing of it goes on. */
+    /**
+     * Thrown by the call during which the simulated process ends, and by all later accesses to the
+     * disk. It is an error, so that handlers of I/O errors do not catch it.
+     */
     public static final class SimulatedCrashError extends Error {
         private static final long serialVersionUID = 1L;
 
         SimulatedCrashError() {
-            super("the process ends here", null, false, false);
+            super("simulated crash of the process", null, false, false);
         }
     }
 
+    /** The content of a file, as written and as guaranteed to survive a crash. */
     private static final class FileContent {
         private byte[] forcedBytes = new byte[0];
         private final ByteArrayOutputStream writtenBytes = new ByteArrayOutputStream();
 
-        /** Where each write since the last force began. */
+        /** The offset at which each write since the last force began. */
         private final List<Integer> unforcedWriteOffsets = new ArrayList<>();
     }
 
     /**
-     * A change of names that a force has not made sure yet: a file given a name, or a name taken
-     * away, or both.
+     * A creation, deletion or renaming of a file.
+     *
+     * @param removedName the name that the change removes, or null
+     * @param addedName the name that the change adds or replaces, or null
+     * @param content the content of the file under the added name
      */
     private record NameChange(String removedName, String addedName, FileContent content) {}
 
     private final SplittableRandom random;
     private final TreeMap<String, FileContent> files = new TreeMap<>();
+
+    /** The files by name as of the last {@link #forceDirectory}. */
     private final TreeMap<String, FileContent> forcedFiles = new TreeMap<>();
+
+    /** The changes of names since the last {@link #forceDirectory}, in order. */
     private final List<NameChange> unforcedChanges = new ArrayList<>();
+
     private final List<String> lockedNames = new ArrayList<>();
     private Fault injectedFault;
+
+    /** The index of the call that fails; -1 for none. */
     private int faultCallIndex = -1;
+
     private int callCount;
     private boolean crashed;
+
+    /** Calls wait for this latch; null while calls are not blocked. */
     private CountDownLatch unblockLatch;
 
+    /**
+     * @param seed the seed of the random choices
+     */
     public FaultInjectingDirectory(long seed) {
         this.random = new SplittableRandom(seed);
     }
 
     /**
-     * Lets trouble befall the call of that number, counted from 0 over all calls that touch the
-     * disk.
+     * Makes one call fail, in place of any fault injected before.
+     *
+     * @param callIndex the index of the call among all calls that access the disk, from 0; {@link
+     *     #tryLock} does not count
      */
     public synchronized void injectFault(Fault fault, int callIndex) {
         injectedFault = fault;
         faultCallIndex = callIndex;
     }
 
-    /** How many calls there were. */
+    /** Returns the number of calls so far. */
     public synchronized int callCount() {
         return callCount;
     }
 
-    /** Whether the process that used it has ended. */
+    /** Returns whether the simulated process has crashed. */
     public synchronized boolean hasCrashed() {
         return crashed;
     }
 
-    /** From now on calls wait until {@link #unblockCalls}. */
+    /** Makes all later calls block until {@link #unblockCalls}. */
     public synchronized void blockCalls() {
         unblockLatch = new CountDownLatch(1);
     }
 
+    /** Lets blocked and later calls proceed; calls must be blocked. */
     public synchronized void unblockCalls() {
         unblockLatch.countDown();
         unblockLatch = null;
     }
 
-    /** What another start finds after a crash now: this disk is not changed by it. */
+    /**
+     * Returns a copy of what a restarted process would find after a crash at this moment. This
+     * directory does not change.
+     *
+     * @param seed the seed by which unforced data survives or is lost
+     */
     public synchronized FaultInjectingDirectory copyAfterCrash(long seed) {
         FaultInjectingDirectory copy = new FaultInjectingDirectory(seed);
         TreeMap<String, FileContent> survivingFiles = new TreeMap<>(forcedFiles);
@@ -114,6 +148,7 @@
         return copy;
     }
 
+    /** Returns the content of a file after a crash: all forced bytes and some unforced ones. */
     private static byte[] survivingBytes(FileContent content, SplittableRandom random) {
         byte[] written = content.writtenBytes.toByteArray();
         byte[] surviving = Arrays.copyOf(content.forcedBytes, written.length);
@@ -131,7 +166,7 @@
                         default -> start + random.nextInt(end - start + 1);
                     };
             System.arraycopy(written, start, surviving, start, survivingEnd - start);
-            // The length may be on the disk before the bytes are: what lies between reads as zeros.
+            // The new length may reach the disk before the bytes; missing bytes read as zeros.
             length =
                     survivingEnd > start
                             ? Math.max(length, random.nextBoolean() ? survivingEnd : end)
@@ -154,7 +189,12 @@
         unforcedChanges.add(change);
     }
 
-    /** Whether this call is to be torn; other trouble is thrown. */
+    /**
+     * Counts a call, waits while calls are blocked, and injects the fault if this call is to fail.
+     * Returns whether a write is to be torn; a crash takes effect in {@link #throwIfCrashed}.
+     *
+     * @param subject the file or directory that an I/O error names
+     */
     private boolean beginCall(String subject) throws IOException {
         CountDownLatch latch;
         synchronized (this) {
@@ -188,7 +228,11 @@
         }
     }
 
-    /** A call in which the process ends may have done its work, but for a force. */
+    /**
+     * Throws if the process has crashed during the current call. A call that writes or changes
+     * names checks this after the change, so that a crash may leave the change done. A force checks
+     * it before, so that a crash during a force guarantees nothing.
+     */
     private synchronized void throwIfCrashed() {
         if (crashed) {
             throw new SimulatedCrashError();
@@ -220,7 +264,7 @@
         }
     }
 
-    /** Puts a file there as it stands, forced. */
+    /** Adds a file whose content and name are forced. */
     public synchronized void addForcedFile(String name, byte[] bytes) {
         FileContent content = new FileContent();
         content.forcedBytes = bytes.clone();
@@ -297,7 +341,7 @@
 
     @Override
     public void forceDirectory() throws IOException {
-        beginCall("folder");
+        beginCall("directory");
         throwIfCrashed();
         synchronized (this) {
             forcedFiles.clear();
@@ -321,6 +365,6 @@
 
     @Override
     public String toString() {
-        return "faulty disk";
+        return "in-memory directory";
     }
 }
--- a/disk/src/main/java/mulleinlever/disk/FileSystemDirectory.java
+++ b/disk/src/main/java/mulleinlever/disk/FileSystemDirectory.java
@@ -16,7 +16,7 @@
 import java.util.Collections;
 import java.util.List;
 
-/** A folder of the file system. */
+/** A directory of the file system. */
 public final class FileSystemDirectory implements Directory {
     private final Path path;
 
@@ -24,7 +24,7 @@
         this.path = path;
     }
 
-    /** Makes the folder, and those it lies in, where they are missing. */
+    /** Creates the directory and its parents if they are missing. */
     public void createDirectories() throws IOException {
         Files.createDirectories(path);
     }
@@ -33,7 +33,7 @@
     public List<String> list() throws IOException {
         List<String> names = new ArrayList<>();
         try (DirectoryStream<Path> entries = Files.newDirectoryStream(path)) {
-            entries.forEach(p -> names.add(p.getFileName().toString()));
+            entries.forEach(entry -> names.add(entry.getFileName().toString()));
         }
         Collections.sort(names);
         return names;
@@ -49,7 +49,7 @@
             ByteBuffer content = ByteBuffer.allocate((int) sizeBytes);
             while (content.hasRemaining()) {
                 if (in.read(content) < 0) {
-                    throw new EOFException(name + " became shorter while it was read");
+                    throw new EOFException(name + " was truncated while it was read");
                 }
             }
             return content.array();
@@ -110,7 +110,7 @@
         try {
             lock = channel.tryLock();
         } catch (OverlappingFileLockException e) {
-            // Held within this very process.
+            // The lock is held within this process.
         } finally {
             if (lock == null) {
                 channel.close();
--- a/disk/src/test/java/mulleinlever/disk/DirectoryTest.java
+++ b/disk/src/test/java/mulleinlever/disk/DirectoryTest.java
@@ -19,14 +19,18 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
+/**
+ * Tests that the directory in memory behaves like one of the file system, and that it injects
+ * faults as requested.
+ */
 class DirectoryTest {
     @TempDir Path tempDir;
 
-    private static ByteBuffer bytes(String content) {
+    private static ByteBuffer asciiBytes(String content) {
         return ByteBuffer.wrap(content.getBytes(StandardCharsets.US_ASCII));
     }
 
-    private static String text(Directory directory, String name) throws IOException {
+    private static String readText(Directory directory, String name) throws IOException {
         return new String(directory.read(name, 1000), StandardCharsets.US_ASCII);
     }
 
@@ -34,13 +38,12 @@
             throws IOException {
         try (Directory.FileOutput out = directory.create(name)) {
             for (String part : parts) {
-                out.write(bytes(part));
+                out.write(asciiBytes(part));
             }
             out.force();
         }
     }
 
-    /** The folder and the one in memory agree on what calls do. */
     @Test
     void implementationsBehaveAlike() throws IOException {
         FileSystemDirectory onFileSystem = new FileSystemDirectory(tempDir.resolve("a/b"));
@@ -50,11 +53,11 @@
             write(directory, "b", "one", "two");
             write(directory, "a", "x");
             assertEquals(List.of("a", "b"), directory.list());
-            assertEquals("onetwo", text(directory, "b"));
+            assertEquals("onetwo", readText(directory, "b"));
             directory.rename("b", "a");
-            assertEquals("onetwo", text(directory, "a"));
+            assertEquals("onetwo", readText(directory, "a"));
             write(directory, "a", "short");
-            assertEquals("short", text(directory, "a"));
+            assertEquals("short", readText(directory, "a"));
             directory.forceDirectory();
             assertThrows(Directory.FileTooLargeException.class, () -> directory.read("a", 4));
             assertThrows(NoSuchFileException.class, () -> directory.read("b", 4));
@@ -76,25 +79,27 @@
         for (int seed = 0; seed < 200; seed++) {
             FaultInjectingDirectory directory = new FaultInjectingDirectory(seed);
             Directory.FileOutput kept = directory.create("kept");
-            kept.write(bytes("sure"));
+            kept.write(asciiBytes("sure"));
             kept.force();
             directory.forceDirectory();
-            kept.write(bytes("AB"));
-            kept.write(bytes("CD"));
+            kept.write(asciiBytes("AB"));
+            kept.write(asciiBytes("CD"));
             write(directory, "tmp", "new");
             directory.rename("tmp", "new");
             FaultInjectingDirectory afterCrash = directory.copyAfterCrash(seed);
-            String survivingText = text(afterCrash, "kept");
+            String survivingText = readText(afterCrash, "kept");
             assertTrue(survivingText.startsWith("sure"), survivingText);
             outcomes.add(
                     survivingText.replace('\0', '0')
                             + afterCrash.list().contains("new")
                             + afterCrash.list().contains("tmp"));
             if (afterCrash.list().contains("new")) {
-                assertEquals("new", text(afterCrash, "new"));
+                assertEquals("new", readText(afterCrash, "new"));
             }
         }
-        // Torn, out of order, and each naming with or without the one before it.
+        // A write survives in part, or without the one before it, and each change of a name
+        // survives
+        // with or without the one before it.
         for (String possible :
                 List.of(
                         "suretruefalse",
--- a/state/src/main/java/mulleinlever/state/SnapshotBuilder.java
+++ b/state/src/main/java/mulleinlever/state/SnapshotBuilder.java
@@ -10,12 +10,12 @@
 import mulleinlever.RolloutStatus;
 
 /**
- * One capture under way. It is taken in slices, so that the event loop of a sidecar with ten
- * thousand pods is never held for long; what changes between two slices is taken as it is when its
- * turn comes.
+ * Collects a snapshot on the event loop. It works in slices, so that it never blocks the event loop
+ * for long, even with ten thousand pods. A value that changes between two slices is captured as it
+ * is when its turn comes.
  */
 public final class SnapshotBuilder {
-    /** Pieces between two looks at the clock: some microseconds of work. */
+    /** The number of values between two readings of the clock: some microseconds of work. */
     private static final int VALUES_PER_CLOCK_READ = 16;
 
     private final Iterator<LearnedState> values;
@@ -24,16 +24,20 @@
     private final List<LearnedState> learnedValues = new ArrayList<>();
 
     /**
-     * @param values what a policy gives out
-     * @param addressOfPod where a pod listens, by its id; null for pods whose address is not known,
-     *     which are left out
+     * @param values the learned values of the policy
+     * @param addressOfPod returns the address and port of a pod by its id, or null if unknown; pods
+     *     without an address are not captured
      */
     public SnapshotBuilder(Iterator<LearnedState> values, Function<String, String> addressOfPod) {
         this.values = values;
         this.addressOfPod = addressOfPod;
     }
 
-    /** Takes pieces until a time, some at least; true once all are taken. */
+    /**
+     * Collects values until the clock reaches the deadline. Each call collects at least {@value
+     * #VALUES_PER_CLOCK_READ} values if as many are left, even past the deadline. Returns whether
+     * all values have been collected.
+     */
     public boolean collectUntil(LongSupplier clock, long deadlineNs) {
         for (int i = 1; values.hasNext(); i++) {
             add(values.next());
@@ -56,7 +60,7 @@
         }
     }
 
-    /** What was captured, under a head whose number the keeper gives. */
+    /** Returns the snapshot; {@link StateStore} replaces the sequence number in its header. */
     public StateSnapshot toSnapshot(StateSnapshot.Header head, RolloutStatus rolloutStatus) {
         return new StateSnapshot(head, rolloutStatus, pods, learnedValues);
     }
--- a/state/src/main/java/mulleinlever/state/SnapshotFilter.java
+++ b/state/src/main/java/mulleinlever/state/SnapshotFilter.java
@@ -11,16 +11,18 @@
 import mulleinlever.RolloutStatus;
 
 /**
- * Which of what was kept still holds here and now, and why the rest does not. What is taken is a
- * prior and no right: nothing in it lets a restarted sidecar do more than one that starts with
- * nothing.
+ * Selects the part of a snapshot that is still valid for a restarted sidecar, and counts the rest
+ * by the reason for rejecting it. Restored values serve only as initial estimates: none of them
+ * lets a restarted sidecar do anything that a sidecar without saved state may not do.
  */
 public final class SnapshotFilter {
     /**
-     * Where the sidecar stands at its start.
+     * The environment of the sidecar at its start.
      *
-     * @param pods the list that it starts from, by id
-     * @param podAddresses where each listens, by id, as address and port
+     * @param zone the zone of the sidecar
+     * @param routes the names of the configured routes
+     * @param pods the pods of the initial pod list, by pod id
+     * @param podAddresses the address and port of each pod, by pod id
      */
     public record RestoreContext(
             String zone,
@@ -28,10 +30,15 @@
             Map<String, PodEntry> pods,
             Map<String, String> podAddresses) {}
 
-    /** What is taken, and how many were left out for each reason, by the reason. */
+    /**
+     * The values that are restored, decayed by their age, and the number of rejected values by
+     * category and reason.
+     */
     public record RestoreResult(
             List<LearnedState> restoredValues, Map<String, Integer> rejectedCounts) {
-        /** For one line of a log: how many of each sort. */
+        /**
+         * Returns the number of restored values by category and of rejected ones, for a log line.
+         */
         @Override
         public String toString() {
             Map<String, Long> countByCategory =
@@ -50,7 +57,7 @@
             return rejectedCounts.isEmpty()
                     ? restored
                     : restored
-                            + "; left out: "
+                            + "; not restored: "
                             + rejectedCounts.entrySet().stream()
                                     .map(e -> e.getValue() + " " + e.getKey())
                                     .collect(Collectors.joining(", "));
@@ -59,6 +66,7 @@
 
     private SnapshotFilter() {}
 
+    /** Returns the name of a value's category in log lines. */
     private static String categoryName(LearnedState value) {
         return switch (StateDecay.categoryOf(value)) {
             case PODS -> "pods";
@@ -69,7 +77,11 @@
         };
     }
 
-    /** What holds of all that was kept, after that age. */
+    /**
+     * Selects the valid values of a snapshot.
+     *
+     * @param ageNs the age of the snapshot in nanoseconds, or {@link StateDecay#UNKNOWN_AGE_NS}
+     */
     public static RestoreResult filter(StateSnapshot snapshot, long ageNs, RestoreContext context) {
         List<LearnedState> restored = new ArrayList<>();
         Map<String, Integer> rejectedCounts = new TreeMap<>();
@@ -87,6 +99,11 @@
         return new RestoreResult(restored, rejectedCounts);
     }
 
+    /**
+     * Adds the decayed value to the restored ones, or counts it as rejected.
+     *
+     * @param mismatch why the value does not apply; null if it does
+     */
     private static void addOrReject(
             LearnedState value,
             String mismatch,
@@ -98,13 +115,13 @@
             restored.add(decayed);
         } else {
             rejectedCounts.merge(
-                    categoryName(value) + (mismatch == null ? " faded" : " " + mismatch),
+                    categoryName(value) + (mismatch == null ? " expired" : " " + mismatch),
                     1,
                     Integer::sum);
         }
     }
 
-    /** Why a pod's past is not its own any more; null where it is. */
+    /** Returns why the saved statistics do not apply to the pod any more; null if they do. */
     private static String mismatch(
             StateSnapshot.PodSnapshot pod, StateSnapshot snapshot, RestoreContext context) {
         PodEntry saved = pod.learned().is();
@@ -113,31 +130,34 @@
             return "gone";
         }
         if (current.startedNs() != saved.startedNs() || current.build() != saved.build()) {
-            return "started anew";
+            return "restarted";
         }
         if (!pod.address().equals(context.podAddresses().get(saved.id()))) {
             return "at another address";
         }
-        return snapshot.head().zone().equals(context.zone()) ? null : "seen from another zone";
+        return snapshot.head().zone().equals(context.zone()) ? null : "measured from another zone";
     }
 
+    /** Returns why a value that is not about a pod does not apply any more; null if it does. */
     private static String mismatch(
             LearnedState value, StateSnapshot snapshot, RestoreContext context) {
         if (value instanceof LearnedState.ConnectionStats
                 && !snapshot.head().zone().equals(context.zone())) {
-            return "seen from another zone";
+            return "measured from another zone";
         }
         String route =
                 value instanceof LearnedState.RouteStats r
                         ? r.route()
                         : value instanceof LearnedState.DetectorBaseline b ? b.route() : "";
-        return route.isEmpty() || context.routes().contains(route) ? null : "of no route here";
+        return route.isEmpty() || context.routes().contains(route) ? null : "of an unknown route";
     }
 
     /**
-     * Whether the list that was kept is to be started from, rather than one of a given version (-1
-     * for none). A list that names too little or old addresses costs tries, until discovery tells
-     * better.
+     * Returns whether the sidecar should start from the saved pod list rather than from another
+     * one. A list with missing pods or outdated addresses makes tries fail until discovery provides
+     * a newer one.
+     *
+     * @param otherVersion the version of the other list; -1 for none
      */
     public static boolean isPodListUsable(StateSnapshot snapshot, long ageNs, long otherVersion) {
         return snapshot.head().listVersion() > otherVersion
@@ -146,8 +166,11 @@
     }
 
     /**
-     * The news that was kept where it allows less than what is told at the start, else null. What
-     * allows more is never remembered: a cap that has been lowered meanwhile would be passed.
+     * Returns the saved rollout status, with a cap of 0, if it reverts or withdraws a build that
+     * the current status still allows or does not know yet; null otherwise. A more permissive
+     * status is never restored, as it would exceed a cap that has been lowered since.
+     *
+     * @param current the rollout status known at the start
      */
     public static RolloutStatus selectIfStricter(RolloutStatus saved, RolloutStatus current) {
         boolean isRevertingOrWithdrawn =
--- a/state/src/main/java/mulleinlever/state/StateDecay.java
+++ b/state/src/main/java/mulleinlever/state/StateDecay.java
@@ -3,14 +3,14 @@
 import mulleinlever.LearnedState;
 
 /**
- * How what was remembered fades by the time that passed, and when a whole group of it is dropped.
- * It knows no clock: the age is told, in nanoseconds, or {@link #UNKNOWN_AGE_NS} where the clock
- * was set back or the file comes from another.
+ * Reduces the weight of restored state according to its age, and drops state that is too old. It
+ * reads no clock: callers pass the age in nanoseconds, or {@link #UNKNOWN_AGE_NS} where the clock
+ * was set back or the snapshot was captured by another clock.
  */
 public final class StateDecay {
     /**
-     * No age that can be believed. What changes within minutes is dropped then, the rest counts
-     * half.
+     * Stands for an age that can't be determined. State that changes within minutes is dropped
+     * then, and the weight of the rest is halved.
      */
     public static final long UNKNOWN_AGE_NS = -1;
 
@@ -19,27 +19,39 @@
     private static final long HOUR_NS = 60 * MINUTE_NS;
     private static final long DAY_NS = 24 * HOUR_NS;
 
-    /** Below so many outcomes a figure says nothing. */
+    /** The minimum weight, in outcomes, below which a mean carries no information. */
     private static final double MIN_WEIGHT = 0.1;
 
-    /** What fades alike: its half-life, and the age beyond which nothing of it is taken. */
+    /** The categories of state, each with its half-life and its maximum age. */
     public enum Category {
         /**
-         * A slow or hung pod is restarted or recovers within minutes; wrong suspicion of it costs
-         * room.
+         * Statistics of pods. A slow or hung pod is restarted or recovers within minutes, and
+         * avoiding a healthy pod wastes capacity.
          */
         PODS(MINUTE_NS, 15 * MINUTE_NS, false),
-        /** Connections are refused while something lasts, and others hold on to them since. */
+        /**
+         * Statistics of connections. Connections are refused only while some cause lasts, and since
+         * then other clients may hold the connections in question.
+         */
         LINKS(15 * SECOND_NS, 2 * MINUTE_NS, false),
-        /** What a route's work takes changes with builds and the hour of the day. */
+        /**
+         * Statistics of routes. The duration of a route's tries changes with builds and the time of
+         * day.
+         */
         ROUTES(10 * MINUTE_NS, DAY_NS, true),
-        /** The earlier build's share of failures, as long as it is the earlier build. */
+        /**
+         * Baselines of the detectors: the share of failures of the earlier build, which holds as
+         * long as that build remains the earlier one.
+         */
         BASELINES(HOUR_NS, DAY_NS, true),
-        /** A rule, not an estimate: it does not fade, but long after its build it binds nothing. */
+        /**
+         * One-way keys. Which builds may answer a key is a rule and not an estimate, so it does not
+         * decay, but long after its build it no longer constrains anything.
+         */
         KEYS(Long.MAX_VALUE, DAY_NS, true),
         /**
-         * Discovery tells better at once; where it can't, an old list may name addresses that are
-         * others' now.
+         * The pod list. Discovery provides a newer list at once; if it is unavailable, an old list
+         * may contain addresses that now belong to other processes.
          */
         POD_LIST(Long.MAX_VALUE, HOUR_NS, false);
 
@@ -57,15 +69,18 @@
     private StateDecay() {}
 
     /**
-     * The age of what was captured at a Unix time in milliseconds, by a clock that may have been
-     * set.
+     * Returns the age of state captured at a Unix time in milliseconds, in nanoseconds. Returns
+     * {@link #UNKNOWN_AGE_NS} if that time is not positive, or lies in the future because the clock
+     * was set.
+     *
+     * @param nowNs the current Unix time in nanoseconds
      */
     public static long computeAgeNs(long capturedUnixMs, long nowNs) {
         long capturedNs = Math.multiplyExact(capturedUnixMs, 1_000_000L);
         return capturedNs > nowNs || capturedNs <= 0 ? UNKNOWN_AGE_NS : nowNs - capturedNs;
     }
 
-    /** The part of a figure's weight that is left; 0 where the group is dropped. */
+    /** Returns the fraction of the weight that remains at an age; 0 if the category is dropped. */
     public static double remainingFraction(Category category, long ageNs) {
         if (ageNs == UNKNOWN_AGE_NS) {
             return category.isUsedAtUnknownAge ? 0.5 : 0;
@@ -85,7 +100,10 @@
                                         : Category.KEYS;
     }
 
-    /** What is left of one thing learned; null where nothing is. */
+    /**
+     * Returns a learned value with its weights reduced by age. A mean whose weight falls below 0.1
+     * outcomes, or a baseline of less than one sample, is dropped. Returns null if nothing remains.
+     */
     public static LearnedState decay(LearnedState value, long ageNs) {
         double remaining = remainingFraction(categoryOf(value), ageNs);
         if (remaining == 0) {
--- a/state/src/main/java/mulleinlever/state/StateFileException.java
+++ b/state/src/main/java/mulleinlever/state/StateFileException.java
@@ -1,25 +1,25 @@
 package mulleinlever.state;
 
 /**
- * A file that is not taken, and why; the message names the file and, where there is one, the place
- * in it.
+ * Thrown when a state file can't be used. The message names the file and, if the fault lies in its
+ * content, the byte offset.
  */
 public final class StateFileException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    /** The kinds, each with the exit code by which scripts can tell it. */
+    /** The kinds of failures, each with the exit code that reports it to scripts. */
     public enum Kind {
-        /** Not there, or the system refuses to read it. */
+        /** The file does not exist, or reading it failed. */
         UNREADABLE(3),
-        /** Something else than a file of state. */
+        /** The file is not a state file. */
         NOT_A_STATE_FILE(4),
-        /** Of a later format than this program knows. */
+        /** The file has a later format version than this program supports. */
         UNSUPPORTED_VERSION(5),
-        /** It ends too soon. */
+        /** The file ends too early. */
         TRUNCATED(6),
-        /** A checksum differs, or what is read makes no sense. */
+        /** A checksum does not match, or the content is invalid. */
         CORRUPT(7),
-        /** Longer than what is taken. */
+        /** The file is longer than the maximum. */
         TOO_LARGE(8);
 
         public final int exitCode;
--- a/state/src/main/java/mulleinlever/state/StateFileFormat.java
+++ b/state/src/main/java/mulleinlever/state/StateFileFormat.java
@@ -25,22 +25,27 @@
 import org.apache.avro.io.EncoderFactory;
 
 /**
- * The bytes of a file of state; docs/state.md describes them. A magic, a version, then sections of
- * records, each with its records' schema, so that Avro can read what a somewhat older or newer
- * writer wrote. Each section's head and body have a checksum of their own, and no length is
- * believed before its head's has proved true.
+ * Encodes and decodes state files; docs/state.md describes the format. A file starts with magic
+ * bytes and a format version, followed by sections of records. Each section contains the schema of
+ * its records, so that Avro can read records of somewhat older or newer program versions. The
+ * header and the body of each section have separate checksums, and a length is used only after the
+ * checksum of its header has been verified.
  */
 final class StateFileFormat {
     static final int FORMAT_VERSION = 1;
+
+    /** The first bytes of each state file. */
     static final byte[] MAGIC = {(byte) 0x89, 'M', 'L', 'S', 'T', '\r', '\n', 0x1a};
+
+    /** Tag, schema length, record count, length of the records, and checksum: 4 bytes each. */
     private static final int SECTION_HEADER_BYTES = 20;
 
-    /** Our schemas take less than a thousand bytes; nothing honest comes near this. */
+    /** The schemas of this program have fewer than 1000 bytes, so no valid one comes near this. */
     private static final int MAX_SCHEMA_BYTES = 1 << 16;
 
     private static final int END_TAG = sectionTag("END ");
 
-    /** What one kind of section holds. */
+    /** The kinds of sections, in the order of the file. The names are written to the file. */
     private enum Section {
         HEAD,
         NEWS,
@@ -74,10 +79,12 @@
 
     private StateFileFormat() {}
 
+    /** Returns the tag of a section as an int, from its name of four ASCII characters. */
     static int sectionTag(String name) {
         return ByteBuffer.wrap(name.getBytes(StandardCharsets.US_ASCII)).getInt();
     }
 
+    /** Returns the name of a tag for messages; hexadecimal if it is not printable. */
     private static String tagName(int tag) {
         String text =
                 new String(ByteBuffer.allocate(4).putInt(tag).array(), StandardCharsets.ISO_8859_1);
@@ -88,6 +95,7 @@
 
     // ---- Writing.
 
+    /** Returns the content of a state file. */
     static byte[] encode(StateSnapshot snapshot) {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         out.writeBytes(MAGIC);
@@ -129,6 +137,7 @@
         return snapshot.learnedValues().stream().filter(type::isInstance).map(type::cast).toList();
     }
 
+    /** Copies the fields of a value into an Avro record. */
     private interface FieldWriter<T> {
         void writeFields(GenericRecord record, T value);
     }
@@ -159,6 +168,12 @@
                 records.toByteArray());
     }
 
+    /**
+     * Appends a section with its checksums.
+     *
+     * @param schema the schema of the records, as JSON in UTF-8
+     * @param records the records in Avro's binary encoding
+     */
     static void writeSection(
             ByteArrayOutputStream out, int tag, byte[] schema, int count, byte[] records) {
         ByteBuffer header =
@@ -213,13 +228,13 @@
         writeFields(record, "usualNs", "usualWeight", stats.usual());
     }
 
-    private static void writeFields(GenericRecord record, LearnedState.DetectorBaseline stats) {
-        record.put("build", stats.build());
-        record.put("route", stats.route());
-        record.put("ofLate", stats.ofLate());
-        record.put("mean", stats.mean());
-        record.put("deviation", stats.deviation());
-        record.put("samples", stats.samples());
+    private static void writeFields(GenericRecord record, LearnedState.DetectorBaseline baseline) {
+        record.put("build", baseline.build());
+        record.put("route", baseline.route());
+        record.put("ofLate", baseline.ofLate());
+        record.put("mean", baseline.mean());
+        record.put("deviation", baseline.deviation());
+        record.put("samples", baseline.samples());
     }
 
     private static void writeFields(GenericRecord record, StateSnapshot.PodSnapshot pod) {
@@ -255,16 +270,18 @@
     // ---- Reading.
 
     /**
-     * Reads a whole file.
+     * Decodes a state file.
      *
-     * @param fileName what faults name it
-     * @param onSkippedSection hears of each section that a later writer added and we do not know
+     * @param fileName the name of the file in messages of exceptions
+     * @param onSkippedSection receives a description of each section that this program does not
+     *     know, which a later version added
      */
     static StateSnapshot decode(String fileName, byte[] bytes, Consumer<String> onSkippedSection)
             throws StateFileException {
         return new Reader(fileName, bytes, onSkippedSection).read();
     }
 
+    /** Decodes one file; an instance is used once. */
     private static final class Reader {
         private final String fileName;
         private final ByteBuffer in;
@@ -273,6 +290,8 @@
         private RolloutStatus rolloutStatus;
         private final List<StateSnapshot.PodSnapshot> pods = new ArrayList<>();
         private final List<LearnedState> learnedValues = new ArrayList<>();
+
+        /** The number of sections read, without the end section. */
         private int sectionCount;
 
         Reader(String fileName, byte[] bytes, Consumer<String> onSkippedSection) {
@@ -295,7 +314,7 @@
                             StateFileException.Kind.NOT_A_STATE_FILE, i, "not a file of state");
                 }
             }
-            requireBytes(4, "the version");
+            requireBytes(4, "the format version");
             int version = in.getInt();
             if (version > FORMAT_VERSION) {
                 throw exceptionAt(
@@ -304,7 +323,8 @@
                         "format " + version + ", and we know up to " + FORMAT_VERSION);
             }
             if (version < 1) {
-                throw exceptionAt(StateFileException.Kind.CORRUPT, 8, "no such format: " + version);
+                throw exceptionAt(
+                        StateFileException.Kind.CORRUPT, 8, "invalid format version: " + version);
             }
             while (readSection()) {
                 sectionCount++;
@@ -313,10 +333,11 @@
                 throw exceptionAt(
                         StateFileException.Kind.CORRUPT,
                         in.position(),
-                        in.remaining() + " bytes behind the end");
+                        in.remaining() + " bytes after the end section");
             }
             if (header == null || rolloutStatus == null) {
-                throw exceptionAt(StateFileException.Kind.CORRUPT, 12, "no head or no news");
+                throw exceptionAt(
+                        StateFileException.Kind.CORRUPT, 12, "section HEAD or NEWS is missing");
             }
             return new StateSnapshot(
                     header, rolloutStatus, List.copyOf(pods), List.copyOf(learnedValues));
@@ -325,14 +346,16 @@
         private void requireBytes(long count, String part) throws StateFileException {
             if (in.remaining() < count) {
                 throw exceptionAt(
-                        StateFileException.Kind.TRUNCATED, in.position(), "ends within " + part);
+                        StateFileException.Kind.TRUNCATED,
+                        in.position(),
+                        "the file ends within " + part);
             }
         }
 
-        /** False at the end. */
+        /** Reads the next section; returns false at the end section. */
         private boolean readSection() throws StateFileException {
             int headerOffset = in.position();
-            requireBytes(SECTION_HEADER_BYTES, "a section's head");
+            requireBytes(SECTION_HEADER_BYTES, "a section header");
             int tag = in.getInt();
             int schemaLength = in.getInt();
             int recordCount = in.getInt();
@@ -342,7 +365,7 @@
                 throw exceptionAt(
                         StateFileException.Kind.CORRUPT,
                         headerOffset,
-                        "a section's head differs from its checksum");
+                        "the checksum of a section header does not match");
             }
             String name = tagName(tag);
             if (schemaLength < 0
@@ -353,7 +376,7 @@
                 throw exceptionAt(
                         StateFileException.Kind.CORRUPT,
                         headerOffset,
-                        "lengths that can't be in section " + name);
+                        "invalid lengths in the header of section " + name);
             }
             int bodyOffset = in.position();
             requireBytes(schemaLength + (long) recordsLength + 4, "section " + name);
@@ -363,7 +386,7 @@
                 throw exceptionAt(
                         StateFileException.Kind.CORRUPT,
                         bodyOffset,
-                        "section " + name + " differs from its checksum");
+                        "the checksum of section " + name + " does not match");
             }
             if (tag == END_TAG) {
                 if (recordsLength != 8
@@ -372,7 +395,7 @@
                     throw exceptionAt(
                             StateFileException.Kind.CORRUPT,
                             headerOffset,
-                            "the end does not fit what comes before it");
+                            "the end section does not match the sections before it");
                 }
                 return false;
             }
@@ -388,7 +411,7 @@
                 throw exceptionAt(
                         StateFileException.Kind.CORRUPT,
                         bodyOffset,
-                        "section " + name + " makes no sense: " + e.getMessage());
+                        "section " + name + " is invalid: " + e.getMessage());
             }
             return true;
         }
@@ -401,7 +424,7 @@
                 section = known.tag == tag ? known : section;
             }
             if (section == null) {
-                onSkippedSection.accept("section " + name + " of a later writer");
+                onSkippedSection.accept("section " + name + ", which this version does not know");
                 return;
             }
             GenericDatumReader<GenericRecord> reader =
@@ -463,7 +486,7 @@
                 }
             }
             if (!decoder.isEnd()) {
-                throw new AvroRuntimeException("bytes behind its last record");
+                throw new AvroRuntimeException("bytes after the last record");
             }
         }
 
@@ -497,11 +520,14 @@
                     doubleField(record, meanField), doubleField(record, weightField));
         }
 
-        /** No figure of ours is below 0 or endless; one that is would poison every sum it joins. */
+        /**
+         * Returns a number that must be finite and not negative, as are all that this program
+         * writes. Any other number would corrupt every sum to which it is added.
+         */
         private static double doubleField(GenericRecord record, String field) {
             double value = (Double) record.get(field);
             if (!(value >= 0 && value < Double.MAX_VALUE)) {
-                throw new AvroRuntimeException(field + " is " + value);
+                throw new AvroRuntimeException(field + " is negative or not finite: " + value);
             }
             return value;
         }
--- a/state/src/main/java/mulleinlever/state/StateSnapshot.java
+++ b/state/src/main/java/mulleinlever/state/StateSnapshot.java
@@ -5,11 +5,11 @@
 import mulleinlever.RolloutStatus;
 
 /**
- * All that is kept of one sidecar, as it stood at one moment.
+ * The state of one sidecar that is saved across restarts, as captured by {@link SnapshotBuilder}.
  *
- * @param rolloutStatus where the newest build stood; its age is not kept
- * @param pods the list of pods as last had, and what was learned of each
- * @param learnedValues what was learned besides, pods not among it
+ * @param rolloutStatus the rollout status of the newest build; its age is not saved
+ * @param pods the latest pod list, with what was learned about each pod
+ * @param learnedValues all other learned values
  */
 public record StateSnapshot(
         Header head,
@@ -17,16 +17,17 @@
         List<PodSnapshot> pods,
         List<LearnedState> learnedValues) {
     /**
-     * Whose it is and when it was captured.
+     * Identifies the sidecar that captured the snapshot, and when. The names of the components are
+     * the keys of the JSON that {@code state show --json} prints.
      *
-     * @param writer the program's version
-     * @param instance the sidecar's name
-     * @param machine a mark of the machine it ran on, empty where none is known
-     * @param zone the sidecar's
-     * @param start drawn at random at each start of a process
-     * @param sequence grows from file to file, over restarts too
-     * @param unixMs the machine's wall clock
-     * @param listVersion discovery's, of the list; -1 without a list
+     * @param writer the version of the program
+     * @param instance the name of the sidecar
+     * @param machine a checksum that identifies the machine; empty if unknown
+     * @param zone the zone of the sidecar
+     * @param start a random number drawn at each start of the process
+     * @param sequence the sequence number of the file, which also increases across restarts
+     * @param unixMs the time of the capture by the machine's clock, as Unix time in milliseconds
+     * @param listVersion the version of the pod list, assigned by discovery; -1 without a list
      */
     public record Header(
             String writer,
@@ -43,7 +44,12 @@
         }
     }
 
-    /** A pod where it listened, as address and port. */
+    /**
+     * A pod of the list.
+     *
+     * @param address the address and port on which the pod listened
+     * @param learned the entry of the pod in the list, and what was learned about it
+     */
     public record PodSnapshot(String address, LearnedState.PodStats learned) {}
 
     StateSnapshot withSequence(long sequence) {
--- a/state/src/main/java/mulleinlever/state/StateStore.java
+++ b/state/src/main/java/mulleinlever/state/StateStore.java
@@ -19,25 +19,31 @@
 import mulleinlever.disk.Directory;
 
 /**
- * Keeps one sidecar's state in a folder: reads the newest file that is whole, and writes new ones,
- * each under a name of its own and beside those before it. All of it happens on one thread of its
- * own; whoever hands something over never waits for the disk, and a disk that hangs costs freshness
- * and nothing else.
+ * Stores the snapshots of one sidecar's state in a directory. It reads the newest valid file, and
+ * writes each snapshot to a new file beside the earlier ones. A dedicated thread does all disk
+ * access. The event loop, which offers snapshots, never waits for the disk; a disk that hangs only
+ * delays or drops snapshots.
  *
- * <p>A file is written under another name, forced, renamed, and the folder forced: at each moment
- * the newest file that bears its name and was forced is whole.
+ * <p>A file is written under a temporary name and forced, then renamed, then the directory is
+ * forced. So at each moment the newest file that has its final name and was forced is complete.
  */
 public final class StateStore {
-    /** Pieces that a file is written in. */
     private static final int WRITE_CHUNK_BYTES = 1 << 16;
 
     private static final Pattern FILE_NAME_PATTERN = Pattern.compile("state-(\\d{12})\\.mls");
     private static final String TEMPORARY_SUFFIX = ".tmp";
 
-    /** The file whose lock says that a sidecar uses the folder. */
+    /** The name of the file that a sidecar keeps locked while it uses the directory. */
     public static final String LOCK_FILE_NAME = "lock";
 
-    /** What a read found: null where nothing was whole, and a line for each file passed over. */
+    /**
+     * The result of looking for the newest valid file.
+     *
+     * @param fileName the name of that file; null if there is none
+     * @param snapshot the content of that file; null if there is none
+     * @param skippedFiles one line for each file that was skipped, and for each section that was
+     *     skipped because this program does not know it
+     */
     public record LoadResult(String fileName, StateSnapshot snapshot, List<String> skippedFiles) {}
 
     private final Directory directory;
@@ -47,15 +53,23 @@
     private final Consumer<String> log;
     private final ThreadPoolExecutor executor;
     private Closeable lock;
+
+    /** The sequence number of the last file written or attempted. */
     private long lastSequence;
-    private boolean isDisabled;
+
+    private boolean disabled;
+
+    /** The problem that was logged last; empty after a successful write. */
     private String loggedProblem = "";
 
     /**
-     * @param retainedFileCount how many files stay
-     * @param maxFileBytes the longest file that is read or written
-     * @param instance whose files are taken
-     * @param log hears one line for each thing worth telling, on the keeper's thread
+     * Creates a store; nothing is read or locked before {@link #openAsync} or the first snapshot.
+     *
+     * @param retainedFileCount the number of newest files that are not deleted
+     * @param maxFileBytes the maximum length of a file that is read or written
+     * @param instance the name of the sidecar; files of other instances are skipped
+     * @param log receives log lines, on the thread of the store, or on the caller's thread for
+     *     timeouts
      */
     public StateStore(
             Directory directory,
@@ -68,8 +82,8 @@
         this.maxFileBytes = maxFileBytes;
         this.instance = instance;
         this.log = log;
-        // One job may wait while one runs: what comes then is newer than what waits, but the next
-        // will be newer still.
+        // One job may wait while another runs. A snapshot that is offered meanwhile is newer than
+        // the waiting one, but is dropped, as the next one will be newer still.
         this.executor =
                 new ThreadPoolExecutor(
                         1,
@@ -78,38 +92,42 @@
                         TimeUnit.SECONDS,
                         new ArrayBlockingQueue<>(1),
                         job -> {
-                            Thread t = new Thread(job, "state");
-                            t.setDaemon(true);
-                            t.setUncaughtExceptionHandler(
-                                    (at, e) -> log.accept("a job ended: " + e));
-                            return t;
+                            Thread thread = new Thread(job, "state");
+                            thread.setDaemon(true);
+                            thread.setUncaughtExceptionHandler(
+                                    (source, e) -> log.accept("uncaught exception in a job: " + e));
+                            return thread;
                         });
     }
 
-    /** The file's name for a sequence number. */
+    /** Returns the file name for a sequence number. */
     public static String fileName(long sequence) {
         return String.format("state-%012d.mls", sequence);
     }
 
-    /** The sequence number in a file's name; -1 where it is no such name. */
+    /** Returns the sequence number in a file name; -1 if it is not the name of a state file. */
     public static long parseSequence(String name) {
         Matcher matcher = FILE_NAME_PATTERN.matcher(name);
         return matcher.matches() ? Long.parseLong(matcher.group(1)) : -1;
     }
 
-    /** Whether a file of that name was being written when its writer ended. */
+    /** Returns whether a name is that of a state file whose writing has not been completed. */
     public static boolean isTemporaryFile(String name) {
         return name.endsWith(TEMPORARY_SUFFIX)
                 && parseSequence(name.substring(0, name.length() - TEMPORARY_SUFFIX.length())) >= 0;
     }
 
-    /** Takes the lock and reads the newest whole file, on the keeper's thread. */
+    /**
+     * Locks the directory and reads its newest valid file, on the thread of the store. The result
+     * is null if another sidecar uses the directory or if it can't be read; the reason is logged.
+     */
     public Future<LoadResult> openAsync() {
         return executor.submit(this::acquireAndLoad);
     }
 
     /**
-     * What {@link #openAsync} found, if it is done within a time; else null, and the log hears why.
+     * Waits for the result of {@link #openAsync}. Returns null and logs the reason if it does not
+     * arrive within the timeout or if reading failed.
      */
     public LoadResult awaitLoad(Future<LoadResult> load, long timeoutNs)
             throws InterruptedException {
@@ -117,13 +135,13 @@
             return load.get(timeoutNs, TimeUnit.NANOSECONDS);
         } catch (TimeoutException e) {
             log.accept(
-                    "nothing taken: reading "
+                    "no state restored: reading "
                             + directory
                             + " took longer than "
                             + timeoutNs / 1_000_000
                             + " ms");
         } catch (ExecutionException e) {
-            log.accept("nothing taken: " + e.getCause());
+            log.accept("no state restored: " + e.getCause());
         }
         return null;
     }
@@ -132,23 +150,23 @@
         try {
             return acquire() ? readNewest(directory, maxFileBytes, instance) : null;
         } catch (IOException e) {
-            log.accept("nothing taken: " + directory + ": " + e);
+            log.accept("no state restored: " + directory + ": " + e);
             return null;
         }
     }
 
     /**
-     * Whether the folder is ours to write to; what a start before left unfinished is cleared away
-     * first.
+     * Returns whether this store may write to the directory. The first successful call locks the
+     * directory and deletes the temporary files that an earlier process left.
      */
     private boolean acquire() throws IOException {
-        if (lock != null || isDisabled) {
-            return !isDisabled;
+        if (lock != null || disabled) {
+            return !disabled;
         }
         List<String> names = directory.list();
         lock = directory.tryLock(LOCK_FILE_NAME);
         if (lock == null) {
-            isDisabled = true;
+            disabled = true;
             log.accept("off: another sidecar holds " + directory);
             return false;
         }
@@ -161,6 +179,7 @@
         return true;
     }
 
+    /** Returns the highest sequence number among the file names; 0 if there is none. */
     private static long highestSequence(List<String> names) {
         return names.stream()
                 .mapToLong(StateStore::parseSequence)
@@ -169,7 +188,11 @@
                 .orElse(0);
     }
 
-    /** The newest whole file of a folder, that of an instance if one is named. */
+    /**
+     * Returns the newest valid file of a directory.
+     *
+     * @param instance the name of the sidecar that wrote the file; null for any
+     */
     public static LoadResult readNewest(Directory directory, long maxFileBytes, String instance)
             throws IOException {
         List<String> names = new ArrayList<>(directory.list());
@@ -182,9 +205,9 @@
                 if (instance != null && !snapshot.head().instance().equals(instance)) {
                     skippedFiles.add(
                             name
-                                    + ": is of "
+                                    + ": belongs to "
                                     + snapshot.head().instance()
-                                    + ", not of "
+                                    + ", not to "
                                     + instance);
                 } else {
                     return new LoadResult(name, snapshot, skippedFiles);
@@ -196,7 +219,11 @@
         return new LoadResult(null, null, skippedFiles);
     }
 
-    /** One file, whole. */
+    /**
+     * Reads and checks one file.
+     *
+     * @param onSkippedSection receives a line for each section that this program does not know
+     */
     public static StateSnapshot readFile(
             Directory directory, String name, long maxFileBytes, Consumer<String> onSkippedSection)
             throws StateFileException {
@@ -210,13 +237,13 @@
                     StateFileException.Kind.UNREADABLE, name + ": can't be read: " + e);
         }
         return StateFileFormat.decode(
-                name, bytes, l -> onSkippedSection.accept(name + ": left out " + l));
+                name, bytes, section -> onSkippedSection.accept(name + ": skipped " + section));
     }
 
     /**
-     * Hands over what is to be kept next; its sequence number is the keeper's to give. False where
-     * the one before is still under way and another waits: the disk is slow, and this one is
-     * dropped.
+     * Queues a snapshot to be written; called on the event loop. The store assigns its sequence
+     * number. Returns false if a job is running and another one waits already: the disk is slow,
+     * and the snapshot is dropped.
      */
     public boolean offer(StateSnapshot snapshot) {
         try {
@@ -227,14 +254,15 @@
         }
     }
 
-    /** Whether nothing is under way: what is captured meanwhile would only be dropped. */
+    /**
+     * Returns whether no job is running or waiting. While one is, capturing a snapshot is of little
+     * use, as it may be dropped.
+     */
     public boolean isIdle() {
         return executor.getActiveCount() == 0 && executor.getQueue().isEmpty();
     }
 
-    /**
-     * Waits until all that was handed over is done with; for tests, and for those that have time.
-     */
+    /** Waits until all snapshots offered before have been written or have failed; for tests. */
     void awaitPendingWrites() throws InterruptedException, ExecutionException {
         for (boolean isDone = false; !isDone; ) {
             try {
@@ -246,7 +274,10 @@
         }
     }
 
-    /** Lets what was handed over be written, for so long at most, and gives up the lock. */
+    /**
+     * Waits until the queued snapshots are written, then releases the lock. After the timeout it
+     * logs a line and returns, and the lock stays until the process ends.
+     */
     public void close(long timeoutNs) throws InterruptedException {
         executor.shutdown();
         if (executor.awaitTermination(timeoutNs, TimeUnit.NANOSECONDS)) {
@@ -262,7 +293,7 @@
                 lock.close();
             }
         } catch (IOException e) {
-            // It goes with the process.
+            // The lock is released when the process ends.
         }
     }
 
@@ -274,8 +305,9 @@
             List<String> names = directory.list();
             long newestSequence = highestSequence(names);
             if (newestSequence > lastSequence) {
-                // A lock may not reach over machines; to write on would mix two sidecars' pasts.
-                isDisabled = true;
+                // File locks may not work across machines. Further writes would mix the state of
+                // two sidecars.
+                disabled = true;
                 log.accept(
                         "off: another sidecar writes to "
                                 + directory
@@ -286,15 +318,18 @@
             byte[] bytes = StateFileFormat.encode(snapshot.withSequence(lastSequence + 1));
             if (bytes.length > maxFileBytes) {
                 logProblemOnce(
-                        "not written: " + bytes.length + " bytes, more than " + maxFileBytes);
+                        "snapshot not written: "
+                                + bytes.length
+                                + " bytes, more than the maximum of "
+                                + maxFileBytes);
                 return;
             }
-            // Taken even if the write fails: its name may be there all the same.
+            // The number is used up even if the write fails, as its file may exist all the same.
             writeFile(fileName(++lastSequence), bytes);
             prune(names);
             logProblemOnce("");
         } catch (IOException | RuntimeException e) {
-            logProblemOnce("not written: " + directory + ": " + e);
+            logProblemOnce("snapshot not written: " + directory + ": " + e);
         }
     }
 
@@ -312,7 +347,10 @@
         directory.forceDirectory();
     }
 
-    /** Those behind the newest go only when one more is sure to be there. */
+    /**
+     * Deletes files beyond the retained ones. Called only after a new file has been forced, so that
+     * a failed write never reduces the number of valid files.
+     */
     private void prune(List<String> names) throws IOException {
         for (String name : names) {
             if (parseSequence(name) >= 0
@@ -323,13 +361,17 @@
     }
 
     /**
-     * Once for each kind of trouble, and once when it is over: a line at every write would say no
-     * more.
+     * Logs a problem unless it equals the last one, and logs a recovery once if the problem is
+     * empty. A line at every failed write would carry no further information.
      */
     private void logProblemOnce(String problem) {
         if (!problem.equals(loggedProblem)) {
             loggedProblem = problem;
-            log.accept(problem.isEmpty() ? "written again, as " + fileName(lastSequence) : problem);
+            log.accept(
+                    problem.isEmpty()
+                            ? "snapshots are written again, the last one as "
+                                    + fileName(lastSequence)
+                            : problem);
         }
     }
 }
--- a/state/src/test/java/mulleinlever/state/SampleFileWriter.java
+++ b/state/src/test/java/mulleinlever/state/SampleFileWriter.java
@@ -5,8 +5,9 @@
 import java.nio.file.Path;
 
 /**
- * Writes the file that is kept of the format at hand, once, when it lands: {@code SampleFileWriter
- * FOLDER}.
+ * Writes the sample file of the current format version, {@code format-N.mls}, to a directory given
+ * as argument. It is run once for each format version; the file then stays among the test
+ * resources, so that tests show that later programs can still read it.
  */
 final class SampleFileWriter {
     private SampleFileWriter() {}
--- a/state/src/test/java/mulleinlever/state/SampleSnapshots.java
+++ b/state/src/test/java/mulleinlever/state/SampleSnapshots.java
@@ -7,7 +7,7 @@
 import mulleinlever.PodEntry;
 import mulleinlever.RolloutStatus;
 
-/** Generated states. */
+/** Generates snapshots for tests. The snapshots depend only on the arguments. */
 final class SampleSnapshots {
     private SampleSnapshots() {}
 
@@ -56,7 +56,7 @@
         for (int i = random.nextInt(5); i > 0; i--) {
             learnedValues.add(new LearnedState.KeyBuild(random.nextLong(), 40 + random.nextInt(3)));
         }
-        // In the order in which sections hold them.
+        // A decoded snapshot has the values in the order of the sections.
         learnedValues.sort((a, b) -> Integer.compare(sectionOrder(a), sectionOrder(b)));
         return new StateSnapshot(
                 new StateSnapshot.Header(
--- a/state/src/test/java/mulleinlever/state/SnapshotFilterTest.java
+++ b/state/src/test/java/mulleinlever/state/SnapshotFilterTest.java
@@ -17,10 +17,14 @@
 import mulleinlever.RolloutStatus.Phase;
 import org.junit.jupiter.api.Test;
 
+/** Tests which saved values are restored, against an independent model of the rules. */
 class SnapshotFilterTest {
     private static final long SECOND_NS = 1_000_000_000L;
 
-    /** The list as another start meets it: some pods gone, some started anew, some elsewhere. */
+    /**
+     * Returns the environment after a restart: some pods of the snapshot are gone, restarted, of
+     * another build or at another address, and the zone of the sidecar may differ.
+     */
     private static SnapshotFilter.RestoreContext randomContext(
             StateSnapshot snapshot, SplittableRandom random) {
         Map<String, PodEntry> pods = new HashMap<>();
@@ -112,8 +116,8 @@
                         .toString();
         assertTrue(
                 line.matches(
-                        "(\\d baselines, )(\\d keys, )?1 links, 2 pods, 1 routes; left out: 1 baselines of no route "
-                                + "here, 1 pods gone, 1 routes of no route here"),
+                        "(\\d baselines, )(\\d keys, )?1 links, 2 pods, 1 routes; not restored: 1 baselines of an "
+                                + "unknown route, 1 pods gone, 1 routes of an unknown route"),
                 line);
     }
 
--- a/state/src/test/java/mulleinlever/state/StateDecayTest.java
+++ b/state/src/test/java/mulleinlever/state/StateDecayTest.java
@@ -9,10 +9,11 @@
 import mulleinlever.PodEntry;
 import org.junit.jupiter.api.Test;
 
+/** Tests the decay of saved values by age, against a numerical model. */
 class StateDecayTest {
     private static final long SECOND_NS = 1_000_000_000L;
 
-    /** The plain model: a weight that loses the same part at each of many steps. */
+    /** The reference model: the weight loses the same fraction in each of many small steps. */
     private static double decayInSteps(double weight, double halfLifeS, double ageS) {
         int steps = 20_000;
         double lost = ageS / halfLifeS / steps * Math.log(2);
@@ -79,7 +80,7 @@
                 ((LearnedState.DetectorBaseline) StateDecay.decay(baseline, 3600 * SECOND_NS))
                         .samples(),
                 1e-9);
-        // Six half-lives: less than one sample is none.
+        // After six half-lives less than one sample remains, and the baseline is dropped.
         assertNull(StateDecay.decay(baseline, 6 * 3600 * SECOND_NS));
         assertNull(
                 StateDecay.decay(
@@ -118,7 +119,7 @@
                 0,
                 StateDecay.remainingFraction(
                         StateDecay.Category.POD_LIST, StateDecay.UNKNOWN_AGE_NS));
-        // Captured at a time that this clock has not reached, or at none.
+        // The capture time lies in the future, or is missing.
         assertEquals(
                 StateDecay.UNKNOWN_AGE_NS,
                 StateDecay.computeAgeNs(1_000_001, 1_000_000 * 1_000_000L));
--- a/state/src/test/java/mulleinlever/state/StateFileFormatTest.java
+++ b/state/src/test/java/mulleinlever/state/StateFileFormatTest.java
@@ -22,12 +22,14 @@
 import org.apache.avro.io.EncoderFactory;
 import org.junit.jupiter.api.Test;
 
+/** Tests that files are read back unchanged and that no damaged file is accepted. */
 class StateFileFormatTest {
     private static StateSnapshot decode(byte[] bytes) throws StateFileException {
-        return StateFileFormat.decode("x.mls", bytes, l -> {});
+        return StateFileFormat.decode("x.mls", bytes, section -> {});
     }
 
-    private static StateFileException.Kind decodeFailure(byte[] bytes) {
+    /** Returns the kind of the failure with which the file must be rejected. */
+    private static StateFileException.Kind decodeFailureKind(byte[] bytes) {
         StateFileException exception = assertThrows(StateFileException.class, () -> decode(bytes));
         assertTrue(exception.getMessage().startsWith("x.mls: at byte "), exception.getMessage());
         return exception.kind;
@@ -41,7 +43,9 @@
         }
     }
 
-    /** A file of each format that ever landed, made by the writer of that time. */
+    /**
+     * Reads one file of each format version, written by the program that introduced the version.
+     */
     @Test
     void readsFilesOfEveryFormatVersion() throws IOException, StateFileException {
         for (int version = 1; version <= StateFileFormat.FORMAT_VERSION; version++) {
@@ -58,12 +62,12 @@
         for (int length = 0; length < whole.length; length++) {
             assertEquals(
                     StateFileException.Kind.TRUNCATED,
-                    decodeFailure(Arrays.copyOf(whole, length)),
+                    decodeFailureKind(Arrays.copyOf(whole, length)),
                     "at " + length);
         }
         assertEquals(
                 StateFileException.Kind.CORRUPT,
-                decodeFailure(Arrays.copyOf(whole, whole.length + 1)));
+                decodeFailureKind(Arrays.copyOf(whole, whole.length + 1)));
     }
 
     @Test
@@ -73,7 +77,7 @@
             for (int bit = 0; bit < 8; bit++) {
                 byte[] corrupt = whole.clone();
                 corrupt[offset] ^= (byte) (1 << bit);
-                StateFileException.Kind kind = decodeFailure(corrupt);
+                StateFileException.Kind kind = decodeFailureKind(corrupt);
                 assertEquals(
                         offset < 8
                                 ? StateFileException.Kind.NOT_A_STATE_FILE
@@ -96,7 +100,7 @@
         for (int i = 0; i < 500; i++) {
             byte[] noise = new byte[random.nextInt(400)];
             random.nextBytes(noise);
-            decodeFailure(noise);
+            decodeFailureKind(noise);
             byte[] noiseAfterMagic =
                     new ByteArrayOutputStream() {
                         {
@@ -105,7 +109,7 @@
                             writeBytes(noise);
                         }
                     }.toByteArray();
-            decodeFailure(noiseAfterMagic);
+            decodeFailureKind(noiseAfterMagic);
         }
     }
 
@@ -130,7 +134,7 @@
                 crc.update(header.array(), 0, 16);
                 header.putInt(16, (int) crc.getValue());
                 StateFileException.Kind kind =
-                        decodeFailure(fileWithVersion(1, header.array(), new byte[100]));
+                        decodeFailureKind(fileWithVersion(1, header.array(), new byte[100]));
                 assertEquals(
                         field == 3 && length > 0
                                 ? StateFileException.Kind.TRUNCATED
@@ -151,7 +155,11 @@
         return out.toByteArray();
     }
 
-    /** The file with one section put in front of the end, which is counted anew. */
+    /**
+     * Returns the file with a section inserted before the end section.
+     *
+     * @param sectionCount the section count for the new end section
+     */
     private static byte[] withSection(byte[] file, int sectionCount, byte[] section) {
         int endSectionOffset = file.length - 32;
         ByteArrayOutputStream out = new ByteArrayOutputStream();
@@ -168,7 +176,8 @@
 
     @Test
     void rejectsOversizedStringInValidSection() {
-        // Avro's own length of the first text: 2^31 - 2 as a zigzag number.
+        // The length of the first string in Avro's zigzag encoding: 2^31 - 2. The checksums of the
+        // section are valid, so only Avro can detect it.
         byte[] records = {(byte) 0xfc, (byte) 0xff, (byte) 0xff, (byte) 0xff, 0x0f, 'x', 'y', 'z'};
         String schema =
                 "{\"type\":\"record\",\"name\":\"Key\",\"namespace\":\"mulleinlever.state\",\"fields\":"
@@ -179,7 +188,7 @@
                         StateFileFormat.encode(SampleSnapshots.snapshot(1, 1)),
                         8,
                         section("KEYS", schema, 1, records));
-        assertEquals(StateFileException.Kind.CORRUPT, decodeFailure(file));
+        assertEquals(StateFileException.Kind.CORRUPT, decodeFailureKind(file));
     }
 
     @Test
@@ -193,19 +202,20 @@
                         "{\"type\":\"record\",\"name\":\"Key\",\"fields\":[]}")) {
             assertEquals(
                     StateFileException.Kind.CORRUPT,
-                    decodeFailure(
+                    decodeFailureKind(
                             withSection(file, 8, section("KEYS", schema, 1, new byte[] {1}))));
         }
         assertEquals(
                 StateFileException.Kind.CORRUPT,
-                decodeFailure(withSection(file, 9, section("KEYS", "{}", 0, new byte[0]))));
+                decodeFailureKind(withSection(file, 9, section("KEYS", "{}", 0, new byte[0]))));
     }
 
     @Test
     void reportsUnsupportedVersion() {
         assertEquals(
                 StateFileException.Kind.UNSUPPORTED_VERSION,
-                decodeFailure(fileWithVersion(StateFileFormat.FORMAT_VERSION + 1, new byte[50])));
+                decodeFailureKind(
+                        fileWithVersion(StateFileFormat.FORMAT_VERSION + 1, new byte[50])));
     }
 
     @Test
@@ -218,8 +228,8 @@
                         section("MORE", "{}", 1, new byte[] {1, 2, 3}));
         List<String> skippedSections = new ArrayList<>();
         assertEquals(snapshot, StateFileFormat.decode("x", file, skippedSections::add));
-        assertEquals(List.of("section MORE of a later writer"), skippedSections);
-        // A field more in a record that we know, and one less that has a default.
+        assertEquals(List.of("section MORE, which this version does not know"), skippedSections);
+        // A known record type with an additional field, and without fields that have a default.
         Schema laterSchema =
                 new Schema.Parser()
                         .parse(
--- a/state/src/test/java/mulleinlever/state/StateStoreTest.java
+++ b/state/src/test/java/mulleinlever/state/StateStoreTest.java
@@ -20,6 +20,10 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
+/**
+ * Tests that the store survives crashes, failing and hanging disks, and other writers, by injecting
+ * faults into the directory.
+ */
 @Timeout(60)
 class StateStoreTest {
     private static final long SECOND_NS = 1_000_000_000L;
@@ -28,6 +32,7 @@
     private final List<String> log = new CopyOnWriteArrayList<>();
     @TempDir Path tempDir;
 
+    /** Returns a store that retains two files. */
     private StateStore newStore(Directory directory) {
         return new StateStore(directory, 2, MAX_FILE_BYTES, "n3", log::add);
     }
@@ -41,7 +46,10 @@
                 sample.learnedValues());
     }
 
-    /** Hands over states of growing age one after the other; each is written before the next. */
+    /**
+     * Offers one snapshot for each capture time from {@code firstUnixMs} to {@code endUnixMs},
+     * exclusive, and waits after each until it has been written or has failed.
+     */
     private static void writeSnapshots(StateStore store, int firstUnixMs, int endUnixMs)
             throws Exception {
         for (int unixMs = firstUnixMs; unixMs < endUnixMs; unixMs++) {
@@ -67,7 +75,11 @@
         assertEquals(List.of(), log);
     }
 
-    /** At every call of the disk in turn, and whatever is left of what was not forced. */
+    /**
+     * Crashes at each disk access in turn, with 40 random choices of the unforced data that
+     * survives. Guards against a rename or a deletion that takes effect before the data it relies
+     * on has been forced.
+     */
     @Test
     void crashAtAnyCallLeavesLastForcedOrNewerFileWhole() throws Exception {
         int callCount = 0;
@@ -103,7 +115,8 @@
                     assertEquals(
                             snapshot(loadedUnixMs).withSequence(loadedUnixMs), loaded.snapshot());
                 }
-                // What is left unfinished is in nobody's way.
+                // Files left by the crash do not disturb the next store, which removes temporary
+                // ones.
                 StateStore nextStore = newStore(afterCrash);
                 nextStore.openAsync().get();
                 nextStore.offer(snapshot(9));
@@ -130,8 +143,13 @@
                 store.close(SECOND_NS);
             }
         }
-        assertTrue(log.stream().anyMatch(l -> l.contains("No space left on device")));
-        assertTrue(log.stream().anyMatch(l -> l.startsWith("written again, as state-")));
+        assertTrue(log.stream().anyMatch(line -> line.contains("No space left on device")));
+        assertTrue(
+                log.stream()
+                        .anyMatch(
+                                line ->
+                                        line.startsWith(
+                                                "snapshots are written again, the last one as state-")));
     }
 
     @Test
@@ -146,7 +164,7 @@
         for (int i = 2; i < 100; i++) {
             acceptedCount += store.offer(snapshot(i)) ? 1 : 0;
         }
-        assertTrue(acceptedCount <= 2, acceptedCount + " wait");
+        assertTrue(acceptedCount <= 2, acceptedCount + " accepted");
         assertNull(newStore(directory).awaitLoad(newStore(directory).openAsync(), SECOND_NS / 50));
         assertTrue(log.get(0).endsWith("took longer than 20 ms"), log.toString());
         store.close(SECOND_NS / 20);
@@ -186,7 +204,9 @@
                 StateStore.fileName(3), StateFileFormat.encode(snapshot(3).withSequence(3)));
         writeSnapshots(store, 4, 6);
         assertEquals(
-                List.of("off: another sidecar writes to faulty disk: state-000000000003.mls"), log);
+                List.of(
+                        "off: another sidecar writes to in-memory directory: state-000000000003.mls"),
+                log);
         assertEquals(3, readNewest(directory).snapshot().head().unixMs());
     }
 
@@ -221,9 +241,9 @@
                 loaded.skippedFiles().get(0).contains("format 2, and we know up to 1"),
                 loaded.skippedFiles().get(0));
         assertTrue(
-                loaded.skippedFiles().get(3).endsWith("is of n4, not of n3"),
+                loaded.skippedFiles().get(3).endsWith("belongs to n4, not to n3"),
                 loaded.skippedFiles().get(3));
-        // The next one written is newer than all of them.
+        // The next file gets a higher number than all of them.
         StateStore store = newStore(directory);
         store.openAsync().get();
         writeSnapshots(store, 7, 8);
@@ -238,7 +258,8 @@
         writeSnapshots(store, 1, 4);
         assertEquals(2, log.size(), log.toString());
         assertTrue(
-                log.get(0).startsWith("nothing taken: ") && log.get(1).startsWith("not written: "),
+                log.get(0).startsWith("no state restored: ")
+                        && log.get(1).startsWith("snapshot not written: "),
                 log.toString());
         store.close(SECOND_NS);
         log.clear();
@@ -257,7 +278,7 @@
         assertEquals(
                 5,
                 readNewest(new FileSystemDirectory(removedDirectory)).snapshot().head().unixMs());
-        assertTrue(log.get(1).startsWith("written again"), log.toString());
+        assertTrue(log.get(1).startsWith("snapshots are written again"), log.toString());
         otherStore.close(SECOND_NS);
     }
 
@@ -269,7 +290,10 @@
         store.offer(snapshot(1));
         store.awaitPendingWrites();
         assertEquals(List.of(), directory.list());
-        assertTrue(log.get(0).matches("not written: \\d+ bytes, more than 3000"), log.toString());
+        assertTrue(
+                log.get(0)
+                        .matches("snapshot not written: \\d+ bytes, more than the maximum of 3000"),
+                log.toString());
         assertFalse(log.size() > 1);
     }
 }
