--- a/state/src/main/java/mulleinlever/state/SnapshotFilter.java
+++ b/state/src/main/java/mulleinlever/state/SnapshotFilter.java
@@ -11,16 +11,18 @@
 import mulleinlever.RolloutStatus;
 
 /**
- * Which of what was kept still holds here and now, and why the rest does not. What is taken is a
- * prior and no right: nothing in it lets a restarted sidecar do more than one that starts with
- * nothing.
+ * Selects the part of a snapshot that is still valid for a restarted sidecar, and counts the rest
+ * by the reason for rejecting it. Restored values serve only as initial estimates: none of them
+ * lets a restarted sidecar do anything that a sidecar without saved state may not do.
  */
 public final class SnapshotFilter {
     /**
-     * Where the sidecar stands at its start.
+     * The environment of the sidecar at its start.
      *
-     * @param pods the list that it starts from, by id
-     * @param podAddresses where each listens, by id, as address and port
+     * @param zone the zone of the sidecar
+     * @param routes the names of the configured routes
+     * @param pods the pods of the initial pod list, by pod id
+     * @param podAddresses the address and port of each pod, by pod id
      */
     public record RestoreContext(
             String zone,
@@ -28,29 +30,34 @@
             Map<String, PodEntry> pods,
             Map<String, String> podAddresses) {}
 
-    /** What is taken, and how many were left out for each reason, by the reason. */
+    /**
+     * The values that are restored, decayed by their age, and the number of rejected values by
+     * category and reason.
+     */
     public record RestoreResult(
             List<LearnedState> restoredValues, Map<String, Integer> rejectedCounts) {
-        /** For one line of a log: how many of each sort. */
+        /**
+         * Returns the number of restored values by category and of rejected ones, for a log line.
+         */
         @Override
         public String toString() {
-            Map<String, Long> sorts =
+            Map<String, Long> countByCategory =
                     restoredValues.stream()
                             .collect(
                                     Collectors.groupingBy(
-                                            SnapshotFilter::sort,
+                                            SnapshotFilter::categoryName,
                                             TreeMap::new,
                                             Collectors.counting()));
-            String taken =
-                    sorts.isEmpty()
+            String restored =
+                    countByCategory.isEmpty()
                             ? "nothing"
-                            : sorts.entrySet().stream()
+                            : countByCategory.entrySet().stream()
                                     .map(e -> e.getValue() + " " + e.getKey())
                                     .collect(Collectors.joining(", "));
             return rejectedCounts.isEmpty()
-                    ? taken
-                    : taken
-                            + "; left out: "
+                    ? restored
+                    : restored
+                            + "; not restored: "
                             + rejectedCounts.entrySet().stream()
                                     .map(e -> e.getValue() + " " + e.getKey())
                                     .collect(Collectors.joining(", "));
@@ -59,8 +66,9 @@
 
     private SnapshotFilter() {}
 
-    private static String sort(LearnedState one) {
-        return switch (StateDecay.categoryOf(one)) {
+    /** Returns the name of a value's category in log lines. */
+    private static String categoryName(LearnedState value) {
+        return switch (StateDecay.categoryOf(value)) {
             case PODS -> "pods";
             case LINKS -> "links";
             case ROUTES -> "routes";
@@ -69,88 +77,112 @@
         };
     }
 
-    /** What holds of all that was kept, after that age. */
-    public static RestoreResult filter(StateSnapshot kept, long ageNs, RestoreContext here) {
-        List<LearnedState> taken = new ArrayList<>();
-        Map<String, Integer> leftOut = new TreeMap<>();
-        for (StateSnapshot.PodSnapshot p : kept.pods()) {
-            sift(p.learned(), misfit(p, kept, here), ageNs, taken, leftOut);
+    /**
+     * Selects the valid values of a snapshot.
+     *
+     * @param ageNs the age of the snapshot in nanoseconds, or {@link StateDecay#UNKNOWN_AGE_NS}
+     */
+    public static RestoreResult filter(StateSnapshot snapshot, long ageNs, RestoreContext context) {
+        List<LearnedState> restored = new ArrayList<>();
+        Map<String, Integer> rejectedCounts = new TreeMap<>();
+        for (StateSnapshot.PodSnapshot pod : snapshot.pods()) {
+            addOrReject(
+                    pod.learned(),
+                    mismatch(pod, snapshot, context),
+                    ageNs,
+                    restored,
+                    rejectedCounts);
         }
-        for (LearnedState one : kept.learnedValues()) {
-            sift(one, misfit(one, kept, here), ageNs, taken, leftOut);
+        for (LearnedState value : snapshot.learnedValues()) {
+            addOrReject(value, mismatch(value, snapshot, context), ageNs, restored, rejectedCounts);
         }
-        return new RestoreResult(taken, leftOut);
+        return new RestoreResult(restored, rejectedCounts);
     }
 
-    private static void sift(
-            LearnedState one,
-            String misfit,
+    /**
+     * Adds the decayed value to the restored ones, or counts it as rejected.
+     *
+     * @param mismatch why the value does not apply; null if it does
+     */
+    private static void addOrReject(
+            LearnedState value,
+            String mismatch,
             long ageNs,
-            List<LearnedState> taken,
-            Map<String, Integer> leftOut) {
-        LearnedState aged = misfit == null ? StateDecay.decay(one, ageNs) : null;
-        if (aged != null) {
-            taken.add(aged);
+            List<LearnedState> restored,
+            Map<String, Integer> rejectedCounts) {
+        LearnedState decayed = mismatch == null ? StateDecay.decay(value, ageNs) : null;
+        if (decayed != null) {
+            restored.add(decayed);
         } else {
-            leftOut.merge(sort(one) + (misfit == null ? " faded" : " " + misfit), 1, Integer::sum);
+            rejectedCounts.merge(
+                    categoryName(value) + (mismatch == null ? " expired" : " " + mismatch),
+                    1,
+                    Integer::sum);
         }
     }
 
-    /** Why a pod's past is not its own any more; null where it is. */
-    private static String misfit(
-            StateSnapshot.PodSnapshot p, StateSnapshot kept, RestoreContext here) {
-        PodEntry then = p.learned().is();
-        PodEntry now = here.pods().get(then.id());
-        if (now == null || now.state() == PodEntry.State.GONE) {
+    /** Returns why the saved statistics do not apply to the pod any more; null if they do. */
+    private static String mismatch(
+            StateSnapshot.PodSnapshot pod, StateSnapshot snapshot, RestoreContext context) {
+        PodEntry saved = pod.learned().is();
+        PodEntry current = context.pods().get(saved.id());
+        if (current == null || current.state() == PodEntry.State.GONE) {
             return "gone";
         }
-        if (now.startedNs() != then.startedNs() || now.build() != then.build()) {
-            return "started anew";
+        if (current.startedNs() != saved.startedNs() || current.build() != saved.build()) {
+            return "restarted";
         }
-        if (!p.address().equals(here.podAddresses().get(then.id()))) {
+        if (!pod.address().equals(context.podAddresses().get(saved.id()))) {
             return "at another address";
         }
-        return kept.head().zone().equals(here.zone()) ? null : "seen from another zone";
+        return snapshot.head().zone().equals(context.zone()) ? null : "measured from another zone";
     }
 
-    private static String misfit(LearnedState one, StateSnapshot kept, RestoreContext here) {
-        if (one instanceof LearnedState.ConnectionStats
-                && !kept.head().zone().equals(here.zone())) {
-            return "seen from another zone";
+    /** Returns why a value that is not about a pod does not apply any more; null if it does. */
+    private static String mismatch(
+            LearnedState value, StateSnapshot snapshot, RestoreContext context) {
+        if (value instanceof LearnedState.ConnectionStats
+                && !snapshot.head().zone().equals(context.zone())) {
+            return "measured from another zone";
         }
         String route =
-                one instanceof LearnedState.RouteStats r
+                value instanceof LearnedState.RouteStats r
                         ? r.route()
-                        : one instanceof LearnedState.DetectorBaseline b ? b.route() : "";
-        return route.isEmpty() || here.routes().contains(route) ? null : "of no route here";
+                        : value instanceof LearnedState.DetectorBaseline b ? b.route() : "";
+        return route.isEmpty() || context.routes().contains(route) ? null : "of an unknown route";
     }
 
     /**
-     * Whether the list that was kept is to be started from, rather than one of a given version (-1
-     * for none). A list that names too little or old addresses costs tries, until discovery tells
-     * better.
+     * Returns whether the sidecar should start from the saved pod list rather than from another
+     * one. A list with missing pods or outdated addresses makes tries fail until discovery provides
+     * a newer one.
+     *
+     * @param otherVersion the version of the other list; -1 for none
      */
-    public static boolean isPodListUsable(StateSnapshot kept, long ageNs, long otherVersion) {
-        return kept.head().listVersion() > otherVersion
-                && !kept.pods().isEmpty()
+    public static boolean isPodListUsable(StateSnapshot snapshot, long ageNs, long otherVersion) {
+        return snapshot.head().listVersion() > otherVersion
+                && !snapshot.pods().isEmpty()
                 && StateDecay.remainingFraction(StateDecay.Category.POD_LIST, ageNs) > 0;
     }
 
     /**
-     * The news that was kept where it allows less than what is told at the start, else null. What
-     * allows more is never remembered: a cap that has been lowered meanwhile would be passed.
+     * Returns the saved rollout status, with a cap of 0, if it reverts or withdraws a build that
+     * the current status still allows or does not know yet; null otherwise. A more permissive
+     * status is never restored, as it would exceed a cap that has been lowered since.
+     *
+     * @param current the rollout status known at the start
      */
-    public static RolloutStatus selectIfStricter(RolloutStatus kept, RolloutStatus told) {
-        boolean back =
-                kept.phase() == RolloutStatus.Phase.REVERTING
-                        || kept.phase() == RolloutStatus.Phase.WITHDRAWN;
-        boolean sooner =
-                kept.build() > told.build()
-                        || kept.build() == told.build()
-                                && (told.phase() == RolloutStatus.Phase.ON_TRIAL
-                                        || told.phase() == RolloutStatus.Phase.RELEASED);
-        return back && sooner
-                ? new RolloutStatus(kept.build(), kept.stage(), kept.phase(), 0, 0)
+    public static RolloutStatus selectIfStricter(RolloutStatus saved, RolloutStatus current) {
+        boolean isRevertingOrWithdrawn =
+                saved.phase() == RolloutStatus.Phase.REVERTING
+                        || saved.phase() == RolloutStatus.Phase.WITHDRAWN;
+        boolean isAheadOfCurrent =
+                saved.build() > current.build()
+                        || saved.build() == current.build()
+                                && (current.phase() == RolloutStatus.Phase.ON_TRIAL
+                                        || current.phase() == RolloutStatus.Phase.RELEASED);
+        return isRevertingOrWithdrawn && isAheadOfCurrent
+                ? new RolloutStatus(saved.build(), saved.stage(), saved.phase(), 0, 0)
                 : null;
     }
 }
--- a/state/src/main/java/mulleinlever/state/StateStore.java
+++ b/state/src/main/java/mulleinlever/state/StateStore.java
@@ -19,54 +19,72 @@
 import mulleinlever.disk.Directory;
 
 /**
- * Keeps one sidecar's state in a folder: reads the newest file that is whole, and writes new ones,
- * each under a name of its own and beside those before it. All of it happens on one thread of its
- * own; whoever hands something over never waits for the disk, and a disk that hangs costs freshness
- * and nothing else.
+ * Stores the snapshots of one sidecar's state in a directory. It reads the newest valid file, and
+ * writes each snapshot to a new file beside the earlier ones. A dedicated thread does all disk
+ * access. The event loop, which offers snapshots, never waits for the disk; a disk that hangs only
+ * delays or drops snapshots.
  *
- * <p>A file is written under another name, forced, renamed, and the folder forced: at each moment
- * the newest file that bears its name and was forced is whole.
+ * <p>A file is written under a temporary name and forced, then renamed, then the directory is
+ * forced. So at each moment the newest file that has its final name and was forced is complete.
  */
 public final class StateStore {
-    /** Pieces that a file is written in. */
-    private static final int PIECE = 1 << 16;
+    private static final int WRITE_CHUNK_BYTES = 1 << 16;
 
-    private static final Pattern NAME = Pattern.compile("state-(\\d{12})\\.mls");
-    private static final String UNFINISHED = ".tmp";
+    private static final Pattern FILE_NAME_PATTERN = Pattern.compile("state-(\\d{12})\\.mls");
+    private static final String TEMPORARY_SUFFIX = ".tmp";
 
-    /** The file whose lock says that a sidecar uses the folder. */
+    /** The name of the file that a sidecar keeps locked while it uses the directory. */
     public static final String LOCK_FILE_NAME = "lock";
 
-    /** What a read found: null where nothing was whole, and a line for each file passed over. */
+    /**
+     * The result of looking for the newest valid file.
+     *
+     * @param fileName the name of that file; null if there is none
+     * @param snapshot the content of that file; null if there is none
+     * @param skippedFiles one line for each file that was skipped, and for each section that was
+     *     skipped because this program does not know it
+     */
     public record LoadResult(String fileName, StateSnapshot snapshot, List<String> skippedFiles) {}
 
-    private final Directory disk;
-    private final int keep;
-    private final long mostBytes;
+    private final Directory directory;
+    private final int retainedFileCount;
+    private final long maxFileBytes;
     private final String instance;
     private final Consumer<String> log;
-    private final ThreadPoolExecutor thread;
+    private final ThreadPoolExecutor executor;
     private Closeable lock;
-    private long sequence;
-    private boolean off;
-    private String trouble = "";
+
+    /** The sequence number of the last file written or attempted. */
+    private long lastSequence;
+
+    private boolean disabled;
+
+    /** The problem that was logged last; empty after a successful write. */
+    private String loggedProblem = "";
 
     /**
-     * @param keep how many files stay
-     * @param mostBytes the longest file that is read or written
-     * @param instance whose files are taken
-     * @param log hears one line for each thing worth telling, on the keeper's thread
+     * Creates a store; nothing is read or locked before {@link #openAsync} or the first snapshot.
+     *
+     * @param retainedFileCount the number of newest files that are not deleted
+     * @param maxFileBytes the maximum length of a file that is read or written
+     * @param instance the name of the sidecar; files of other instances are skipped
+     * @param log receives log lines, on the thread of the store, or on the caller's thread for
+     *     timeouts
      */
     public StateStore(
-            Directory disk, int keep, long mostBytes, String instance, Consumer<String> log) {
-        this.disk = disk;
-        this.keep = keep;
-        this.mostBytes = mostBytes;
+            Directory directory,
+            int retainedFileCount,
+            long maxFileBytes,
+            String instance,
+            Consumer<String> log) {
+        this.directory = directory;
+        this.retainedFileCount = retainedFileCount;
+        this.maxFileBytes = maxFileBytes;
         this.instance = instance;
         this.log = log;
-        // One job may wait while one runs: what comes then is newer than what waits, but the next
-        // will be newer still.
-        this.thread =
+        // One job may wait while another runs. A snapshot that is offered meanwhile is newer than
+        // the waiting one, but is dropped, as the next one will be newer still.
+        this.executor =
                 new ThreadPoolExecutor(
                         1,
                         1,
@@ -74,90 +92,95 @@
                         TimeUnit.SECONDS,
                         new ArrayBlockingQueue<>(1),
                         job -> {
-                            Thread t = new Thread(job, "state");
-                            t.setDaemon(true);
-                            t.setUncaughtExceptionHandler(
-                                    (at, e) -> log.accept("a job ended: " + e));
-                            return t;
+                            Thread thread = new Thread(job, "state");
+                            thread.setDaemon(true);
+                            thread.setUncaughtExceptionHandler(
+                                    (source, e) -> log.accept("uncaught exception in a job: " + e));
+                            return thread;
                         });
     }
 
-    /** The file's name for a sequence number. */
+    /** Returns the file name for a sequence number. */
     public static String fileName(long sequence) {
         return String.format("state-%012d.mls", sequence);
     }
 
-    /** The sequence number in a file's name; -1 where it is no such name. */
+    /** Returns the sequence number in a file name; -1 if it is not the name of a state file. */
     public static long parseSequence(String name) {
-        Matcher m = NAME.matcher(name);
-        return m.matches() ? Long.parseLong(m.group(1)) : -1;
+        Matcher matcher = FILE_NAME_PATTERN.matcher(name);
+        return matcher.matches() ? Long.parseLong(matcher.group(1)) : -1;
     }
 
-    /** Whether a file of that name was being written when its writer ended. */
+    /** Returns whether a name is that of a state file whose writing has not been completed. */
     public static boolean isTemporaryFile(String name) {
-        return name.endsWith(UNFINISHED)
-                && parseSequence(name.substring(0, name.length() - UNFINISHED.length())) >= 0;
+        return name.endsWith(TEMPORARY_SUFFIX)
+                && parseSequence(name.substring(0, name.length() - TEMPORARY_SUFFIX.length())) >= 0;
     }
 
-    /** Takes the lock and reads the newest whole file, on the keeper's thread. */
+    /**
+     * Locks the directory and reads its newest valid file, on the thread of the store. The result
+     * is null if another sidecar uses the directory or if it can't be read; the reason is logged.
+     */
     public Future<LoadResult> openAsync() {
-        return thread.submit(this::begin);
+        return executor.submit(this::acquireAndLoad);
     }
 
     /**
-     * What {@link #openAsync} found, if it is done within a time; else null, and the log hears why.
+     * Waits for the result of {@link #openAsync}. Returns null and logs the reason if it does not
+     * arrive within the timeout or if reading failed.
      */
-    public LoadResult awaitLoad(Future<LoadResult> opening, long withinNs)
+    public LoadResult awaitLoad(Future<LoadResult> load, long timeoutNs)
             throws InterruptedException {
         try {
-            return opening.get(withinNs, TimeUnit.NANOSECONDS);
+            return load.get(timeoutNs, TimeUnit.NANOSECONDS);
         } catch (TimeoutException e) {
             log.accept(
-                    "nothing taken: reading "
-                            + disk
+                    "no state restored: reading "
+                            + directory
                             + " took longer than "
-                            + withinNs / 1_000_000
+                            + timeoutNs / 1_000_000
                             + " ms");
         } catch (ExecutionException e) {
-            log.accept("nothing taken: " + e.getCause());
+            log.accept("no state restored: " + e.getCause());
         }
         return null;
     }
 
-    private LoadResult begin() {
+    private LoadResult acquireAndLoad() {
         try {
-            return holds() ? readNewest(disk, mostBytes, instance) : null;
+            return acquire() ? readNewest(directory, maxFileBytes, instance) : null;
         } catch (IOException e) {
-            log.accept("nothing taken: " + disk + ": " + e);
+            log.accept("no state restored: " + directory + ": " + e);
             return null;
         }
     }
 
     /**
-     * Whether the folder is ours to write to; what a start before left unfinished is cleared away
-     * first.
+     * Returns whether this store may write to the directory. The first successful call locks the
+     * directory and deletes the temporary files that an earlier process left.
      */
-    private boolean holds() throws IOException {
-        if (lock != null || off) {
-            return !off;
+    private boolean acquire() throws IOException {
+        if (lock != null || disabled) {
+            return !disabled;
         }
-        List<String> names = disk.list();
-        lock = disk.tryLock(LOCK_FILE_NAME);
+        List<String> names = directory.list();
+        lock = directory.tryLock(LOCK_FILE_NAME);
         if (lock == null) {
-            off = true;
-            log.accept("off: another sidecar holds " + disk);
+            disabled = true;
+            log.accept("off: another sidecar holds " + directory);
             return false;
         }
-        sequence = highest(names);
+        lastSequence = highestSequence(names);
         for (String name : names) {
             if (isTemporaryFile(name)) {
-                disk.delete(name);
+                directory.delete(name);
             }
         }
         return true;
     }
 
-    private static long highest(List<String> names) {
+    /** Returns the highest sequence number among the file names; 0 if there is none. */
+    private static long highestSequence(List<String> names) {
         return names.stream()
                 .mapToLong(StateStore::parseSequence)
                 .filter(n -> n >= 0)
@@ -165,85 +188,102 @@
                 .orElse(0);
     }
 
-    /** The newest whole file of a folder, that of an instance if one is named. */
-    public static LoadResult readNewest(Directory disk, long mostBytes, String instance)
+    /**
+     * Returns the newest valid file of a directory.
+     *
+     * @param instance the name of the sidecar that wrote the file; null for any
+     */
+    public static LoadResult readNewest(Directory directory, long maxFileBytes, String instance)
             throws IOException {
-        List<String> names = new ArrayList<>(disk.list());
+        List<String> names = new ArrayList<>(directory.list());
         names.removeIf(n -> parseSequence(n) < 0);
         Collections.reverse(names);
-        List<String> passedOver = new ArrayList<>();
+        List<String> skippedFiles = new ArrayList<>();
         for (String name : names) {
             try {
-                StateSnapshot kept = readFile(disk, name, mostBytes, passedOver::add);
-                if (instance != null && !kept.head().instance().equals(instance)) {
-                    passedOver.add(
-                            name + ": is of " + kept.head().instance() + ", not of " + instance);
+                StateSnapshot snapshot = readFile(directory, name, maxFileBytes, skippedFiles::add);
+                if (instance != null && !snapshot.head().instance().equals(instance)) {
+                    skippedFiles.add(
+                            name
+                                    + ": belongs to "
+                                    + snapshot.head().instance()
+                                    + ", not to "
+                                    + instance);
                 } else {
-                    return new LoadResult(name, kept, passedOver);
+                    return new LoadResult(name, snapshot, skippedFiles);
                 }
             } catch (StateFileException e) {
-                passedOver.add(e.getMessage());
+                skippedFiles.add(e.getMessage());
             }
         }
-        return new LoadResult(null, null, passedOver);
+        return new LoadResult(null, null, skippedFiles);
     }
 
-    /** One file, whole. */
+    /**
+     * Reads and checks one file.
+     *
+     * @param onSkippedSection receives a line for each section that this program does not know
+     */
     public static StateSnapshot readFile(
-            Directory disk, String name, long mostBytes, Consumer<String> leftOut)
+            Directory directory, String name, long maxFileBytes, Consumer<String> onSkippedSection)
             throws StateFileException {
         byte[] bytes;
         try {
-            bytes = disk.read(name, mostBytes);
+            bytes = directory.read(name, maxFileBytes);
         } catch (Directory.FileTooLargeException e) {
             throw new StateFileException(StateFileException.Kind.TOO_LARGE, e.getMessage());
         } catch (IOException e) {
             throw new StateFileException(
                     StateFileException.Kind.UNREADABLE, name + ": can't be read: " + e);
         }
-        return StateFileFormat.decode(name, bytes, l -> leftOut.accept(name + ": left out " + l));
+        return StateFileFormat.decode(
+                name, bytes, section -> onSkippedSection.accept(name + ": skipped " + section));
     }
 
     /**
-     * Hands over what is to be kept next; its sequence number is the keeper's to give. False where
-     * the one before is still under way and another waits: the disk is slow, and this one is
-     * dropped.
+     * Queues a snapshot to be written; called on the event loop. The store assigns its sequence
+     * number. Returns false if a job is running and another one waits already: the disk is slow,
+     * and the snapshot is dropped.
      */
-    public boolean offer(StateSnapshot next) {
+    public boolean offer(StateSnapshot snapshot) {
         try {
-            thread.execute(() -> write(next));
+            executor.execute(() -> write(snapshot));
             return true;
         } catch (RejectedExecutionException e) {
             return false;
         }
     }
 
-    /** Whether nothing is under way: what is captured meanwhile would only be dropped. */
+    /**
+     * Returns whether no job is running or waiting. While one is, capturing a snapshot is of little
+     * use, as it may be dropped.
+     */
     public boolean isIdle() {
-        return thread.getActiveCount() == 0 && thread.getQueue().isEmpty();
+        return executor.getActiveCount() == 0 && executor.getQueue().isEmpty();
     }
 
-    /**
-     * Waits until all that was handed over is done with; for tests, and for those that have time.
-     */
+    /** Waits until all snapshots offered before have been written or have failed; for tests. */
     void awaitPendingWrites() throws InterruptedException, ExecutionException {
-        for (boolean queued = false; !queued; ) {
+        for (boolean isDone = false; !isDone; ) {
             try {
-                thread.submit(() -> {}).get();
-                queued = true;
+                executor.submit(() -> {}).get();
+                isDone = true;
             } catch (RejectedExecutionException e) {
                 Thread.sleep(1);
             }
         }
     }
 
-    /** Lets what was handed over be written, for so long at most, and gives up the lock. */
-    public void close(long withinNs) throws InterruptedException {
-        thread.shutdown();
-        if (thread.awaitTermination(withinNs, TimeUnit.NANOSECONDS)) {
+    /**
+     * Waits until the queued snapshots are written, then releases the lock. After the timeout it
+     * logs a line and returns, and the lock stays until the process ends.
+     */
+    public void close(long timeoutNs) throws InterruptedException {
+        executor.shutdown();
+        if (executor.awaitTermination(timeoutNs, TimeUnit.NANOSECONDS)) {
             unlock();
         } else {
-            log.accept("the last write was not done within " + withinNs / 1_000_000 + " ms");
+            log.accept("the last write was not done within " + timeoutNs / 1_000_000 + " ms");
         }
     }
 
@@ -253,66 +293,85 @@
                 lock.close();
             }
         } catch (IOException e) {
-            // It goes with the process.
+            // The lock is released when the process ends.
         }
     }
 
-    private void write(StateSnapshot next) {
+    private void write(StateSnapshot snapshot) {
         try {
-            if (!holds()) {
+            if (!acquire()) {
                 return;
             }
-            List<String> names = disk.list();
-            long there = highest(names);
-            if (there > sequence) {
-                // A lock may not reach over machines; to write on would mix two sidecars' pasts.
-                off = true;
-                log.accept("off: another sidecar writes to " + disk + ": " + fileName(there));
+            List<String> names = directory.list();
+            long newestSequence = highestSequence(names);
+            if (newestSequence > lastSequence) {
+                // File locks may not work across machines. Further writes would mix the state of
+                // two sidecars.
+                disabled = true;
+                log.accept(
+                        "off: another sidecar writes to "
+                                + directory
+                                + ": "
+                                + fileName(newestSequence));
                 return;
             }
-            byte[] bytes = StateFileFormat.encode(next.withSequence(sequence + 1));
-            if (bytes.length > mostBytes) {
-                tell("not written: " + bytes.length + " bytes, more than " + mostBytes);
+            byte[] bytes = StateFileFormat.encode(snapshot.withSequence(lastSequence + 1));
+            if (bytes.length > maxFileBytes) {
+                logProblemOnce(
+                        "snapshot not written: "
+                                + bytes.length
+                                + " bytes, more than the maximum of "
+                                + maxFileBytes);
                 return;
             }
-            // Taken even if the write fails: its name may be there all the same.
-            put(fileName(++sequence), bytes);
+            // The number is used up even if the write fails, as its file may exist all the same.
+            writeFile(fileName(++lastSequence), bytes);
             prune(names);
-            tell("");
+            logProblemOnce("");
         } catch (IOException | RuntimeException e) {
-            tell("not written: " + disk + ": " + e);
+            logProblemOnce("snapshot not written: " + directory + ": " + e);
         }
     }
 
-    private void put(String name, byte[] bytes) throws IOException {
-        String unfinished = name + UNFINISHED;
-        try (Directory.FileOutput out = disk.create(unfinished)) {
-            for (int at = 0; at < bytes.length; at += PIECE) {
-                out.write(ByteBuffer.wrap(bytes, at, Math.min(PIECE, bytes.length - at)));
+    private void writeFile(String name, byte[] bytes) throws IOException {
+        String temporaryName = name + TEMPORARY_SUFFIX;
+        try (Directory.FileOutput out = directory.create(temporaryName)) {
+            for (int offset = 0; offset < bytes.length; offset += WRITE_CHUNK_BYTES) {
+                out.write(
+                        ByteBuffer.wrap(
+                                bytes, offset, Math.min(WRITE_CHUNK_BYTES, bytes.length - offset)));
             }
             out.force();
         }
-        disk.rename(unfinished, name);
-        disk.forceDirectory();
+        directory.rename(temporaryName, name);
+        directory.forceDirectory();
     }
 
-    /** Those behind the newest go only when one more is sure to be there. */
-    private void prune(List<String> before) throws IOException {
-        for (String name : before) {
-            if (parseSequence(name) >= 0 && parseSequence(name) <= sequence - keep) {
-                disk.delete(name);
+    /**
+     * Deletes files beyond the retained ones. Called only after a new file has been forced, so that
+     * a failed write never reduces the number of valid files.
+     */
+    private void prune(List<String> names) throws IOException {
+        for (String name : names) {
+            if (parseSequence(name) >= 0
+                    && parseSequence(name) <= lastSequence - retainedFileCount) {
+                directory.delete(name);
             }
         }
     }
 
     /**
-     * Once for each kind of trouble, and once when it is over: a line at every write would say no
-     * more.
+     * Logs a problem unless it equals the last one, and logs a recovery once if the problem is
+     * empty. A line at every failed write would carry no further information.
      */
-    private void tell(String now) {
-        if (!now.equals(trouble)) {
-            trouble = now;
-            log.accept(now.isEmpty() ? "written again, as " + fileName(sequence) : now);
+    private void logProblemOnce(String problem) {
+        if (!problem.equals(loggedProblem)) {
+            loggedProblem = problem;
+            log.accept(
+                    problem.isEmpty()
+                            ? "snapshots are written again, the last one as "
+                                    + fileName(lastSequence)
+                            : problem);
         }
     }
 }
