--- a/core/src/main/java/mulleinlever/BuildOutcomes.java
+++ b/core/src/main/java/mulleinlever/BuildOutcomes.java
@@ -53,15 +53,15 @@
     }
 
     private static void add(
-            DecayingShare[] slots, long nowNs, int route, double count, double affectedCount) {
-        slots[route].add(nowNs, count, affectedCount);
+            DecayingShare[] slots, long nowNs, int routeIndex, double count, double affectedCount) {
+        slots[routeIndex].add(nowNs, count, affectedCount);
         slots[slots.length - 1].add(nowNs, count, affectedCount);
     }
 
-    void recordTry(long nowNs, int route, boolean hasFailed, boolean wasLate) {
-        add(failed, nowNs, route, 1, hasFailed ? 1 : 0);
-        add(late, nowNs, route, 1, wasLate ? 1 : 0);
-        add(complaints, nowNs, route, 1, 0);
+    void recordTry(long nowNs, int routeIndex, boolean hasFailed, boolean wasLate) {
+        add(failed, nowNs, routeIndex, 1, hasFailed ? 1 : 0);
+        add(late, nowNs, routeIndex, 1, wasLate ? 1 : 0);
+        add(complaints, nowNs, routeIndex, 1, 0);
     }
 
     /**
@@ -72,17 +72,17 @@
      */
     void recordTally(
             long nowNs,
-            int route,
+            int routeIndex,
             double tryCount,
             double failedCount,
             double timedCount,
             double lateCount) {
-        add(failed, nowNs, route, tryCount, failedCount);
-        add(late, nowNs, route, timedCount, timedCount > 0 ? lateCount : 0);
+        add(failed, nowNs, routeIndex, tryCount, failedCount);
+        add(late, nowNs, routeIndex, timedCount, timedCount > 0 ? lateCount : 0);
     }
 
-    void recordComplaint(long nowNs, int route) {
-        add(complaints, nowNs, route, 0, 1);
+    void recordComplaint(long nowNs, int routeIndex) {
+        add(complaints, nowNs, routeIndex, 0, 1);
     }
 
     double failedShare(long nowNs, int slot) {
--- a/core/src/main/java/mulleinlever/ExposureBudget.java
+++ b/core/src/main/java/mulleinlever/ExposureBudget.java
@@ -29,25 +29,26 @@
     }
 
     /** Adds the tokens for a req of a route that has arrived. */
-    void accrue(RolloutStatus status, int route) {
+    void accrue(RolloutStatus status, int routeIndex) {
         tokensByBuild.forEach(
                 (build, tokens) ->
-                        tokens[tokenIndex(route)] =
+                        tokens[tokenIndex(routeIndex)] =
                                 Math.min(
                                         rollout.exposureBurst(),
-                                        tokens[tokenIndex(route)] + status.capOf(build, rollout)));
+                                        tokens[tokenIndex(routeIndex)]
+                                                + status.capOf(build, rollout)));
     }
 
-    boolean hasToken(int build, int route) {
-        return tokensOf(build)[tokenIndex(route)] >= 1;
+    boolean hasToken(int build, int routeIndex) {
+        return tokensOf(build)[tokenIndex(routeIndex)] >= 1;
     }
 
     /** Takes a token for a try that is sent. */
-    void consume(int build, int route) {
-        tokensOf(build)[tokenIndex(route)]--;
+    void consume(int build, int routeIndex) {
+        tokensOf(build)[tokenIndex(routeIndex)]--;
     }
 
-    private int tokenIndex(int route) {
-        return rollout.isExposurePerRoute() ? route : 0;
+    private int tokenIndex(int routeIndex) {
+        return rollout.isExposurePerRoute() ? routeIndex : 0;
     }
 }
--- a/core/src/main/java/mulleinlever/OpenTryLatenessDetector.java
+++ b/core/src/main/java/mulleinlever/OpenTryLatenessDetector.java
@@ -42,12 +42,12 @@
         int[] openCounts = new int[2];
         int[] lateCounts = new int[2];
         for (ReqState req : reqs) {
-            for (int tryNo = req.openTryNumbers.nextSetBit(0);
-                    tryNo >= 0;
-                    tryNo = req.openTryNumbers.nextSetBit(tryNo + 1)) {
-                int side = status.isBuildOnTrial(req.tries.get(tryNo).build()) ? 1 : 0;
+            for (int tryNumber = req.openTryNumbers.nextSetBit(0);
+                    tryNumber >= 0;
+                    tryNumber = req.openTryNumbers.nextSetBit(tryNumber + 1)) {
+                int side = status.isBuildOnTrial(req.tries.get(tryNumber).build()) ? 1 : 0;
                 openCounts[side]++;
-                lateCounts[side] += req.isOpenTryLate(nowNs, tryNo) ? 1 : 0;
+                lateCounts[side] += req.isOpenTryLate(nowNs, tryNumber) ? 1 : 0;
             }
         }
         if (lateCounts[1] >= MIN_LATE_TRY_COUNT
--- a/core/src/main/java/mulleinlever/PodListLease.java
+++ b/core/src/main/java/mulleinlever/PodListLease.java
@@ -101,7 +101,7 @@
      * Called when the sidecar switches to another discovery. Changes that were not announced before
      * have to be fetched from there, and count as announced sooner.
      */
-    void onDiscoveryChanged() {
+    void onDiscoverySwitched() {
         confirmed = false;
         discoverySwitched = true;
     }
--- a/core/src/main/java/mulleinlever/PodSet.java
+++ b/core/src/main/java/mulleinlever/PodSet.java
@@ -7,10 +7,10 @@
 /**
  * A set of pods that reqs may be sent to.
  *
- * @param local the pods in the sidecar's own zone
+ * @param localZone the pods in the sidecar's own zone
  * @param totalWeight the sum of the weights of all pods
  */
-record PodSet(List<Pod> all, List<Pod> local, double totalWeight) {
+record PodSet(List<Pod> all, List<Pod> localZone, double totalWeight) {
     private PodSet(List<Pod> all, List<Pod> local) {
         this(all, local, all.stream().mapToDouble(p -> p.listEntry.weight()).sum());
     }
@@ -24,7 +24,8 @@
 
     PodSet filter(Predicate<Pod> predicate) {
         return new PodSet(
-                all.stream().filter(predicate).toList(), local.stream().filter(predicate).toList());
+                all.stream().filter(predicate).toList(),
+                localZone.stream().filter(predicate).toList());
     }
 
     /**
--- a/core/src/main/java/mulleinlever/Policy.java
+++ b/core/src/main/java/mulleinlever/Policy.java
@@ -497,10 +497,10 @@
     }
 
     /** Handles the switch to another discovery, from which a watch has been requested. */
-    public void onDiscoveryChanged() {
+    public void onDiscoverySwitched() {
         watchOpen = false;
         watchPending = true;
-        lease.onDiscoveryChanged();
+        lease.onDiscoverySwitched();
     }
 
     /** Handles a step of the wall clock by which the list states when pods started. */
@@ -861,7 +861,8 @@
     private Pod pickByTwoChoices(long nowNs, ReqState reqState, PodSet candidates) {
         Predicate<Pod> isCandidate =
                 p -> isPreferred(nowNs, reqState, p) && isAllowed(nowNs, reqState, p);
-        Pod first = PodSet.pickRandom(candidates.local(), random, MAX_RANDOM_DRAWS, isCandidate);
+        Pod first =
+                PodSet.pickRandom(candidates.localZone(), random, MAX_RANDOM_DRAWS, isCandidate);
         Pod second = PodSet.pickRandom(candidates.all(), random, MAX_RANDOM_DRAWS, isCandidate);
         return first == null
                         || second != null
@@ -1189,18 +1190,17 @@
      * unreachable that the rest are late for that reason.
      */
     private double detectorSample(
-            long nowNs, int routeIndex, boolean isLateness, DegradationDetector detector) {
-        double trialBadShare = badShare(nowNs, trialOutcomes, routeIndex, isLateness);
+            long nowNs, int slot, boolean isLateness, DegradationDetector detector) {
+        double trialBadShare = badShare(nowNs, trialOutcomes, slot, isLateness);
         boolean hasReference =
-                earlierOutcomes.totalOutcomeCount(routeIndex, isLateness) >= MIN_OUTCOME_COUNT;
+                earlierOutcomes.totalOutcomeCount(slot, isLateness) >= MIN_OUTCOME_COUNT;
         double earlierShift =
                 hasReference
-                        ? badShare(nowNs, earlierOutcomes, routeIndex, isLateness)
-                                - detector.longTermMean
+                        ? badShare(nowNs, earlierOutcomes, slot, isLateness) - detector.longTermMean
                         : 0;
         double excess = Math.max(0, Math.min(1, trialBadShare - Math.max(0, earlierShift)));
         if (!isLateness
-                || routeIndex < routes.size()
+                || slot < routes.size()
                 || !hasReference
                 || nowNs < latenessUnreliableUntilNs) {
             return excess;
@@ -1209,7 +1209,7 @@
                 excess,
                 Math.max(
                         medianPodLateShare(nowNs),
-                        (earlierOutcomes.lateShare(nowNs, routeIndex) - MAX_FAULTY_POD_SHARE)
+                        (earlierOutcomes.lateShare(nowNs, slot) - MAX_FAULTY_POD_SHARE)
                                 / (1 - MAX_FAULTY_POD_SHARE)));
     }
 
@@ -1240,31 +1240,30 @@
     }
 
     /** Returns the share of late outcomes, or of failed and wrong ones, from 0 to 1. */
-    private double badShare(
-            long nowNs, BuildOutcomes outcomes, int routeIndex, boolean isLateness) {
+    private double badShare(long nowNs, BuildOutcomes outcomes, int slot, boolean isLateness) {
         if (isLateness) {
-            return outcomes.lateShare(nowNs, routeIndex);
+            return outcomes.lateShare(nowNs, slot);
         }
         // After a release there is no earlier build to compare with, and failures may have other
         // causes than the build.
         double failedShare =
                 outcomes == earlierOutcomes || rolloutStatus.isOnTrial()
-                        ? outcomes.failedShare(nowNs, routeIndex)
+                        ? outcomes.failedShare(nowNs, slot)
                         : 0;
-        return Math.min(1, failedShare + estimatedWrongShare(nowNs, outcomes, routeIndex));
+        return Math.min(1, failedShare + estimatedWrongShare(nowNs, outcomes, slot));
     }
 
     /**
      * Returns the estimated share of wrong answers. Each complaint stands for the wrong answers
      * that were not reported as well.
      */
-    private double estimatedWrongShare(long nowNs, BuildOutcomes outcomes, int routeIndex) {
-        double complaintCount = outcomes.complaintCount(nowNs, routeIndex);
+    private double estimatedWrongShare(long nowNs, BuildOutcomes outcomes, int slot) {
+        double complaintCount = outcomes.complaintCount(nowNs, slot);
         return complaintCount == 0
                 ? 0
                 : complaintCount
                         / rollout.complaintReportRate()
-                        / Math.max(1, outcomes.tryCount(nowNs, routeIndex));
+                        / Math.max(1, outcomes.tryCount(nowNs, slot));
     }
 
     /** Adds a sample to each detector, and logs a change of the overall state. */
@@ -1286,33 +1285,30 @@
                                 || !rolloutStatus.isOnTrial() && !rolloutStatus.isReleased());
         for (int i = 0; i < detectors.length; i++) {
             DegradationDetector detector = detectors[i];
-            int routeIndex = i / 2;
+            int slot = i / 2;
             boolean isLateness = i % 2 == 1;
             if (canLearn
-                    && baselineOutcomes.outcomeCount(nowNs, routeIndex, isLateness)
+                    && baselineOutcomes.outcomeCount(nowNs, slot, isLateness)
                             >= MIN_BASELINE_OUTCOME_COUNT) {
                 detector.updateLongTerm(
-                        badShare(nowNs, baselineOutcomes, routeIndex, isLateness),
-                        LONG_TERM_WEIGHT);
+                        badShare(nowNs, baselineOutcomes, slot, isLateness), LONG_TERM_WEIGHT);
             }
-            double trialCount = trialOutcomes.outcomeCount(nowNs, routeIndex, isLateness);
-            double earlierCount = earlierOutcomes.outcomeCount(nowNs, routeIndex, isLateness);
+            double trialCount = trialOutcomes.outcomeCount(nowNs, slot, isLateness);
+            double earlierCount = earlierOutcomes.outcomeCount(nowNs, slot, isLateness);
             boolean hasEnoughOutcomes =
-                    trialOutcomes.totalOutcomeCount(routeIndex, isLateness) >= MIN_OUTCOME_COUNT
+                    trialOutcomes.totalOutcomeCount(slot, isLateness) >= MIN_OUTCOME_COUNT
                             && trialCount >= 1
                             && earlierCount >= 1;
             if (hasEnoughOutcomes && (!isLateness || rolloutStatus.isOnTrial())) {
                 boolean conclusive =
                         isLateness
                                 ? nowNs >= latenessUnreliableUntilNs
-                                : trialOutcomes.complaintCount(nowNs, routeIndex)
-                                                > MAX_IGNORED_COMPLAINTS
-                                        || trialOutcomes.failedShare(nowNs, routeIndex)
-                                                >= estimatedWrongShare(
-                                                        nowNs, trialOutcomes, routeIndex);
+                                : trialOutcomes.complaintCount(nowNs, slot) > MAX_IGNORED_COMPLAINTS
+                                        || trialOutcomes.failedShare(nowNs, slot)
+                                                >= estimatedWrongShare(nowNs, trialOutcomes, slot);
                 // The number of earlier outcomes is limited too, which widens the deviation.
                 detector.evaluate(
-                        detectorSample(nowNs, routeIndex, isLateness, detector),
+                        detectorSample(nowNs, slot, isLateness, detector),
                         trialCount * earlierCount / (trialCount + earlierCount),
                         conclusive);
             }
@@ -1388,12 +1384,14 @@
         long stageAgeNs = nowNs - stageStartedNs;
         // The last approval removes the pods of the earlier build, so it waits for outcomes of the
         // build under the full load.
-        boolean proven =
+        boolean approvalReady =
                 rolloutStatus.stage() < rollout.stageShares().size() - 1
                         || stageAgeNs > rollout.bakeNs() + MAX_APPROVAL_DELAY_NS
                         || trialOutcomes.totalOutcomeCount(routes.size(), true)
                                 >= outcomeCountAtStageStart + requiredOutcomeCount();
-        return detectorState == DetectorState.NORMAL && stageAgeNs >= rollout.bakeNs() && proven
+        return detectorState == DetectorState.NORMAL
+                        && stageAgeNs >= rollout.bakeNs()
+                        && approvalReady
                 ? RolloutVote.ON
                 : RolloutVote.NONE;
     }
@@ -1486,7 +1484,7 @@
      * @param meanLatencyRatio the mean try time as a share of the latency objective
      * @param readyPodCount the number of ready pods on the list
      * @param leasedPodCount the number of ready pods that the lease allows
-     * @param coldPodCount the number of pods in slow start
+     * @param slowStartPodCount the number of pods in slow start
      * @param unreachablePodCount the number of pods in unreachable zones
      */
     public record Stats(
@@ -1498,7 +1496,7 @@
             int readyPodCount,
             int leasedPodCount,
             long healthyPodCount,
-            long coldPodCount,
+            long slowStartPodCount,
             long unreachablePodCount) {}
 
     /** Returns the current figures for the log. */
--- a/core/src/main/java/mulleinlever/ReqState.java
+++ b/core/src/main/java/mulleinlever/ReqState.java
@@ -40,21 +40,21 @@
         this.deadlineNs = nowNs + req.expiresInNs();
     }
 
-    void addTry(Try t) {
+    void addTry(Try newTry) {
         openTryNumbers.set(tries.size());
-        tries.add(t);
+        tries.add(newTry);
     }
 
-    void endTry(int tryNo, TryOutcome outcome) {
-        openTryNumbers.clear(tryNo);
-        triesNotRun.set(tryNo, outcome.provesNotRun());
+    void endTry(int tryNumber, TryOutcome outcome) {
+        openTryNumbers.clear(tryNumber);
+        triesNotRun.set(tryNumber, outcome.provesNotRun());
         errorCount += outcome == TryOutcome.ERROR ? 1 : 0;
     }
 
     /** Returns the first try that may have run or may still run, or null if there is none. */
     Try firstTryThatMayHaveRun() {
-        int tryNo = triesNotRun.nextClearBit(0);
-        return tryNo < tries.size() ? tries.get(tryNo) : null;
+        int tryNumber = triesNotRun.nextClearBit(0);
+        return tryNumber < tries.size() ? tries.get(tryNumber) : null;
     }
 
     boolean isWaitingForSingleTry() {
@@ -62,8 +62,8 @@
     }
 
     /** Returns whether an open try has taken longer than the late threshold of its route. */
-    boolean isOpenTryLate(long nowNs, int tryNo) {
-        return nowNs - tries.get(tryNo).sentNs() > route.lateThresholdNs;
+    boolean isOpenTryLate(long nowNs, int tryNumber) {
+        return nowNs - tries.get(tryNumber).sentNs() > route.lateThresholdNs;
     }
 
     /** Returns the latest try; there must be one. */
--- a/core/src/test/java/mulleinlever/ClockStepTest.java
+++ b/core/src/test/java/mulleinlever/ClockStepTest.java
@@ -31,7 +31,7 @@
         }
         List<PolicyHarness.SentTry> sent =
                 harness.sentTries.subList(firstIndex, harness.sentTries.size());
-        return sent.stream().filter(s -> s.pod().equals(STARTED_POD.id())).count()
+        return sent.stream().filter(s -> s.podId().equals(STARTED_POD.id())).count()
                 / (double) sent.size();
     }
 
@@ -56,9 +56,9 @@
             harness.policy.onWallClockStepped();
         }
         harness.policy.onPodListUpdated(harness.nowNs, List.of(started));
-        double coldShare = trafficShare(harness, 1);
+        double slowStartShare = trafficShare(harness, 1);
         trafficShare(harness, 4);
-        return new double[] {coldShare, trafficShare(harness, 2)};
+        return new double[] {slowStartShare, trafficShare(harness, 2)};
     }
 
     // The clock may have been an hour off before the process started. Only the list can show that.
--- a/core/src/test/java/mulleinlever/ConcurrencyLimiterTest.java
+++ b/core/src/test/java/mulleinlever/ConcurrencyLimiterTest.java
@@ -57,7 +57,7 @@
      * one that ignores the demand at the sidecar (busy and overloaded): an even share is two tries.
      */
     @Test
-    void admitsThinAndHeavyTrafficAndLimitsUnderOverload() {
+    void admitsLightAndHeavyTrafficAndLimitsUnderOverload() {
         for (long seed = 0; seed < 5; seed++) {
             assertEquals(0, simulateRejectedShare(3, 1, seed), 0.04, "thin");
             assertEquals(0, simulateRejectedShare(20, 1, seed), 0.08, "busy");
--- a/core/src/test/java/mulleinlever/DetectorTest.java
+++ b/core/src/test/java/mulleinlever/DetectorTest.java
@@ -7,7 +7,7 @@
 /** Checks the averages and the state changes of a detector against values computed by hand. */
 class DetectorTest {
     @Test
-    void longTermMeanAndDeviationFollowDesignFormula() {
+    void longTermMeanAndDeviationFollowSamples() {
         var detector = new Policy.DegradationDetector(0, 0);
         detector.updateLongTerm(0.1, 0.02);
         assertEquals(0.1, detector.longTermMean, 1e-12);
--- a/core/src/test/java/mulleinlever/PodListLeaseTest.java
+++ b/core/src/test/java/mulleinlever/PodListLeaseTest.java
@@ -46,7 +46,7 @@
                         confirmed = false;
                     }
                     case 5 -> {
-                        lease.onDiscoveryChanged();
+                        lease.onDiscoverySwitched();
                         confirmed = false;
                         discoverySwitched = true;
                     }
--- a/core/src/test/java/mulleinlever/PolicyHarness.java
+++ b/core/src/test/java/mulleinlever/PolicyHarness.java
@@ -15,10 +15,10 @@
     static final long SECOND_NS = 1_000 * MILLISECOND_NS;
 
     /** A try that the policy started. */
-    record SentTry(String reqId, String pod, long atNs, long limitNs) {}
+    record SentTry(String reqId, String podId, long sentNs, long timeoutNs) {}
 
     /** A vote that the policy cast. */
-    record CastVote(long atNs, int build, int stage, RolloutVote verdict) {}
+    record CastVote(long atNs, int build, int stage, RolloutVote vote) {}
 
     final List<SentTry> sentTries = new ArrayList<>();
 
--- a/core/src/test/java/mulleinlever/PolicyRegressionTest.java
+++ b/core/src/test/java/mulleinlever/PolicyRegressionTest.java
@@ -26,7 +26,7 @@
             String id = harness.nowNs + "";
             harness.sendReq(id, "get", 2 * SECOND_NS);
             if (harness.sentTries.size() > 0 && harness.lastSent().reqId().equals(id)) {
-                String podId = harness.lastSent().pod();
+                String podId = harness.lastSent().podId();
                 long durationMs =
                         answerTimes.answerTimeMs(
                                 pods.stream().filter(p -> p.id().equals(podId)).findFirst().get(),
@@ -64,7 +64,7 @@
         pods = replacePods(harness, 8, 4);
         harness.setRolloutStatus(2, 1, RolloutStatus.Phase.ON_TRIAL, 0.7);
         serveReqs(harness, 12, during, pods);
-        return harness.votes.get(harness.votes.size() - 1).verdict();
+        return harness.votes.get(harness.votes.size() - 1).vote();
     }
 
     private static long usualMs(int reqIndex) {
@@ -109,7 +109,7 @@
         pods = pods.subList(8, 12);
         harness.policy.onPodListReplaced(harness.nowNs, pods);
         serveReqs(harness, 9, (p, i) -> 3 * usualMs(i), pods);
-        assertTrue(harness.votes.stream().noneMatch(v -> v.verdict() == RolloutVote.BACK));
+        assertTrue(harness.votes.stream().noneMatch(v -> v.vote() == RolloutVote.BACK));
     }
 
     @Test
@@ -124,7 +124,7 @@
         harness.policy.onComplaint(harness.nowNs, "pod9", "get");
         harness.policy.onComplaint(harness.nowNs, "pod10", "get");
         serveReqs(harness, 4, (p, i) -> usualMs(i), pods);
-        assertTrue(harness.votes.stream().noneMatch(v -> v.verdict() == RolloutVote.BACK));
+        assertTrue(harness.votes.stream().noneMatch(v -> v.vote() == RolloutVote.BACK));
     }
 
     @Test
@@ -135,7 +135,7 @@
         harness.advance(5 * SECOND_NS);
         assertTrue(harness.votes.isEmpty());
         harness.advance(15 * SECOND_NS);
-        assertEquals(RolloutVote.ON, harness.votes.get(0).verdict());
+        assertEquals(RolloutVote.ON, harness.votes.get(0).vote());
     }
 
     @Test
@@ -151,7 +151,7 @@
                 harness.nowNs, new Req("b", "get", false, false, SECOND_NS, 0, 7, null));
         assertEquals(1, harness.sentTries.size());
         harness.setRolloutStatus(2, 2, RolloutStatus.Phase.WITHDRAWN, 0);
-        assertEquals("pod1", harness.lastSent().pod());
+        assertEquals("pod1", harness.lastSent().podId());
     }
 
     @Test
@@ -166,15 +166,15 @@
                 (p, i) -> 20,
                 List.of(PolicyHarness.podEntry(0, 1, 0), PolicyHarness.podEntry(1, 1, 0)));
         harness.sendReq("a", "get", 2 * SECOND_NS);
-        String unresponsivePod = harness.lastSent().pod();
+        String unresponsivePod = harness.lastSent().podId();
         harness.advance(300 * MILLISECOND_NS);
         assertEquals(List.of("a"), harness.cancelledReqs);
         harness.endTry("a", 0, TryOutcome.CANCELLED, 300 * MILLISECOND_NS);
-        assertFalse(harness.lastSent().pod().equals(unresponsivePod));
+        assertFalse(harness.lastSent().podId().equals(unresponsivePod));
         harness.endTry("a", 1, TryOutcome.OK, 20 * MILLISECOND_NS);
         for (int i = 0; i < 10; i++) {
             harness.sendReq("more" + i, "get", 2 * SECOND_NS);
-            assertFalse(harness.lastSent().pod().equals(unresponsivePod));
+            assertFalse(harness.lastSent().podId().equals(unresponsivePod));
             harness.endTry("more" + i, 0, TryOutcome.OK, 20 * MILLISECOND_NS);
         }
     }
@@ -189,7 +189,7 @@
         int firstIndex = harness.sentTries.size();
         serveReqs(harness, 10, (p, i) -> !p.id().equals("pod0") && i % 3 == 0 ? 0 : 100, pods);
         var laterTries = harness.sentTries.subList(firstIndex, harness.sentTries.size());
-        long toWorkingPod = laterTries.stream().filter(s -> s.pod().equals("pod0")).count();
+        long toWorkingPod = laterTries.stream().filter(s -> s.podId().equals("pod0")).count();
         assertTrue(toWorkingPod < laterTries.size() / 3, toWorkingPod + " of " + laterTries.size());
     }
 
@@ -219,22 +219,22 @@
     }
 
     @Test
-    void sidecarsDoNotAllSendToColdPodAtOnce() {
-        int toColdPod = 0;
+    void sidecarsDoNotAllSendToNewPodAtOnce() {
+        int toNewPodCount = 0;
         for (int i = 0; i < 300; i++) {
             PolicyHarness harness = PolicyHarness.withDefaults(300, false, false, i);
             harness.addPods(4, 1).setRolloutStatus(1, 2, RolloutStatus.Phase.RELEASED, 1);
             serveReqs(harness, 2, (p, n) -> 100, replacePods(harness, 4, 0));
-            PodEntry coldPod = PolicyHarness.podEntry(4, 1, harness.nowNs);
-            harness.policy.onPodListUpdated(harness.nowNs, List.of(coldPod));
+            PodEntry newPod = PolicyHarness.podEntry(4, 1, harness.nowNs);
+            harness.policy.onPodListUpdated(harness.nowNs, List.of(newPod));
             harness.sendReq("first", "get", 2 * SECOND_NS);
-            toColdPod += harness.lastSent().pod().equals(coldPod.id()) ? 1 : 0;
+            toNewPodCount += harness.lastSent().podId().equals(newPod.id()) ? 1 : 0;
         }
-        assertTrue(toColdPod < 15, toColdPod + " of 300");
+        assertTrue(toNewPodCount < 15, toNewPodCount + " of 300");
     }
 
     @Test
-    void tallyDecidesWhenOwnTrafficIsThin() {
+    void tallyDecidesWhenOwnTrafficIsLight() {
         for (int failedCount : new int[] {0, 30}) {
             PolicyHarness harness =
                     PolicyHarness.withDefaults()
@@ -250,7 +250,7 @@
             }
             assertEquals(
                     failedCount > 0 ? RolloutVote.BACK : RolloutVote.ON,
-                    harness.votes.get(harness.votes.size() - 1).verdict());
+                    harness.votes.get(harness.votes.size() - 1).vote());
         }
     }
 
@@ -265,7 +265,7 @@
         harness.setRolloutStatus(2, 2, RolloutStatus.Phase.RELEASED, 1);
         harness.advance(12 * SECOND_NS);
         serveReqs(harness, 8, (p, i) -> i % 2 == 0 ? 0 : usualMs(i), replacePods(harness, 0, 8));
-        assertTrue(harness.votes.stream().noneMatch(v -> v.verdict() == RolloutVote.BACK));
+        assertTrue(harness.votes.stream().noneMatch(v -> v.vote() == RolloutVote.BACK));
     }
 
     @Test
@@ -300,14 +300,14 @@
         List<PolicyHarness.SentTry> normalTries =
                 harness.sentTries.subList(firstIndex, harness.sentTries.size());
         assertTrue(
-                normalTries.stream().filter(s -> PolicyHarness.podNumber(s.pod()) >= 8).count()
+                normalTries.stream().filter(s -> PolicyHarness.podNumber(s.podId()) >= 8).count()
                         > 0.8 * normalTries.size());
         serveReqs(harness, 3, (p, i) -> p.build() == 2 ? 4 * usualMs(i) : usualMs(i), pods);
         int suspectIndex = harness.sentTries.size();
         serveReqs(harness, 2, (p, i) -> usualMs(i), pods);
         var suspectTries = harness.sentTries.subList(suspectIndex, harness.sentTries.size());
         assertTrue(
-                suspectTries.stream().filter(s -> PolicyHarness.podNumber(s.pod()) >= 8).count()
+                suspectTries.stream().filter(s -> PolicyHarness.podNumber(s.podId()) >= 8).count()
                         < 0.4 * suspectTries.size());
     }
 
@@ -355,7 +355,7 @@
                     tryNumber++) {
                 boolean isLost =
                         PolicyHarness.podEntry(
-                                        PolicyHarness.podNumber(harness.lastSent().pod()), 1, 0)
+                                        PolicyHarness.podNumber(harness.lastSent().podId()), 1, 0)
                                 .zone()
                                 .equals(lostZone);
                 int tryCountBefore = harness.sentTries.size();
@@ -376,7 +376,7 @@
         return harness.sentTries.subList(firstIndex, harness.sentTries.size()).stream()
                 .filter(
                         s ->
-                                PolicyHarness.podEntry(PolicyHarness.podNumber(s.pod()), 1, 0)
+                                PolicyHarness.podEntry(PolicyHarness.podNumber(s.podId()), 1, 0)
                                         .zone()
                                         .equals(zone))
                 .count();
@@ -414,7 +414,7 @@
         List<String> unansweredReqs = new ArrayList<>();
         for (int i = 0; i < 45; i++) {
             harness.sendReq("unanswered" + i, "get", 2 * SECOND_NS);
-            if (PolicyHarness.podNumber(harness.lastSent().pod()) % 2 == 1) {
+            if (PolicyHarness.podNumber(harness.lastSent().podId()) % 2 == 1) {
                 unansweredReqs.add("unanswered" + i);
             } else {
                 harness.endTry("unanswered" + i, 0, TryOutcome.OK, 60 * MILLISECOND_NS);
@@ -432,7 +432,7 @@
         // all of it.
         var reachablePodNumbers =
                 harness.sentTries.subList(firstIndex, harness.sentTries.size()).stream()
-                        .map(t -> PolicyHarness.podNumber(t.pod()))
+                        .map(t -> PolicyHarness.podNumber(t.podId()))
                         .filter(n -> n % 2 == 0)
                         .toList();
         long onTrial = reachablePodNumbers.stream().filter(n -> n >= 30).count();
@@ -459,7 +459,7 @@
         serveReqsDuringZoneLoss(harness, "b", 2000);
         long toRestartedPods =
                 harness.sentTries.subList(firstIndex, harness.sentTries.size()).stream()
-                        .filter(s -> List.of(1, 3).contains(PolicyHarness.podNumber(s.pod())))
+                        .filter(s -> List.of(1, 3).contains(PolicyHarness.podNumber(s.podId())))
                         .count();
         assertTrue(toRestartedPods >= 2, "tries at restarted pods: " + toRestartedPods);
     }
@@ -481,7 +481,7 @@
         serveReqsDuringZoneLoss(harness, "b", 2000);
         serveReqs(
                 harness, slowReqCount / 50, (p, i) -> 3 * usualMs(i), replacePods(harness, 30, 30));
-        assertTrue(harness.votes.stream().noneMatch(v -> v.verdict() == RolloutVote.BACK));
+        assertTrue(harness.votes.stream().noneMatch(v -> v.vote() == RolloutVote.BACK));
         return harness;
     }
 
@@ -515,7 +515,7 @@
                                                     2, 1, RolloutStatus.Phase.ON_TRIAL, 0);
                                     long startNs = harness.nowNs;
                                     while (harness.votes.stream()
-                                                    .noneMatch(v -> v.verdict() == RolloutVote.BACK)
+                                                    .noneMatch(v -> v.vote() == RolloutVote.BACK)
                                             && harness.nowNs < startNs + 60 * SECOND_NS) {
                                         harness.policy.onPlatformTally(
                                                 harness.nowNs,
@@ -595,7 +595,7 @@
     }
 
     @Test
-    void proofPerSidecarShrinksWithNeededVotes() {
+    void outcomesNeededPerSidecarShrinkWithNeededVotes() {
         for (int neededVotes : new int[] {2, 6}) {
             PolicyHarness harness =
                     PolicyHarness.inFleet(sidecarAtVoterRank(2, 0), 14, neededVotes, 4)
@@ -609,7 +609,7 @@
             harness.advance(8 * SECOND_NS);
             assertEquals(
                     neededVotes == 6,
-                    harness.votes.stream().anyMatch(v -> v.verdict() == RolloutVote.ON),
+                    harness.votes.stream().anyMatch(v -> v.vote() == RolloutVote.ON),
                     "needed " + neededVotes);
         }
     }
@@ -629,7 +629,7 @@
         for (int i = 0; i < 60; i++) {
             harness.sendReq("r" + i, "get", 2 * SECOND_NS);
             if (harness.lastSent().reqId().equals("r" + i)
-                    && PolicyHarness.podNumber(harness.lastSent().pod()) >= 80) {
+                    && PolicyHarness.podNumber(harness.lastSent().podId()) >= 80) {
                 toTrial[i / 30]++;
             } else if (harness.lastSent().reqId().equals("r" + i)) {
                 harness.endTry("r" + i, 0, TryOutcome.OK, 20 * MILLISECOND_NS);
--- a/core/src/test/java/mulleinlever/PolicyRestoreTest.java
+++ b/core/src/test/java/mulleinlever/PolicyRestoreTest.java
@@ -36,10 +36,10 @@
     /**
      * Serves reqs one after the other and returns the number of tries by pod.
      *
-     * @param tookMs how long a pod takes by its number; 0 for a pod that answers with errors
+     * @param durationsMs how long a pod takes by its number; 0 for a pod that answers with errors
      */
-    private static int[] serveReqs(PolicyHarness harness, int reqCount, long... tookMs) {
-        int[] tryCounts = new int[tookMs.length];
+    private static int[] serveReqs(PolicyHarness harness, int reqCount, long... durationsMs) {
+        int[] tryCounts = new int[durationsMs.length];
         for (int i = 0; i < reqCount; i++) {
             String id = "q" + harness.nowNs;
             harness.policy.onReq(
@@ -49,14 +49,14 @@
                             && harness.lastSent().reqId().equals(id)
                             && tryNumber < 2;
                     tryNumber++) {
-                int pod = PolicyHarness.podNumber(harness.lastSent().pod());
+                int pod = PolicyHarness.podNumber(harness.lastSent().podId());
                 tryCounts[pod]++;
-                harness.advance(Math.max(5, tookMs[pod]) * MILLISECOND_NS);
+                harness.advance(Math.max(5, durationsMs[pod]) * MILLISECOND_NS);
                 harness.endTry(
                         id,
                         tryNumber,
-                        tookMs[pod] > 0 ? TryOutcome.OK : TryOutcome.ERROR,
-                        Math.max(5, tookMs[pod]) * MILLISECOND_NS);
+                        durationsMs[pod] > 0 ? TryOutcome.OK : TryOutcome.ERROR,
+                        Math.max(5, durationsMs[pod]) * MILLISECOND_NS);
             }
             harness.advance(2 * MILLISECOND_NS);
         }
@@ -116,28 +116,28 @@
         }
         int firstIndex =
                 IntStream.range(0, harness.sentTries.size())
-                        .filter(i -> harness.sentTries.get(i).pod().equals("pod0"))
+                        .filter(i -> harness.sentTries.get(i).podId().equals("pod0"))
                         .findFirst()
                         .orElseThrow();
-        assertEquals(1, harness.sentTries.stream().filter(s -> s.pod().equals("pod0")).count());
+        assertEquals(1, harness.sentTries.stream().filter(s -> s.podId().equals("pod0")).count());
         harness.endTry(
                 harness.sentTries.get(firstIndex).reqId(), 0, TryOutcome.OK, 20 * MILLISECOND_NS);
         for (int i = 0; i < 40; i++) {
             harness.sendReq("b" + i, "get", 2 * SECOND_NS);
         }
-        assertTrue(harness.sentTries.stream().filter(s -> s.pod().equals("pod0")).count() > 1);
+        assertTrue(harness.sentTries.stream().filter(s -> s.podId().equals("pod0")).count() > 1);
         int[] unrestoredCounts = serveReqs(freshHarness(2, pods(2)), 100, 20, 20);
-        PolicyHarness misinformed = freshHarness(2, pods(2));
+        PolicyHarness wronglyRestored = freshHarness(2, pods(2));
         restore(
-                misinformed,
+                wronglyRestored,
                 List.of(
                         new LearnedState.PodStats(
                                 PolicyHarness.podEntry(0, 1, 0),
                                 new LearnedState.WeightedMean(5, 1e6),
                                 new LearnedState.WeightedMean(1, 1e6),
                                 0)));
-        serveReqs(misinformed, 60, 20, 20);
-        int[] restoredCounts = serveReqs(misinformed, 100, 20, 20);
+        serveReqs(wronglyRestored, 60, 20, 20);
+        int[] restoredCounts = serveReqs(wronglyRestored, 100, 20, 20);
         assertTrue(
                 restoredCounts[0] > 0.6 * unrestoredCounts[0],
                 restoredCounts[0] + " against " + unrestoredCounts[0]);
@@ -278,7 +278,7 @@
                                     6)));
             harness.advance(400 * MILLISECOND_NS);
             serveReqs(harness, 1, 20, 20, 20, 20);
-            firstAtEjectedPod += harness.sentTries.get(0).pod().equals("pod0") ? 1 : 0;
+            firstAtEjectedPod += harness.sentTries.get(0).podId().equals("pod0") ? 1 : 0;
         }
         assertTrue(
                 firstAtEjectedPod < 20, firstAtEjectedPod + " of 200 began with the ejected pod");
--- a/core/src/test/java/mulleinlever/PolicyRulesModelTest.java
+++ b/core/src/test/java/mulleinlever/PolicyRulesModelTest.java
@@ -26,7 +26,7 @@
 class PolicyRulesModelTest {
     private record OpenTry(String reqId, int tryNumber, int build, long dueNs) {}
 
-    private record ExposedTry(long atNs, int build, String route) {}
+    private record ExposedTry(long sentNs, int build, String route) {}
 
     private record CapChange(long atNs, double cap) {}
 
@@ -37,7 +37,7 @@
     private final Map<String, List<PolicyHarness.SentTry>> triesByReq = new HashMap<>();
     private final Map<String, List<TryOutcome>> outcomesByReq = new HashMap<>();
     private final Map<String, String> finalAnswers = new HashMap<>();
-    private final Map<String, List<Long>> coldSendTimesNs = new HashMap<>();
+    private final Map<String, List<Long>> slowStartSendTimesNs = new HashMap<>();
     private final Map<String, List<Long>> warmSendTimesNs = new HashMap<>();
     private long maxWarmSendsPerSecond;
     private final Map<Long, Integer> buildByKey = new HashMap<>();
@@ -270,7 +270,7 @@
             goneSinceNs.putIfAbsent(entry.id(), harness.nowNs);
         }
         if (previous == null || previous.startedNs() != entry.startedNs()) {
-            coldSendTimesNs.put(entry.id(), new ArrayList<>());
+            slowStartSendTimesNs.put(entry.id(), new ArrayList<>());
         }
     }
 
@@ -319,38 +319,38 @@
     }
 
     private void checkSentTry(PolicyHarness.SentTry sentTry) {
-        PodEntry pod = entries.get(sentTry.pod());
+        PodEntry pod = entries.get(sentTry.podId());
         Req req = reqs.get(sentTry.reqId());
         assertFalse(finalAnswers.containsKey(sentTry.reqId()), "sent after the final answer");
         assertFalse(
-                sentTry.atNs()
-                        > goneSinceNs.getOrDefault(sentTry.pod(), Long.MAX_VALUE - SECOND_NS)
+                sentTry.sentNs()
+                        > goneSinceNs.getOrDefault(sentTry.podId(), Long.MAX_VALUE - SECOND_NS)
                                 + 500 * MILLISECOND_NS,
                 "sent to a pod past the drain grace");
         checkRetryRules(sentTry, pod);
         checkExposureRules(sentTry, pod, req);
-        if (sentTry.atNs() < pod.startedNs() + settings.contract().slowStartNs()) {
-            List<Long> coldTimesNs = coldSendTimesNs.get(sentTry.pod());
-            coldTimesNs.add(sentTry.atNs());
+        if (sentTry.sentNs() < pod.startedNs() + settings.contract().slowStartNs()) {
+            List<Long> slowStartTimesNs = slowStartSendTimesNs.get(sentTry.podId());
+            slowStartTimesNs.add(sentTry.sentNs());
             long lastSecondCount =
-                    coldTimesNs.stream().filter(t -> t > sentTry.atNs() - SECOND_NS).count();
+                    slowStartTimesNs.stream().filter(t -> t > sentTry.sentNs() - SECOND_NS).count();
             double capacityShare =
                     0.3
                             + 0.7
-                                    * (sentTry.atNs() - pod.startedNs())
+                                    * (sentTry.sentNs() - pod.startedNs())
                                     / settings.contract().slowStartNs();
             assertTrue(
                     lastSecondCount <= 2 + 2 * capacityShare * maxWarmSendsPerSecond,
                     "overloaded a pod in slow start");
         } else {
             List<Long> warmTimesNs =
-                    warmSendTimesNs.computeIfAbsent(sentTry.pod(), k -> new ArrayList<>());
-            warmTimesNs.add(sentTry.atNs());
+                    warmSendTimesNs.computeIfAbsent(sentTry.podId(), k -> new ArrayList<>());
+            warmTimesNs.add(sentTry.sentNs());
             maxWarmSendsPerSecond =
                     Math.max(
                             maxWarmSendsPerSecond,
                             warmTimesNs.stream()
-                                    .filter(t -> t > sentTry.atNs() - SECOND_NS)
+                                    .filter(t -> t > sentTry.sentNs() - SECOND_NS)
                                     .count());
         }
         triesByReq.computeIfAbsent(sentTry.reqId(), k -> new ArrayList<>()).add(sentTry);
@@ -359,7 +359,7 @@
                 .add(TryOutcome.TIMEOUT);
         long dueNs =
                 Math.min(
-                        sentTry.atNs() + sentTry.limitNs(),
+                        sentTry.sentNs() + sentTry.timeoutNs(),
                         arrivedNs.get(sentTry.reqId()) + req.expiresInNs());
         openTries.add(
                 new OpenTry(
@@ -384,7 +384,7 @@
                     retrySafetyOf(sentTry.reqId()) != RetrySafety.NOT_RETRYABLE,
                     "may have run twice");
             if (retrySafetyOf(sentTry.reqId()) == RetrySafety.DEDUPLICATED) {
-                PodEntry firstPod = entries.get(earlierTries.get(i).pod());
+                PodEntry firstPod = entries.get(earlierTries.get(i).podId());
                 DedupScope scope = settings.routes().get(1).dedupScope();
                 assertTrue(
                         scope == DedupScope.ALL
@@ -392,8 +392,8 @@
                                 || scope == DedupScope.CELL && firstPod.cell() == pod.cell(),
                         "retried outside the dedup scope");
                 assertTrue(
-                        sentTry.atNs()
-                                < earlierTries.get(i).atNs()
+                        sentTry.sentNs()
+                                < earlierTries.get(i).sentNs()
                                         + settings.routes().get(1).dedupWindowNs(),
                         "retried after the dedup window");
                 break;
@@ -410,31 +410,33 @@
                     pod.build() >= buildByKey.getOrDefault(req.key(), 0),
                     "a one-way key went to an older build");
         }
-        boolean announced = pod.build() == rolloutStatus.build();
+        boolean isReportedBuild = pod.build() == rolloutStatus.build();
         if (pod.build() < rolloutStatus.build()
-                || announced && rolloutStatus.phase() == RolloutStatus.Phase.RELEASED) {
+                || isReportedBuild && rolloutStatus.phase() == RolloutStatus.Phase.RELEASED) {
             return;
         }
         double cap =
-                announced ? rolloutStatus.cap() : settings.rollout().stageExposureCaps().get(0);
-        int stage = announced ? rolloutStatus.stage() : 0;
+                isReportedBuild
+                        ? rolloutStatus.cap()
+                        : settings.rollout().stageExposureCaps().get(0);
+        int stage = isReportedBuild ? rolloutStatus.stage() : 0;
         assertTrue(cap > 0, "sent at cap 0");
         assertTrue(
                 stage >= settings.rollout().shieldedStageCount() || req.route().equals("r"),
                 "sent to a shielded stage");
-        exposedTries.add(new ExposedTry(sentTry.atNs(), pod.build(), req.route()));
+        exposedTries.add(new ExposedTry(sentTry.sentNs(), pod.build(), req.route()));
         // Checks each window that ends with this try, begins after the last change of the cap and
         // is no longer than the exposure window.
-        long capSinceNs = announced ? capChanges.get(capChanges.size() - 1).atNs() : 0;
+        long capSinceNs = isReportedBuild ? capChanges.get(capChanges.size() - 1).atNs() : 0;
         for (ExposedTry first : exposedTries) {
-            long startNs = first.atNs();
-            if (startNs < Math.max(capSinceNs, sentTry.atNs() - 3 * SECOND_NS)
+            long startNs = first.sentNs();
+            if (startNs < Math.max(capSinceNs, sentTry.sentNs() - 3 * SECOND_NS)
                     || first.build() != pod.build()) {
                 continue;
             }
             long exposedCount =
                     exposedTries.stream()
-                            .filter(e -> e.atNs() >= startNs && e.build() == pod.build())
+                            .filter(e -> e.sentNs() >= startNs && e.build() == pod.build())
                             .filter(e -> countsTowards(e.route(), req.route()))
                             .count();
             long reqCount =
--- a/lab/src/main/java/mulleinlever/lab/RestartBenchmark.java
+++ b/lab/src/main/java/mulleinlever/lab/RestartBenchmark.java
@@ -61,7 +61,7 @@
     private static final double MEAN_FAULT_SECONDS = 300;
 
     /** The number of pods that restart together with the sidecars. */
-    private static final int COLD_POD_COUNT = 5;
+    private static final int RESTARTED_POD_COUNT = 5;
 
     @Option(names = "--seeds", description = "The number of runs for each row (${DEFAULT-VALUE}).")
     private int seeds = 20;
@@ -120,7 +120,7 @@
         /**
          * The maximum of the tries that a cold pod got within a second, divided by its capacity.
          */
-        private double maxColdPodLoad;
+        private double maxRestartedPodLoad;
 
         private double lostShare(int window) {
             return reqCounts[window] == 0 ? 0 : (double) lostCounts[window] / reqCounts[window];
@@ -222,7 +222,7 @@
                 String.format(
                         Locale.ROOT,
                         " %9.2f",
-                        counts.stream().mapToDouble(c -> c.maxColdPodLoad).max().orElse(0)));
+                        counts.stream().mapToDouble(c -> c.maxRestartedPodLoad).max().orElse(0)));
         return row.toString();
     }
 
@@ -288,7 +288,8 @@
         SplittableRandom random = new SplittableRandom(seed);
         int[] faultyPods = drawPods(random, pods, pods / 5);
         makeFaulty(fleet, faultyPods);
-        List<Integer> restarted = IntStream.range(0, allRestart ? sidecars : 1).boxed().toList();
+        List<Integer> restartedSidecars =
+                IntStream.range(0, allRestart ? sidecars : 1).boxed().toList();
         long snapshotNs = START_NS + WARM_UP_NS - random.nextLong(10 * SECOND_NS);
         Map<Integer, FaultInjectingDirectory> disks = new HashMap<>();
         if (scenario.hasSavedState) {
@@ -306,21 +307,21 @@
                     scenario.changesWhileDown ? 0 : scenario.changedShare,
                     new SplittableRandom(seed + 1));
             earlierFleet.scheduler().runUntil(snapshotNs);
-            for (int i : restarted) {
+            for (int i : restartedSidecars) {
                 disks.put(i, saveState(earlierFleet, i, scenario));
             }
         }
         fleet.scheduler().runUntil(START_NS + WARM_UP_NS);
         if (scenario.isRestarted) {
-            restarted.forEach(fleet::killSidecar);
+            restartedSidecars.forEach(fleet::killSidecar);
         }
         fleet.scheduler().runUntil(START_NS + WARM_UP_NS + DOWNTIME_NS / 2);
         replaceFaultyPods(
                 fleet, faultyPods, scenario.changesWhileDown ? scenario.changedShare : 0, random);
         fleet.scheduler().runUntil(restartNs);
-        List<EmulatedPod> coldPods = fleet.pods().subList(pods - COLD_POD_COUNT, pods);
-        coldPods.forEach(fleet::restartPod);
-        for (int i : restarted) {
+        List<EmulatedPod> restartedPods = fleet.pods().subList(pods - RESTARTED_POD_COUNT, pods);
+        restartedPods.forEach(fleet::restartPod);
+        for (int i : restartedSidecars) {
             if (scenario.isRestarted) {
                 EmulatedSidecar restartedSidecar = fleet.startSidecar(i);
                 if (scenario.hasSavedState) {
@@ -328,7 +329,7 @@
                 }
             }
         }
-        recordColdPodLoad(fleet, coldPods, losses, restartNs);
+        recordRestartedPodLoad(fleet, restartedPods, losses, restartNs);
         fleet.scheduler().runUntil(restartNs + WINDOWS_NS[WINDOWS_NS.length - 1] + 2 * SECOND_NS);
         return losses;
     }
@@ -337,18 +338,18 @@
      * Records the tries that a cold pod gets in its busiest second, divided by its capacity at that
      * time; a pod breaks down at 3.
      */
-    private static void recordColdPodLoad(
-            EmulatedFleet fleet, List<EmulatedPod> coldPods, LossCounts losses, long startNs) {
+    private static void recordRestartedPodLoad(
+            EmulatedFleet fleet, List<EmulatedPod> restartedPods, LossCounts losses, long startNs) {
         long stepNs = SECOND_NS / 10;
         Map<EmulatedPod, long[]> arrivedCounts = new HashMap<>();
-        coldPods.forEach(p -> arrivedCounts.put(p, new long[12]));
+        restartedPods.forEach(p -> arrivedCounts.put(p, new long[12]));
         for (int k = 0; k < 40; k++) {
             int step = k;
             fleet.scheduler()
                     .scheduleAt(
                             startNs + k * stepNs,
                             () ->
-                                    coldPods.forEach(
+                                    restartedPods.forEach(
                                             p -> {
                                                 long[] counts = arrivedCounts.get(p);
                                                 counts[step % 11] = p.arrivedTryCount();
@@ -362,9 +363,9 @@
                                                                     * 2
                                                                     * 1e9
                                                                     / 17_000_000;
-                                                    losses.maxColdPodLoad =
+                                                    losses.maxRestartedPodLoad =
                                                             Math.max(
-                                                                    losses.maxColdPodLoad,
+                                                                    losses.maxRestartedPodLoad,
                                                                     lastSecondCount / capacity);
                                                 }
                                             }));
@@ -373,7 +374,7 @@
 
     private static int[] drawPods(SplittableRandom random, int podCount, int drawCount) {
         List<Integer> candidates =
-                IntStream.range(0, podCount - COLD_POD_COUNT)
+                IntStream.range(0, podCount - RESTARTED_POD_COUNT)
                         .boxed()
                         .collect(Collectors.toCollection(ArrayList::new));
         int[] drawn = new int[drawCount];
@@ -407,7 +408,7 @@
             EmulatedFleet fleet, int[] faultyPods, double changedShare, SplittableRandom random) {
         List<EmulatedPod> pods = fleet.pods();
         List<Integer> healthyPods =
-                IntStream.range(0, pods.size() - COLD_POD_COUNT)
+                IntStream.range(0, pods.size() - RESTARTED_POD_COUNT)
                         .boxed()
                         .filter(i -> Arrays.stream(faultyPods).noneMatch(j -> j == i))
                         .collect(Collectors.toCollection(ArrayList::new));
--- a/lab/src/main/java/mulleinlever/lab/emu/EmulatedFleet.java
+++ b/lab/src/main/java/mulleinlever/lab/emu/EmulatedFleet.java
@@ -57,7 +57,7 @@
                 int sidecar,
                 Settings.RouteSettings route,
                 long arrivedNs,
-                long tookNs,
+                long durationNs,
                 EmulatedSidecar.ReqOutcome outcome);
     }
 
--- a/lab/src/main/java/mulleinlever/lab/emu/EmulatedPod.java
+++ b/lab/src/main/java/mulleinlever/lab/emu/EmulatedPod.java
@@ -125,11 +125,11 @@
             PodTry podTry = queue.poll();
             podTry.running = true;
             busyCoreCount++;
-            int startNo = startCount;
+            int startNumber = startCount;
             scheduler.scheduleAfter(
                     (long) (podTry.workNs / speed / slowStartFactor()),
                     () -> {
-                        if (startNo == startCount) {
+                        if (startNumber == startCount) {
                             onWorkDone(podTry);
                         }
                     });
--- a/lab/src/main/java/mulleinlever/lab/emu/EmulatedSidecar.java
+++ b/lab/src/main/java/mulleinlever/lab/emu/EmulatedSidecar.java
@@ -42,7 +42,7 @@
 
     /** A try on its way to a pod or at it. */
     private static final class SentTry {
-        private final int tryNo;
+        private final int tryNumber;
         private final EmulatedPod pod;
         private final long sentNs;
 
@@ -51,8 +51,8 @@
 
         private boolean ended;
 
-        SentTry(int tryNo, EmulatedPod pod, long sentNs) {
-            this.tryNo = tryNo;
+        SentTry(int tryNumber, EmulatedPod pod, long sentNs) {
+            this.tryNumber = tryNumber;
             this.pod = pod;
             this.sentNs = sentNs;
         }
@@ -71,7 +71,7 @@
     private final Policy policy;
     private final Map<String, PendingReq> pendingReqs = new HashMap<>();
     private boolean killed;
-    private long nextReqNo;
+    private long nextReqNumber;
 
     EmulatedSidecar(EmulatedFleet fleet, Settings settings, long seed) {
         this.fleet = fleet;
@@ -107,7 +107,7 @@
         killed = true;
         for (PendingReq req : pendingReqs.values()) {
             for (SentTry sentTry : req.tries) {
-                cutOffTry(sentTry);
+                abandonTry(sentTry);
             }
         }
         pendingReqs.clear();
@@ -121,7 +121,7 @@
      */
     void submit(
             Settings.RouteSettings route, long workNs, long key, Consumer<ReqOutcome> onAnswer) {
-        String id = Long.toString(nextReqNo++);
+        String id = Long.toString(nextReqNumber++);
         pendingReqs.put(id, new PendingReq(route, workNs, scheduler.nowNs(), onAnswer));
         policy.onReq(
                 scheduler.nowNs(),
@@ -159,7 +159,7 @@
             return;
         }
         if (outcome == TryOutcome.TIMEOUT) {
-            cutOffTry(sentTry);
+            abandonTry(sentTry);
         }
         sentTry.ended = true;
         if (outcome == TryOutcome.OK) {
@@ -168,14 +168,14 @@
         policy.onTryEnded(
                 scheduler.nowNs(),
                 reqId,
-                sentTry.tryNo,
+                sentTry.tryNumber,
                 outcome,
                 scheduler.nowNs() - sentTry.sentNs,
                 req.answered);
         removeIfEnded(reqId, req);
     }
 
-    private void cutOffTry(SentTry sentTry) {
+    private void abandonTry(SentTry sentTry) {
         sentTry.ended = true;
         if (sentTry.podTry != null) {
             sentTry.pod.cancel(sentTry.podTry);
@@ -213,14 +213,14 @@
     }
 
     @Override
-    public void cancelTry(String reqId, int tryNo) {
+    public void cancelTry(String reqId, int tryNumber) {
         PendingReq req = pendingReqs.get(reqId);
-        SentTry sentTry = req.tries.get(tryNo);
+        SentTry sentTry = req.tries.get(tryNumber);
         if (sentTry.ended) {
             return;
         }
         // The policy learns the outcome after this call has returned, as it does with sockets.
-        cutOffTry(sentTry);
+        abandonTry(sentTry);
         scheduler.scheduleAfter(
                 0,
                 () -> {
@@ -228,7 +228,7 @@
                         policy.onTryEnded(
                                 scheduler.nowNs(),
                                 reqId,
-                                sentTry.tryNo,
+                                sentTry.tryNumber,
                                 TryOutcome.CANCELLED,
                                 scheduler.nowNs() - sentTry.sentNs,
                                 req.answered);
@@ -238,7 +238,7 @@
     }
 
     @Override
-    public void castVote(int build, int stage, RolloutVote verdict) {}
+    public void castVote(int build, int stage, RolloutVote vote) {}
 
     @Override
     public void watchPodList() {}
@@ -255,5 +255,5 @@
     }
 
     @Override
-    public void log(String line) {}
+    public void log(String message) {}
 }
--- a/lab/src/main/java/mulleinlever/lab/emu/VirtualTimeScheduler.java
+++ b/lab/src/main/java/mulleinlever/lab/emu/VirtualTimeScheduler.java
@@ -10,12 +10,12 @@
     /** An action with its due time. */
     private static final class ScheduledTask implements Comparable<ScheduledTask> {
         private final long atNs;
-        private final long sequenceNo;
+        private final long sequenceNumber;
         private final Runnable action;
 
-        ScheduledTask(long atNs, long sequenceNo, Runnable action) {
+        ScheduledTask(long atNs, long sequenceNumber, Runnable action) {
             this.atNs = atNs;
-            this.sequenceNo = sequenceNo;
+            this.sequenceNumber = sequenceNumber;
             this.action = action;
         }
 
@@ -23,13 +23,13 @@
         public int compareTo(ScheduledTask other) {
             return atNs != other.atNs
                     ? Long.compare(atNs, other.atNs)
-                    : Long.compare(sequenceNo, other.sequenceNo);
+                    : Long.compare(sequenceNumber, other.sequenceNumber);
         }
     }
 
     private final PriorityQueue<ScheduledTask> tasks = new PriorityQueue<>(1024);
     private long nowNs;
-    private long nextSequenceNo;
+    private long nextSequenceNumber;
 
     public VirtualTimeScheduler(long startNs) {
         this.nowNs = startNs;
@@ -42,7 +42,7 @@
 
     /** Schedules an action; if {@code atNs} is in the past, it is due now. */
     public void scheduleAt(long atNs, Runnable action) {
-        tasks.add(new ScheduledTask(Math.max(atNs, nowNs), nextSequenceNo++, action));
+        tasks.add(new ScheduledTask(Math.max(atNs, nowNs), nextSequenceNumber++, action));
     }
 
     public void scheduleAfter(long delayNs, Runnable action) {
--- a/sidecar/src/main/java/mulleinlever/sidecar/DiscoveryClient.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/DiscoveryClient.java
@@ -156,7 +156,7 @@
     void updateAddress(InetSocketAddress newAddress) {
         if (!newAddress.equals(address)) {
             address = newAddress;
-            policy.onDiscoveryChanged();
+            policy.onDiscoverySwitched();
             openWatch();
         }
     }
--- a/sidecar/src/main/java/mulleinlever/sidecar/SidecarMetrics.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/SidecarMetrics.java
@@ -152,7 +152,7 @@
                                             stats.readyPodCount(),
                                             stats.leasedPodCount(),
                                             stats.healthyPodCount(),
-                                            stats.coldPodCount(),
+                                            stats.slowStartPodCount(),
                                             stats.unreachablePodCount(),
                                             listAgeNs / 1e9))
                             .toString());
