--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,4 @@
-# What to build, test, check and run; `make` alone builds.
+# Builds, tests, checks and runs the program; `make` without a target builds it.
 BUILD := $(shell sed -n 's/^build = "\(.*\)"$$/\1/p' deploy/balancer.toml)
 RUN := $(shell sed -n 's/^run = "exec \(.*\)"$$/\1/p' deploy/balancer.toml)
 
@@ -10,24 +10,26 @@
 test:
 	mvn -B -ntp test
 
-# The compiler's own warnings, as faults.
+# Compiles with all warnings as errors.
 lint:
 	mvn -q -B -ntp clean test-compile -Dmaven.compiler.failOnWarning=true -Dmaven.compiler.showWarnings=true
 
-# One sidecar, with the configuration that LB_CONFIG names.
+# Runs one sidecar with the configuration file that LB_CONFIG names.
 run: build
 	$(RUN)
 
-# A measurement in virtual time: make lab RUN_LAB="restarts --seeds 5".
+# Runs a benchmark in virtual time: make lab RUN_LAB="restarts --seeds 5".
 RUN_LAB := restarts
 lab: build
 	java -cp "lab/target/classes:cli/target/lib/*" mulleinlever.lab.Lab $(RUN_LAB)
 
-# The logs of a fleet added up by second, or one req's story: make fleetlog LOGS=folder [ID=0123456789abcdef].
+# Sums the logs of a fleet by second, or lists all log lines of one req:
+# make fleetlog LOGS=folder [ID=0123456789abcdef].
 fleetlog: build
 	@java -cp "lab/target/classes:cli/target/lib/*" mulleinlever.lab.Lab fleetlog $(LOGS) $(ID)
 
-# Anew after a change of libraries: the classes that start-up loads, which the build puts into a shared archive.
+# Lists the classes that start-up loads, which the build puts into a class data sharing archive.
+# Needed after a change of libraries.
 classes:
 	mvn -q -B -ntp -DskipTests package
 	mvn -q -B -ntp test -pl sidecar -am -DfailIfNoTests=false -Dsurefire.failIfNoSpecifiedTests=false \
--- a/core/src/main/java/mulleinlever/LearnedState.java
+++ b/core/src/main/java/mulleinlever/LearnedState.java
@@ -7,7 +7,7 @@
  */
 public sealed interface LearnedState {
     /**
-     * A mean.
+     * A mean with its weight.
      *
      * @param weight the decayed number of outcomes that it stands for
      */
@@ -18,7 +18,7 @@
      *
      * @param is its entry on the list; another start or build under the same id is another pod
      * @param slowness its try times as a multiple of the mean of their route
-     * @param late the share of its tries that were late, counted as evidence on builds is
+     * @param late the share that was late of its tries that count as evidence on its build
      * @param strikes its failure score; 0 without recent failures
      */
     record PodStats(PodEntry is, WeightedMean slowness, WeightedMean late, int strikes)
@@ -39,7 +39,7 @@
     record ConnectionStats(WeightedMean refused, WeightedMean unanswered) implements LearnedState {}
 
     /**
-     * The long-term average of a detector.
+     * The long-term mean of a detector, with its deviation.
      *
      * @param build the newest build at the time of the export
      * @param route the name of the route; empty for all routes together
--- a/core/src/main/java/mulleinlever/OpenTryLatenessDetector.java
+++ b/core/src/main/java/mulleinlever/OpenTryLatenessDetector.java
@@ -34,11 +34,14 @@
     }
 
     /**
-     * Raises or prolongs the suspicion according to the open tries of all reqs in hand. There is no
-     * suspicion if the earlier build's open tries are as late, because its pods would not answer
-     * sooner. Called at each tick.
+     * Raises or prolongs the suspicion according to the open tries. There is no suspicion if the
+     * earlier build's open tries are as late, because its pods would not answer sooner. Called at
+     * each tick.
+     *
+     * @param reqs all reqs that have not been answered or have open tries
      */
     void evaluate(long nowNs, Collection<ReqState> reqs, RolloutStatus status) {
+        // Element 0 counts the tries at earlier builds, element 1 those at builds on trial.
         int[] openCounts = new int[2];
         int[] lateCounts = new int[2];
         for (ReqState req : reqs) {
--- a/core/src/main/java/mulleinlever/Pod.java
+++ b/core/src/main/java/mulleinlever/Pod.java
@@ -41,6 +41,7 @@
     /** The mean of try time divided by the mean try time of the route. */
     final DecayingMean relativeLatency;
 
+    /** The share that was late of the tries that count as evidence on the build of the pod. */
     final DecayingMean lateShare;
 
     /** The number of tries that may be sent at this moment during slow start. */
@@ -143,7 +144,7 @@
      * Takes over a new list entry. The same id may come back as another machine: the failure score,
      * the slow-start tokens and the latest served try then start afresh.
      *
-     * @param reachability of the zone in the entry
+     * @param reachability the reachability of the zone in the entry
      * @param listConfirmedNs when the list was last known to be correct without this entry
      */
     void update(
--- a/core/src/main/java/mulleinlever/PodSet.java
+++ b/core/src/main/java/mulleinlever/PodSet.java
@@ -7,7 +7,7 @@
 /**
  * A set of pods that reqs may be sent to.
  *
- * @param localZone the pods in the sidecar's own zone
+ * @param localZone the pods of this set in the sidecar's own zone
  * @param totalWeight the sum of the weights of all pods
  */
 record PodSet(List<Pod> all, List<Pod> localZone, double totalWeight) {
--- a/core/src/main/java/mulleinlever/PodStartEstimator.java
+++ b/core/src/main/java/mulleinlever/PodStartEstimator.java
@@ -1,9 +1,9 @@
 package mulleinlever;
 
 /**
- * Estimates when a pod started. The list gives the start by a wall clock that may have been
- * stepped, on this machine or on the pod's; slow start must not be skipped for that, nor last for
- * as long as the step. Used by {@link Policy} on the event loop. Times are nanoseconds.
+ * Estimates when a pod started. The list states the start by a wall clock that may have been
+ * stepped, on this machine or on the pod's. A step must neither end the slow start of a pod early
+ * nor prolong it by its length. Used by {@link Policy} on the event loop. Times are nanoseconds.
  */
 final class PodStartEstimator {
     /** The maximum time that a pod runs before it is listed. */
--- a/core/src/main/java/mulleinlever/Policy.java
+++ b/core/src/main/java/mulleinlever/Policy.java
@@ -476,13 +476,13 @@
      * Handles the loss of the confirmation of the list. Until the list is confirmed again, its pods
      * may be used for a limited time.
      *
-     * @param sinceNs the time since which nobody has confirmed the list
+     * @param sinceNs the time since which discovery has not confirmed the list
      */
     public void onPodListUnconfirmed(long sinceNs) {
         lease.onUnconfirmedSince(sinceNs);
     }
 
-    /** Handles a list that nobody has confirmed and that may be of any age. */
+    /** Handles a list that discovery has not confirmed and that may be of any age. */
     public void onPodListNeverConfirmed() {
         lease.onNeverConfirmed();
     }
@@ -518,6 +518,7 @@
         leasedPods = readyPods.filter(p -> lease.allows(nowNs, p));
         trialPods = leasedPods.filter(p -> rolloutStatus.isBuildOnTrial(p.listEntry.build()));
         earlierPods = leasedPods.filter(p -> !rolloutStatus.isBuildOnTrial(p.listEntry.build()));
+        // Creates the token buckets of builds that are new on the list; they fill from now on.
         trialPods.all().forEach(p -> exposureBudget.tokensOf(p.listEntry.build()));
         earlierPodCount =
                 trialPods.all().isEmpty() ? 0 : Math.max(earlierPodCount, earlierPods.all().size());
@@ -840,9 +841,9 @@
      * Returns the share of reqs that is sent to builds on trial. As far as the exposure rules
      * allow, the pods on trial take the load that they will have after the release: this tests the
      * build under that load, and more reqs benefit from a good build early. A build under suspicion
-     * gets what a verdict needs. The share follows the number of warm and healthy pods on trial,
-     * because the rest of them would otherwise take the load of all and look slow. Where keys are
-     * one-way, the share of keys is limited instead.
+     * gets the share that a verdict needs. The share follows the number of warm and healthy pods on
+     * trial, because the rest of them would otherwise take the load of all and look slow. Where
+     * keys are one-way, the share of keys is limited instead.
      */
     private double trialShare(long nowNs) {
         return rollout.keysAreOneWay() && !trialPods.all().isEmpty()
@@ -1185,9 +1186,9 @@
      * and is not the fault of the trial.
      *
      * <p>For lateness over all routes, the sample is also raised by lateness of the earlier build
-     * and of the median pod: if more pods are late than a minor part that hangs, is slow or pauses
-     * explains, the trial slows down all pods. This does not hold while so many pods are
-     * unreachable that the rest are late for that reason.
+     * and of the median pod: if more pods are late than a minority of pods that hang, are slow or
+     * pause by faults of their own, the trial slows down all pods. This does not hold while so many
+     * pods are unreachable that the rest are late for that reason.
      */
     private double detectorSample(
             long nowNs, int slot, boolean isLateness, DegradationDetector detector) {
--- a/core/src/main/java/mulleinlever/ReqState.java
+++ b/core/src/main/java/mulleinlever/ReqState.java
@@ -5,8 +5,7 @@
 import java.util.List;
 
 /**
- * A req in hand. It is kept until it has been answered and all its tries have ended. Changed by
- * {@link Policy} on the event loop.
+ * A req that has not been answered or has open tries. Changed by {@link Policy} on the event loop.
  */
 final class ReqState {
     final Req req;
--- a/core/src/main/java/mulleinlever/Settings.java
+++ b/core/src/main/java/mulleinlever/Settings.java
@@ -11,7 +11,7 @@
  * @param requiresListWatch whether the pod list comes only after a request to watch it
  * @param clockStepNs the resolution of the clock
  * @param overShareValue not used by the policy
- * @param prices what traffic and failures cost
+ * @param prices the prices of traffic and failures
  * @param hasPodWeights not used by the policy
  */
 public record Settings(
@@ -173,8 +173,8 @@
      * @param slowStartNs the time from its start until a pod has its full capacity
      * @param overloadMultiple not used by the policy
      * @param overloadWindowNs the period over which the reqs to a pod in slow start are limited
-     * @param listRefreshWithinNs how long a sidecar may go without asking discovery before changes
-     *     of the list count as known to it
+     * @param listRefreshWithinNs the maximum time between two refreshes of the list by a sidecar;
+     *     changes count as announced after it at the latest
      */
     public record Contract(
             long answerSlackNs,
@@ -212,7 +212,7 @@
             long connectionIdleTimeoutNs) {}
 
     /**
-     * The prices of what a sidecar causes.
+     * The prices of traffic and failures.
      *
      * @param crossZone the price of traffic to another zone
      * @param waste not used by the policy
--- a/core/src/test/java/mulleinlever/ConcurrencyLimiterTest.java
+++ b/core/src/test/java/mulleinlever/ConcurrencyLimiterTest.java
@@ -53,15 +53,16 @@
     }
 
     /**
-     * Guards against a limit that falls on a few slow answers (thin and busy traffic), and against
-     * one that ignores the demand at the sidecar (busy and overloaded): an even share is two tries.
+     * Guards against a limit that falls on a few slow answers (light and heavy traffic), and
+     * against one that ignores the demand at the sidecar (heavy traffic and overload): an even
+     * share is two tries.
      */
     @Test
     void admitsLightAndHeavyTrafficAndLimitsUnderOverload() {
         for (long seed = 0; seed < 5; seed++) {
-            assertEquals(0, simulateRejectedShare(3, 1, seed), 0.04, "thin");
-            assertEquals(0, simulateRejectedShare(20, 1, seed), 0.08, "busy");
-            assertTrue(simulateRejectedShare(20, 2, seed) < 0.7, "busy and overloaded");
+            assertEquals(0, simulateRejectedShare(3, 1, seed), 0.04, "light traffic");
+            assertEquals(0, simulateRejectedShare(20, 1, seed), 0.08, "heavy traffic");
+            assertTrue(simulateRejectedShare(20, 2, seed) < 0.7, "heavy traffic and overload");
         }
         assertTrue(
                 simulateRejectedShare(20, 5, 1) > 0.5,
--- a/core/src/test/java/mulleinlever/OpenTryLatenessDetectorTest.java
+++ b/core/src/test/java/mulleinlever/OpenTryLatenessDetectorTest.java
@@ -60,7 +60,8 @@
                             && tryCounts[2][1] > 2 * tryCounts[2][0]
                             && tryCounts[1][1] <= 2 * tryCounts[1][0];
             suspectedUntilNs = suspected ? nowNs + SECOND_NS : suspectedUntilNs;
-            assertEquals(nowNs < suspectedUntilNs, detector.isSuspected(nowNs), "at " + nowNs);
+            assertEquals(
+                    nowNs < suspectedUntilNs, detector.isSuspected(nowNs), "at " + nowNs + " ns");
         }
         assertTrue(suspectedUntilNs > 0, "no suspicion was ever raised");
     }
--- a/core/src/test/java/mulleinlever/PolicyRegressionTest.java
+++ b/core/src/test/java/mulleinlever/PolicyRegressionTest.java
@@ -14,8 +14,9 @@
 
 /** Guards against failures that were found, with one small test for each. */
 class PolicyRegressionTest {
-    /** Returns how long a pod takes to answer a req, or 0 if it answers with an error. */
+    /** The times that pods take to answer reqs. */
     private interface AnswerTimes {
+        /** Returns how long a pod takes to answer a req, or 0 if it answers with an error. */
         long answerTimeMs(PodEntry pod, int reqIndex);
     }
 
--- a/core/src/test/java/mulleinlever/PolicyRestoreTest.java
+++ b/core/src/test/java/mulleinlever/PolicyRestoreTest.java
@@ -36,7 +36,8 @@
     /**
      * Serves reqs one after the other and returns the number of tries by pod.
      *
-     * @param durationsMs how long a pod takes by its number; 0 for a pod that answers with errors
+     * @param durationsMs how long each pod takes, by its number; 0 for a pod that answers with
+     *     errors
      */
     private static int[] serveReqs(PolicyHarness harness, int reqCount, long... durationsMs) {
         int[] tryCounts = new int[durationsMs.length];
--- a/core/src/test/java/mulleinlever/PolicyRulesModelTest.java
+++ b/core/src/test/java/mulleinlever/PolicyRulesModelTest.java
@@ -98,10 +98,7 @@
                         id -> assertTrue(finalAnswers.containsKey(id), "no final answer to " + id));
     }
 
-    /**
-     * Returns random state to restore: the rules hold as for a cold start, whether or not the state
-     * is true.
-     */
+    /** Returns random state to restore. The rules must hold whether or not the state is true. */
     private List<LearnedState> randomLearnedState(SplittableRandom random) {
         List<LearnedState> learned = new ArrayList<>();
         for (int i = 0; i < 40; i++) {
--- a/lab/src/main/java/mulleinlever/lab/RestartBenchmark.java
+++ b/lab/src/main/java/mulleinlever/lab/RestartBenchmark.java
@@ -118,7 +118,8 @@
         private final long[] lostCounts = new long[WINDOWS_NS.length];
 
         /**
-         * The maximum of the tries that a cold pod got within a second, divided by its capacity.
+         * The maximum number of tries that a restarted pod got within a second, divided by its
+         * capacity at that time.
          */
         private double maxRestartedPodLoad;
 
@@ -134,7 +135,7 @@
     private static List<RestartScenario> scenarios() {
         List<RestartScenario> all = new ArrayList<>();
         all.add(new RestartScenario("not restarted", false, false, false, 0, 0, false));
-        all.add(new RestartScenario("cold", true, false, false, 0, 0, false));
+        all.add(new RestartScenario("no saved state", true, false, false, 0, 0, false));
         all.add(RestartScenario.withSavedState("saved state", false, 0, 0));
         all.add(RestartScenario.withSavedState("saved state, other pods faulty", false, 0, 1));
         all.add(RestartScenario.withSavedState("stale by 5 s", false, 5, changedShareAfter(5)));
@@ -147,7 +148,7 @@
         all.add(
                 new RestartScenario(
                         "all faulty pods change meanwhile", false, false, false, 0, 1, true));
-        all.add(new RestartScenario("  the same, cold", true, false, false, 0, 1, true));
+        all.add(new RestartScenario("  the same, no saved state", true, false, false, 0, 1, true));
         all.add(new RestartScenario("  the same, saved state", true, true, false, 0, 1, true));
         return all;
     }
@@ -174,7 +175,7 @@
                         "first 1 s",
                         "first 5 s",
                         "first 15 s",
-                        "cold load");
+                        "pod load");
                 List<RestartScenario> scenarios = scenarios();
                 List<List<Future<LossCounts>>> rows = new ArrayList<>();
                 for (RestartScenario scenario : scenarios) {
@@ -271,13 +272,13 @@
                         spec,
                         seed,
                         START_NS,
-                        (sidecar, route, arrivedNs, tookNs, outcome) -> {
+                        (sidecar, route, arrivedNs, durationNs, outcome) -> {
                             if (arrivedNs < restartNs || !allRestart && sidecar != 0) {
                                 return;
                             }
                             boolean lost =
                                     outcome != EmulatedSidecar.ReqOutcome.COMPLETED
-                                            || tookNs > route.latencyObjectiveNs();
+                                            || durationNs > route.latencyObjectiveNs();
                             for (int w = 0; w < WINDOWS_NS.length; w++) {
                                 if (arrivedNs < restartNs + WINDOWS_NS[w]) {
                                     losses.reqCounts[w]++;
@@ -299,7 +300,7 @@
                             spec,
                             seed,
                             START_NS,
-                            (sidecar, route, arrivedNs, tookNs, outcome) -> {});
+                            (sidecar, route, arrivedNs, durationNs, outcome) -> {});
             makeFaulty(earlierFleet, faultyPods);
             replaceFaultyPods(
                     earlierFleet,
@@ -335,8 +336,8 @@
     }
 
     /**
-     * Records the tries that a cold pod gets in its busiest second, divided by its capacity at that
-     * time; a pod breaks down at 3.
+     * Records the tries that a restarted pod gets in its busiest second, divided by its capacity at
+     * that time; a pod breaks down at 3.
      */
     private static void recordRestartedPodLoad(
             EmulatedFleet fleet, List<EmulatedPod> restartedPods, LossCounts losses, long startNs) {
--- a/lab/src/main/java/mulleinlever/lab/emu/EmulatedFleet.java
+++ b/lab/src/main/java/mulleinlever/lab/emu/EmulatedFleet.java
@@ -45,12 +45,14 @@
         }
     }
 
-    /** Is notified of the end of each req. */
+    /** A listener that is notified of the end of each req. */
     public interface ReqListener {
         /**
          * Called when a req was answered, or when its client stops waiting.
          *
          * @param arrivedNs when the client sent the req
+         * @param durationNs the time from then until the answer, or until the client stopped
+         *     waiting
          * @param outcome the answer, or null if there was none
          */
         void onReqEnded(
@@ -156,7 +158,10 @@
         return sidecar;
     }
 
-    /** Restarts a pod, which is then cold, and updates the list of all sidecars at once. */
+    /**
+     * Restarts a pod, which begins its slow start, and updates the list of all sidecars at the same
+     * time.
+     */
     public void restartPod(EmulatedPod pod) {
         PodEntry oldEntry = pod.entry();
         pod.restart(
--- a/lab/src/main/java/mulleinlever/lab/emu/EmulatedSidecar.java
+++ b/lab/src/main/java/mulleinlever/lab/emu/EmulatedSidecar.java
@@ -19,7 +19,7 @@
  * messages and loses none.
  */
 public final class EmulatedSidecar implements PolicyActions {
-    /** A req in hand. */
+    /** A req that has not been answered or has open tries. */
     private static final class PendingReq {
         private final Settings.RouteSettings route;
         private final long workNs;
@@ -40,7 +40,7 @@
         }
     }
 
-    /** A try on its way to a pod or at it. */
+    /** A try that was sent to a pod, which it reaches after the network's delay. */
     private static final class SentTry {
         private final int tryNumber;
         private final EmulatedPod pod;
@@ -102,7 +102,7 @@
         }
     }
 
-    /** Ends the process: reqs in hand get no answer, and their tries are cut off. */
+    /** Ends the process: pending reqs get no answer, and their tries are cancelled at the pods. */
     void kill() {
         killed = true;
         for (PendingReq req : pendingReqs.values()) {
@@ -175,6 +175,7 @@
         removeIfEnded(reqId, req);
     }
 
+    /** Marks a try as ended, and cancels it at its pod if it has arrived there. */
     private void abandonTry(SentTry sentTry) {
         sentTry.ended = true;
         if (sentTry.podTry != null) {
--- a/lab/src/main/java/mulleinlever/lab/emu/EmulationSettings.java
+++ b/lab/src/main/java/mulleinlever/lab/emu/EmulationSettings.java
@@ -11,8 +11,8 @@
     static final long SLOW_START_NS = 4 * SECOND_NS;
 
     /**
-     * A cold pod breaks down if it gets more than this multiple of its current capacity for a
-     * second.
+     * A pod in slow start breaks down if it gets more than this multiple of its current capacity
+     * for a second.
      */
     private static final double OVERLOAD_MULTIPLE = 3;
 
--- a/lab/src/test/java/mulleinlever/lab/emu/EmulatedFleetTest.java
+++ b/lab/src/test/java/mulleinlever/lab/emu/EmulatedFleetTest.java
@@ -35,9 +35,15 @@
                                 200),
                         seed,
                         1000 * SECOND_NS,
-                        (sidecar, r, arrivedNs, tookNs, outcome) ->
+                        (sidecar, r, arrivedNs, durationNs, outcome) ->
                                 outcomes.add(
-                                        sidecar + " " + arrivedNs + " " + tookNs + " " + outcome));
+                                        sidecar
+                                                + " "
+                                                + arrivedNs
+                                                + " "
+                                                + durationNs
+                                                + " "
+                                                + outcome));
         fleet.pods().get(0).setHung(true);
         fleet.scheduler().runUntil(1002 * SECOND_NS);
         fleet.killSidecar(1);
