--- a/core/src/main/java/mulleinlever/Policy.java
+++ b/core/src/main/java/mulleinlever/Policy.java
@@ -297,7 +297,10 @@
     private final SplittableRandom random;
     private final Map<String, RouteState> routes = new LinkedHashMap<>();
 
-    /** The names of the routes by index, and last an empty name for all routes together. */
+    /**
+     * The name of the route of each slot of {@link BuildOutcomes}; the last is empty, for all
+     * routes together.
+     */
     private final List<String> routeNames = new ArrayList<>();
 
     private final Map<String, Pod> pods = new LinkedHashMap<>();
@@ -382,7 +385,10 @@
     /** The outcomes of the newest build, also after its release. */
     private BuildOutcomes trialOutcomes;
 
-    /** Two detectors for each route and last for all routes together: failures, then lateness. */
+    /**
+     * Two detectors for each slot of {@link BuildOutcomes}, in its order: that of failures and
+     * wrong answers, then that of lateness.
+     */
     private final DegradationDetector[] detectors;
 
     /** The most severe state of all detectors. */
@@ -436,7 +442,7 @@
 
     // ---- Pod list and discovery
 
-    /** Handles a whole pod list. Pods that are not on it are gone. */
+    /** Handles a complete pod list. Pods that are not on it are gone. */
     public void onPodListReplaced(long nowNs, List<PodEntry> entries) {
         Map<String, Pod> missing = new HashMap<>(pods);
         entries.forEach(e -> missing.remove(e.id()));
@@ -717,7 +723,7 @@
      *
      * @param tryNumber the number of the try within its req, from 0
      * @param durationNs how long the try took
-     * @param complete whether the client has received a whole answer
+     * @param complete whether the client has received a complete answer
      */
     public void onTryEnded(
             long nowNs,
@@ -1038,8 +1044,8 @@
         double elapsedShare =
                 Math.max(0, nowNs - pod.startedNs) / (double) settings.contract().slowStartNs();
         double capacityShare =
-                settings.contract().coldCapacityShare()
-                        + (1 - settings.contract().coldCapacityShare()) * elapsedShare;
+                settings.contract().initialCapacityShare()
+                        + (1 - settings.contract().initialCapacityShare()) * elapsedShare;
         // The reqs per second that all pods complete for this sidecar or, before the first
         // completion, the reqs that arrive.
         double totalPerSecond =
@@ -1186,7 +1192,7 @@
      * and is not the fault of the trial.
      *
      * <p>For lateness over all routes, the sample is also raised by lateness of the earlier build
-     * and of the median pod: if more pods are late than a minority of pods that hang, are slow or
+     * and of the median pod: if more pods are late than the minority that may hang, be slow or
      * pause by faults of their own, the trial slows down all pods. This does not hold while so many
      * pods are unreachable that the rest are late for that reason.
      */
--- a/core/src/main/java/mulleinlever/Settings.java
+++ b/core/src/main/java/mulleinlever/Settings.java
@@ -169,7 +169,7 @@
      * @param answerSlackNs not used by the policy
      * @param drainGraceNs the time within which a sidecar has to stop sending to a pod that is
      *     draining or gone
-     * @param coldCapacityShare the share of its capacity that a pod has right after its start
+     * @param initialCapacityShare the share of its capacity that a pod has right after its start
      * @param slowStartNs the time from its start until a pod has its full capacity
      * @param overloadMultiple not used by the policy
      * @param overloadWindowNs the period over which the reqs to a pod in slow start are limited
@@ -179,7 +179,7 @@
     public record Contract(
             long answerSlackNs,
             long drainGraceNs,
-            double coldCapacityShare,
+            double initialCapacityShare,
             long slowStartNs,
             double overloadMultiple,
             long overloadWindowNs,
--- a/core/src/main/java/mulleinlever/TryOutcome.java
+++ b/core/src/main/java/mulleinlever/TryOutcome.java
@@ -14,7 +14,7 @@
     /** No answer came in time. */
     TIMEOUT,
 
-    /** The req was not written whole to the pod. */
+    /** The req was not written completely to the pod, so it did not run there. */
     CONNECT_FAILED,
 
     /** The connection broke before the answer was complete. */
--- a/core/src/test/java/mulleinlever/OpenTryLatenessDetectorTest.java
+++ b/core/src/test/java/mulleinlever/OpenTryLatenessDetectorTest.java
@@ -61,7 +61,9 @@
                             && tryCounts[1][1] <= 2 * tryCounts[1][0];
             suspectedUntilNs = suspected ? nowNs + SECOND_NS : suspectedUntilNs;
             assertEquals(
-                    nowNs < suspectedUntilNs, detector.isSuspected(nowNs), "at " + nowNs + " ns");
+                    nowNs < suspectedUntilNs,
+                    detector.isSuspected(nowNs),
+                    "at nanosecond " + nowNs);
         }
         assertTrue(suspectedUntilNs > 0, "no suspicion was ever raised");
     }
--- a/core/src/test/java/mulleinlever/PolicyHarness.java
+++ b/core/src/test/java/mulleinlever/PolicyHarness.java
@@ -122,7 +122,7 @@
     }
 
     /**
-     * Returns a sidecar of a fleet whose platform needs the given numbers of votes. The pods lie in
+     * Returns a sidecar of a fleet whose platform needs the given numbers of votes. The pods are in
      * two zones, neither of them the zone of the sidecar.
      */
     static PolicyHarness inFleet(
@@ -216,7 +216,7 @@
     }
 
     /**
-     * Returns the entry of a ready pod: pods with even numbers lie in zone a and cell 0, the others
+     * Returns the entry of a ready pod: pods with even numbers are in zone a and cell 0, the others
      * in zone b and cell 1.
      */
     static PodEntry podEntry(int number, int build, long startedNs) {
--- a/lab/src/main/java/mulleinlever/lab/emu/EmulatedPod.java
+++ b/lab/src/main/java/mulleinlever/lab/emu/EmulatedPod.java
@@ -66,8 +66,8 @@
                 (scheduler.nowNs() - entry.startedNs()) / (double) EmulationSettings.SLOW_START_NS;
         return entry.startedNs() == 0 || ageShare >= 1
                 ? 1
-                : EmulationSettings.COLD_CAPACITY_SHARE
-                        + (1 - EmulationSettings.COLD_CAPACITY_SHARE) * Math.max(0, ageShare);
+                : EmulationSettings.INITIAL_CAPACITY_SHARE
+                        + (1 - EmulationSettings.INITIAL_CAPACITY_SHARE) * Math.max(0, ageShare);
     }
 
     /** Sets the speed as a multiple of the usual one; at 0.2 tries take five times as long. */
--- a/lab/src/main/java/mulleinlever/lab/emu/EmulationSettings.java
+++ b/lab/src/main/java/mulleinlever/lab/emu/EmulationSettings.java
@@ -7,7 +7,7 @@
 public final class EmulationSettings {
     private static final long MILLISECOND_NS = 1_000_000L;
     private static final long SECOND_NS = 1_000 * MILLISECOND_NS;
-    static final double COLD_CAPACITY_SHARE = 0.3;
+    static final double INITIAL_CAPACITY_SHARE = 0.3;
     static final long SLOW_START_NS = 4 * SECOND_NS;
 
     /**
@@ -75,7 +75,7 @@
                 new Settings.Contract(
                         20 * MILLISECOND_NS,
                         250 * MILLISECOND_NS,
-                        COLD_CAPACITY_SHARE,
+                        INITIAL_CAPACITY_SHARE,
                         SLOW_START_NS,
                         OVERLOAD_MULTIPLE,
                         SECOND_NS,
