--- a/core/src/main/java/mulleinlever/OpenTryLatenessDetector.java
+++ b/core/src/main/java/mulleinlever/OpenTryLatenessDetector.java
@@ -34,20 +34,23 @@
     }
 
     /**
-     * Raises or prolongs the suspicion according to the open tries of all reqs in hand. There is no
-     * suspicion if the earlier build's open tries are as late, because its pods would not answer
-     * sooner. Called at each tick.
+     * Raises or prolongs the suspicion according to the open tries. There is no suspicion if the
+     * earlier build's open tries are as late, because its pods would not answer sooner. Called at
+     * each tick.
+     *
+     * @param reqs all reqs that have not been answered or have open tries
      */
     void evaluate(long nowNs, Collection<ReqState> reqs, RolloutStatus status) {
+        // Element 0 counts the tries at earlier builds, element 1 those at builds on trial.
         int[] openCounts = new int[2];
         int[] lateCounts = new int[2];
         for (ReqState req : reqs) {
-            for (int tryNo = req.openTryNumbers.nextSetBit(0);
-                    tryNo >= 0;
-                    tryNo = req.openTryNumbers.nextSetBit(tryNo + 1)) {
-                int side = status.isBuildOnTrial(req.tries.get(tryNo).build()) ? 1 : 0;
+            for (int tryNumber = req.openTryNumbers.nextSetBit(0);
+                    tryNumber >= 0;
+                    tryNumber = req.openTryNumbers.nextSetBit(tryNumber + 1)) {
+                int side = status.isBuildOnTrial(req.tries.get(tryNumber).build()) ? 1 : 0;
                 openCounts[side]++;
-                lateCounts[side] += req.isOpenTryLate(nowNs, tryNo) ? 1 : 0;
+                lateCounts[side] += req.isOpenTryLate(nowNs, tryNumber) ? 1 : 0;
             }
         }
         if (lateCounts[1] >= MIN_LATE_TRY_COUNT
--- a/core/src/main/java/mulleinlever/Policy.java
+++ b/core/src/main/java/mulleinlever/Policy.java
@@ -297,7 +297,10 @@
     private final SplittableRandom random;
     private final Map<String, RouteState> routes = new LinkedHashMap<>();
 
-    /** The names of the routes by index, and last an empty name for all routes together. */
+    /**
+     * The name of the route of each slot of {@link BuildOutcomes}; the last is empty, for all
+     * routes together.
+     */
     private final List<String> routeNames = new ArrayList<>();
 
     private final Map<String, Pod> pods = new LinkedHashMap<>();
@@ -382,7 +385,10 @@
     /** The outcomes of the newest build, also after its release. */
     private BuildOutcomes trialOutcomes;
 
-    /** Two detectors for each route and last for all routes together: failures, then lateness. */
+    /**
+     * Two detectors for each slot of {@link BuildOutcomes}, in its order: that of failures and
+     * wrong answers, then that of lateness.
+     */
     private final DegradationDetector[] detectors;
 
     /** The most severe state of all detectors. */
@@ -436,7 +442,7 @@
 
     // ---- Pod list and discovery
 
-    /** Handles a whole pod list. Pods that are not on it are gone. */
+    /** Handles a complete pod list. Pods that are not on it are gone. */
     public void onPodListReplaced(long nowNs, List<PodEntry> entries) {
         Map<String, Pod> missing = new HashMap<>(pods);
         entries.forEach(e -> missing.remove(e.id()));
@@ -476,13 +482,13 @@
      * Handles the loss of the confirmation of the list. Until the list is confirmed again, its pods
      * may be used for a limited time.
      *
-     * @param sinceNs the time since which nobody has confirmed the list
+     * @param sinceNs the time since which discovery has not confirmed the list
      */
     public void onPodListUnconfirmed(long sinceNs) {
         lease.onUnconfirmedSince(sinceNs);
     }
 
-    /** Handles a list that nobody has confirmed and that may be of any age. */
+    /** Handles a list that discovery has not confirmed and that may be of any age. */
     public void onPodListNeverConfirmed() {
         lease.onNeverConfirmed();
     }
@@ -497,10 +503,10 @@
     }
 
     /** Handles the switch to another discovery, from which a watch has been requested. */
-    public void onDiscoveryChanged() {
+    public void onDiscoverySwitched() {
         watchOpen = false;
         watchPending = true;
-        lease.onDiscoveryChanged();
+        lease.onDiscoverySwitched();
     }
 
     /** Handles a step of the wall clock by which the list states when pods started. */
@@ -518,6 +524,7 @@
         leasedPods = readyPods.filter(p -> lease.allows(nowNs, p));
         trialPods = leasedPods.filter(p -> rolloutStatus.isBuildOnTrial(p.listEntry.build()));
         earlierPods = leasedPods.filter(p -> !rolloutStatus.isBuildOnTrial(p.listEntry.build()));
+        // Creates the token buckets of builds that are new on the list; they fill from now on.
         trialPods.all().forEach(p -> exposureBudget.tokensOf(p.listEntry.build()));
         earlierPodCount =
                 trialPods.all().isEmpty() ? 0 : Math.max(earlierPodCount, earlierPods.all().size());
@@ -716,7 +723,7 @@
      *
      * @param tryNumber the number of the try within its req, from 0
      * @param durationNs how long the try took
-     * @param complete whether the client has received a whole answer
+     * @param complete whether the client has received a complete answer
      */
     public void onTryEnded(
             long nowNs,
@@ -840,9 +847,9 @@
      * Returns the share of reqs that is sent to builds on trial. As far as the exposure rules
      * allow, the pods on trial take the load that they will have after the release: this tests the
      * build under that load, and more reqs benefit from a good build early. A build under suspicion
-     * gets what a verdict needs. The share follows the number of warm and healthy pods on trial,
-     * because the rest of them would otherwise take the load of all and look slow. Where keys are
-     * one-way, the share of keys is limited instead.
+     * gets the share that a verdict needs. The share follows the number of warm and healthy pods on
+     * trial, because the rest of them would otherwise take the load of all and look slow. Where
+     * keys are one-way, the share of keys is limited instead.
      */
     private double trialShare(long nowNs) {
         return rollout.keysAreOneWay() && !trialPods.all().isEmpty()
@@ -861,7 +868,8 @@
     private Pod pickByTwoChoices(long nowNs, ReqState reqState, PodSet candidates) {
         Predicate<Pod> isCandidate =
                 p -> isPreferred(nowNs, reqState, p) && isAllowed(nowNs, reqState, p);
-        Pod first = PodSet.pickRandom(candidates.local(), random, MAX_RANDOM_DRAWS, isCandidate);
+        Pod first =
+                PodSet.pickRandom(candidates.localZone(), random, MAX_RANDOM_DRAWS, isCandidate);
         Pod second = PodSet.pickRandom(candidates.all(), random, MAX_RANDOM_DRAWS, isCandidate);
         return first == null
                         || second != null
@@ -1036,8 +1044,8 @@
         double elapsedShare =
                 Math.max(0, nowNs - pod.startedNs) / (double) settings.contract().slowStartNs();
         double capacityShare =
-                settings.contract().coldCapacityShare()
-                        + (1 - settings.contract().coldCapacityShare()) * elapsedShare;
+                settings.contract().initialCapacityShare()
+                        + (1 - settings.contract().initialCapacityShare()) * elapsedShare;
         // The reqs per second that all pods complete for this sidecar or, before the first
         // completion, the reqs that arrive.
         double totalPerSecond =
@@ -1184,23 +1192,22 @@
      * and is not the fault of the trial.
      *
      * <p>For lateness over all routes, the sample is also raised by lateness of the earlier build
-     * and of the median pod: if more pods are late than a minor part that hangs, is slow or pauses
-     * explains, the trial slows down all pods. This does not hold while so many pods are
-     * unreachable that the rest are late for that reason.
+     * and of the median pod: if more pods are late than the minority that may hang, be slow or
+     * pause by faults of their own, the trial slows down all pods. This does not hold while so many
+     * pods are unreachable that the rest are late for that reason.
      */
     private double detectorSample(
-            long nowNs, int routeIndex, boolean isLateness, DegradationDetector detector) {
-        double trialBadShare = badShare(nowNs, trialOutcomes, routeIndex, isLateness);
+            long nowNs, int slot, boolean isLateness, DegradationDetector detector) {
+        double trialBadShare = badShare(nowNs, trialOutcomes, slot, isLateness);
         boolean hasReference =
-                earlierOutcomes.totalOutcomeCount(routeIndex, isLateness) >= MIN_OUTCOME_COUNT;
+                earlierOutcomes.totalOutcomeCount(slot, isLateness) >= MIN_OUTCOME_COUNT;
         double earlierShift =
                 hasReference
-                        ? badShare(nowNs, earlierOutcomes, routeIndex, isLateness)
-                                - detector.longTermMean
+                        ? badShare(nowNs, earlierOutcomes, slot, isLateness) - detector.longTermMean
                         : 0;
         double excess = Math.max(0, Math.min(1, trialBadShare - Math.max(0, earlierShift)));
         if (!isLateness
-                || routeIndex < routes.size()
+                || slot < routes.size()
                 || !hasReference
                 || nowNs < latenessUnreliableUntilNs) {
             return excess;
@@ -1209,7 +1216,7 @@
                 excess,
                 Math.max(
                         medianPodLateShare(nowNs),
-                        (earlierOutcomes.lateShare(nowNs, routeIndex) - MAX_FAULTY_POD_SHARE)
+                        (earlierOutcomes.lateShare(nowNs, slot) - MAX_FAULTY_POD_SHARE)
                                 / (1 - MAX_FAULTY_POD_SHARE)));
     }
 
@@ -1240,31 +1247,30 @@
     }
 
     /** Returns the share of late outcomes, or of failed and wrong ones, from 0 to 1. */
-    private double badShare(
-            long nowNs, BuildOutcomes outcomes, int routeIndex, boolean isLateness) {
+    private double badShare(long nowNs, BuildOutcomes outcomes, int slot, boolean isLateness) {
         if (isLateness) {
-            return outcomes.lateShare(nowNs, routeIndex);
+            return outcomes.lateShare(nowNs, slot);
         }
         // After a release there is no earlier build to compare with, and failures may have other
         // causes than the build.
         double failedShare =
                 outcomes == earlierOutcomes || rolloutStatus.isOnTrial()
-                        ? outcomes.failedShare(nowNs, routeIndex)
+                        ? outcomes.failedShare(nowNs, slot)
                         : 0;
-        return Math.min(1, failedShare + estimatedWrongShare(nowNs, outcomes, routeIndex));
+        return Math.min(1, failedShare + estimatedWrongShare(nowNs, outcomes, slot));
     }
 
     /**
      * Returns the estimated share of wrong answers. Each complaint stands for the wrong answers
      * that were not reported as well.
      */
-    private double estimatedWrongShare(long nowNs, BuildOutcomes outcomes, int routeIndex) {
-        double complaintCount = outcomes.complaintCount(nowNs, routeIndex);
+    private double estimatedWrongShare(long nowNs, BuildOutcomes outcomes, int slot) {
+        double complaintCount = outcomes.complaintCount(nowNs, slot);
         return complaintCount == 0
                 ? 0
                 : complaintCount
                         / rollout.complaintReportRate()
-                        / Math.max(1, outcomes.tryCount(nowNs, routeIndex));
+                        / Math.max(1, outcomes.tryCount(nowNs, slot));
     }
 
     /** Adds a sample to each detector, and logs a change of the overall state. */
@@ -1286,33 +1292,30 @@
                                 || !rolloutStatus.isOnTrial() && !rolloutStatus.isReleased());
         for (int i = 0; i < detectors.length; i++) {
             DegradationDetector detector = detectors[i];
-            int routeIndex = i / 2;
+            int slot = i / 2;
             boolean isLateness = i % 2 == 1;
             if (canLearn
-                    && baselineOutcomes.outcomeCount(nowNs, routeIndex, isLateness)
+                    && baselineOutcomes.outcomeCount(nowNs, slot, isLateness)
                             >= MIN_BASELINE_OUTCOME_COUNT) {
                 detector.updateLongTerm(
-                        badShare(nowNs, baselineOutcomes, routeIndex, isLateness),
-                        LONG_TERM_WEIGHT);
+                        badShare(nowNs, baselineOutcomes, slot, isLateness), LONG_TERM_WEIGHT);
             }
-            double trialCount = trialOutcomes.outcomeCount(nowNs, routeIndex, isLateness);
-            double earlierCount = earlierOutcomes.outcomeCount(nowNs, routeIndex, isLateness);
+            double trialCount = trialOutcomes.outcomeCount(nowNs, slot, isLateness);
+            double earlierCount = earlierOutcomes.outcomeCount(nowNs, slot, isLateness);
             boolean hasEnoughOutcomes =
-                    trialOutcomes.totalOutcomeCount(routeIndex, isLateness) >= MIN_OUTCOME_COUNT
+                    trialOutcomes.totalOutcomeCount(slot, isLateness) >= MIN_OUTCOME_COUNT
                             && trialCount >= 1
                             && earlierCount >= 1;
             if (hasEnoughOutcomes && (!isLateness || rolloutStatus.isOnTrial())) {
                 boolean conclusive =
                         isLateness
                                 ? nowNs >= latenessUnreliableUntilNs
-                                : trialOutcomes.complaintCount(nowNs, routeIndex)
-                                                > MAX_IGNORED_COMPLAINTS
-                                        || trialOutcomes.failedShare(nowNs, routeIndex)
-                                                >= estimatedWrongShare(
-                                                        nowNs, trialOutcomes, routeIndex);
+                                : trialOutcomes.complaintCount(nowNs, slot) > MAX_IGNORED_COMPLAINTS
+                                        || trialOutcomes.failedShare(nowNs, slot)
+                                                >= estimatedWrongShare(nowNs, trialOutcomes, slot);
                 // The number of earlier outcomes is limited too, which widens the deviation.
                 detector.evaluate(
-                        detectorSample(nowNs, routeIndex, isLateness, detector),
+                        detectorSample(nowNs, slot, isLateness, detector),
                         trialCount * earlierCount / (trialCount + earlierCount),
                         conclusive);
             }
@@ -1388,12 +1391,14 @@
         long stageAgeNs = nowNs - stageStartedNs;
         // The last approval removes the pods of the earlier build, so it waits for outcomes of the
         // build under the full load.
-        boolean proven =
+        boolean approvalReady =
                 rolloutStatus.stage() < rollout.stageShares().size() - 1
                         || stageAgeNs > rollout.bakeNs() + MAX_APPROVAL_DELAY_NS
                         || trialOutcomes.totalOutcomeCount(routes.size(), true)
                                 >= outcomeCountAtStageStart + requiredOutcomeCount();
-        return detectorState == DetectorState.NORMAL && stageAgeNs >= rollout.bakeNs() && proven
+        return detectorState == DetectorState.NORMAL
+                        && stageAgeNs >= rollout.bakeNs()
+                        && approvalReady
                 ? RolloutVote.ON
                 : RolloutVote.NONE;
     }
@@ -1486,7 +1491,7 @@
      * @param meanLatencyRatio the mean try time as a share of the latency objective
      * @param readyPodCount the number of ready pods on the list
      * @param leasedPodCount the number of ready pods that the lease allows
-     * @param coldPodCount the number of pods in slow start
+     * @param slowStartPodCount the number of pods in slow start
      * @param unreachablePodCount the number of pods in unreachable zones
      */
     public record Stats(
@@ -1498,7 +1503,7 @@
             int readyPodCount,
             int leasedPodCount,
             long healthyPodCount,
-            long coldPodCount,
+            long slowStartPodCount,
             long unreachablePodCount) {}
 
     /** Returns the current figures for the log. */
--- a/lab/src/main/java/mulleinlever/lab/emu/EmulationSettings.java
+++ b/lab/src/main/java/mulleinlever/lab/emu/EmulationSettings.java
@@ -7,12 +7,12 @@
 public final class EmulationSettings {
     private static final long MILLISECOND_NS = 1_000_000L;
     private static final long SECOND_NS = 1_000 * MILLISECOND_NS;
-    static final double COLD_CAPACITY_SHARE = 0.3;
+    static final double INITIAL_CAPACITY_SHARE = 0.3;
     static final long SLOW_START_NS = 4 * SECOND_NS;
 
     /**
-     * A cold pod breaks down if it gets more than this multiple of its current capacity for a
-     * second.
+     * A pod in slow start breaks down if it gets more than this multiple of its current capacity
+     * for a second.
      */
     private static final double OVERLOAD_MULTIPLE = 3;
 
@@ -75,7 +75,7 @@
                 new Settings.Contract(
                         20 * MILLISECOND_NS,
                         250 * MILLISECOND_NS,
-                        COLD_CAPACITY_SHARE,
+                        INITIAL_CAPACITY_SHARE,
                         SLOW_START_NS,
                         OVERLOAD_MULTIPLE,
                         SECOND_NS,
