--- a/sidecar/src/main/java/mulleinlever/sidecar/AdaptiveConnectTimeout.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/AdaptiveConnectTimeout.java
@@ -11,7 +11,7 @@
  * one. The more connections time out, the longer the timeout: the pods may be slow rather than
  * gone, and each connection given up too soon would cost them one more handshake.
  *
- * <p>Called on the event loop only.
+ * <p>Called by the event loop only.
  */
 final class AdaptiveConnectTimeout {
     /** The timeout as a multiple of the slowest recent duration, when no connection times out. */
--- a/sidecar/src/main/java/mulleinlever/sidecar/ChunkedHttpConnection.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/ChunkedHttpConnection.java
@@ -4,7 +4,7 @@
 import mulleinlever.settings.InvalidInputException;
 
 /**
- * Receives the lines of an HTTP/1.1 response with chunked transfer coding. Used on the event loop
+ * Receives the lines of an HTTP/1.1 response with chunked transfer coding. Used by the event loop
  * only.
  */
 abstract class ChunkedHttpConnection extends LineConnection {
--- a/sidecar/src/main/java/mulleinlever/sidecar/ClientConnection.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/ClientConnection.java
@@ -11,9 +11,9 @@
 import mulleinlever.settings.InvalidInputException;
 
 /**
- * The connection of one client: the first stage that a req passes. Decodes the client's messages
- * into commands and writes the responses in the order of the commands. Each instance serves one
- * channel and is called by the event loop only.
+ * The connection of one client. Decodes the client's messages into commands, passes queries to the
+ * {@link QueryHandler}, and writes the responses in the order of the commands. Each instance serves
+ * one channel and is called by the event loop only.
  */
 final class ClientConnection extends ChannelInboundHandlerAdapter {
     /**
@@ -22,8 +22,9 @@
     private static final int MAX_PIPELINED_COMMANDS = 32;
 
     /**
-     * How long a client may make no progress before its startup message, within a message or
-     * without reading its responses. Such a client could hold its connection and buffers forever.
+     * How long a client may make no progress while its startup message is missing, a message is
+     * incomplete or responses are unread. Such a client could hold its connection and buffers
+     * forever.
      */
     private static final long STALL_TIMEOUT_NS = 10_000_000_000L;
 
--- a/sidecar/src/main/java/mulleinlever/sidecar/ConfigReloader.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/ConfigReloader.java
@@ -35,8 +35,8 @@
     /** Applies the configuration read last, and those read later, to the components. */
     void applyTo(SidecarComponents startedComponents) {
         components = startedComponents;
-        components.discovery.updateAddress(config.discoveryAddress());
-        components.releasePlatform.updateAddress(config.releaseApiAddress());
+        components.discoveryClient.updateAddress(config.discoveryAddress());
+        components.releasePlatformClient.updateAddress(config.releaseApiAddress());
     }
 
     /**
--- a/sidecar/src/main/java/mulleinlever/sidecar/DiscoveryClient.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/DiscoveryClient.java
@@ -9,7 +9,7 @@
 /**
  * Watches the pod list at discovery by means of a streamed HTTP response, and applies each list to
  * the connection pool and the policy. When a watch ends, the policy is notified and decides when
- * the next one opens. Used on the event loop only.
+ * the next one opens. Used by the event loop only.
  */
 final class DiscoveryClient {
     /** The maximum length of a pod list: bytes of one line, or characters of an indented object. */
@@ -109,7 +109,7 @@
         } else {
             policy.onPodListUpdated(clock.nowNs(), list.entries());
         }
-        connectionPool.closeToLeavingPods(list);
+        connectionPool.closeConnectionsToLeavingPods(list);
     }
 
     /** Returns the generation of the list that was applied last; 0 before any. */
@@ -150,8 +150,8 @@
     }
 
     /**
-     * Watches at another address from now on. The current list remains in use; the new watch asks
-     * for the changes since its generation.
+     * Watches at another address from now on. The current list remains in use; the new watch
+     * requests the changes since its generation.
      */
     void updateAddress(InetSocketAddress newAddress) {
         if (!newAddress.equals(address)) {
--- a/sidecar/src/main/java/mulleinlever/sidecar/Lifecycle.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/Lifecycle.java
@@ -16,7 +16,9 @@
         LEAVING,
         /** Accepts no more reqs, answers those in flight and closes idle connections. */
         FINISHING,
-        /** All is closed, or the time for it has passed. */
+        /**
+         * The event loop ends: the shutdown is complete or out of time, or the start has failed.
+         */
         ENDED
     }
 
--- a/sidecar/src/main/java/mulleinlever/sidecar/LineConnection.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/LineConnection.java
@@ -17,7 +17,7 @@
 
 /**
  * An outgoing connection that sends a request and then receives lines of text, which may be split
- * anywhere between reads. Used on the event loop only.
+ * anywhere between reads. Used by the event loop only.
  */
 abstract class LineConnection extends ChannelInboundHandlerAdapter {
     /** The reason why a connection ended. The names appear in the log. */
@@ -247,8 +247,8 @@
     }
 
     /**
-     * Closes the connection on any error, invalid data included. What it was opened for is then
-     * requested again on a new connection.
+     * Closes the connection on any error, invalid data included. {@link #onEnd} is called when the
+     * channel has closed, so that the request can be repeated on a new connection.
      */
     @Override
     public final void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
--- a/sidecar/src/main/java/mulleinlever/sidecar/NettyTransport.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/NettyTransport.java
@@ -62,8 +62,8 @@
     }
 
     /**
-     * Runs a task on the event loop, but never within this call: the policy must not be called back
-     * while it decides.
+     * Runs a task on the event loop, but never within this call: the policy must not be called
+     * while one of its methods is still running.
      */
     void execute(Runnable task) {
         eventLoop.execute(loggingExceptions(task));
@@ -170,11 +170,12 @@
         };
     }
 
+    /** Returns an allocator of receive buffers of 512 bytes to 32 KiB; the first is 1 KiB. */
     private static AdaptiveRecvByteBufAllocator newReceiveBufferAllocator() {
         return new AdaptiveRecvByteBufAllocator(512, 1024, 32_768);
     }
 
-    /** Closes all channels and ends the event loop, without waiting for that. */
+    /** Closes all channels and ends the event loop, without waiting until it has ended. */
     void close() {
         group.shutdownGracefully(0, 200, TimeUnit.MILLISECONDS);
     }
--- a/sidecar/src/main/java/mulleinlever/sidecar/PodConnection.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/PodConnection.java
@@ -13,7 +13,7 @@
 
 /**
  * One connection to a pod. It opens and completes the PostgreSQL handshake, then carries one try at
- * a time and is idle in between, where each response is followed by a cooldown. Called on the event
+ * a time and is idle in between, where each response is followed by a cooldown. Called by the event
  * loop only.
  */
 final class PodConnection extends ChannelInboundHandlerAdapter {
@@ -32,7 +32,7 @@
 
     private final PodConnectionPool connectionPool;
     private final PodResponseHandler responseHandler;
-    private final TryDispatcher dispatcher;
+    private final TryDispatcher tryDispatcher;
     private final Clock clock;
     private final RateLimitedLog log;
     private Channel channel;
@@ -66,14 +66,14 @@
             InetSocketAddress address,
             PodConnectionPool connectionPool,
             PodResponseHandler responseHandler,
-            TryDispatcher dispatcher,
+            TryDispatcher tryDispatcher,
             Clock clock,
             RateLimitedLog log) {
         this.podId = podId;
         this.address = address;
         this.connectionPool = connectionPool;
         this.responseHandler = responseHandler;
-        this.dispatcher = dispatcher;
+        this.tryDispatcher = tryDispatcher;
         this.clock = clock;
         this.log = log;
         this.connectStartNs = clock.nowNs();
@@ -112,7 +112,7 @@
     void cooldownEnded(UpstreamTry upstreamTry) {
         if (currentTry == upstreamTry && !tryActive && !closed) {
             connectionPool.removePending(this);
-            dispatcher.writeReq(upstreamTry, this);
+            tryDispatcher.writeReq(upstreamTry, this);
         }
     }
 
@@ -140,7 +140,7 @@
         if (!handshakeComplete && !closed) {
             connectionPool.recordConnectTimeout();
         }
-        closeUnlessCarrying();
+        closeUnlessActive();
     }
 
     /**
@@ -148,7 +148,7 @@
      * the policy may send another elsewhere. Called when the connection takes too long to open and
      * when the pod must not receive new reqs.
      */
-    void closeUnlessCarrying() {
+    void closeUnlessActive() {
         if (!tryActive) {
             closeAndResetTry();
         }
@@ -200,7 +200,7 @@
         close();
         if (upstreamTry != null) {
             upstreamTry.connection = null;
-            dispatcher.endTry(upstreamTry, TryOutcome.RESET);
+            tryDispatcher.endTry(upstreamTry, TryOutcome.RESET);
         }
     }
 
@@ -214,7 +214,7 @@
         close();
         if (upstreamTry != null) {
             upstreamTry.connection = null;
-            dispatcher.openConnection(upstreamTry);
+            tryDispatcher.openConnection(upstreamTry);
         }
     }
 
@@ -272,7 +272,7 @@
             connectionPool.connectionReady(this);
             connectTimeoutTask.cancel(false);
             if (currentTry != null) {
-                dispatcher.writeReq(currentTry, this);
+                tryDispatcher.writeReq(currentTry, this);
             }
         }
     }
--- a/sidecar/src/main/java/mulleinlever/sidecar/PodConnectionPool.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/PodConnectionPool.java
@@ -13,7 +13,7 @@
 import mulleinlever.Settings;
 
 /**
- * Keeps the pods' addresses, opens connections to them and holds the idle ones for reuse. Called on
+ * Keeps the pods' addresses, opens connections to them and holds the idle ones for reuse. Called by
  * the event loop only.
  */
 final class PodConnectionPool {
@@ -25,7 +25,7 @@
 
     /** One pod's address and the connections to it. */
     private static final class PodEndpoint {
-        /** Null while the pod list has given no valid address. */
+        /** Null until a pod list has contained a valid address of the pod. */
         InetSocketAddress address;
 
         /** Ordered by the time of last use, the most recent last. */
@@ -36,7 +36,7 @@
 
         int connectionCount;
 
-        /** Whether the pod has left the list; removed once its last connection is closed. */
+        /** Whether the pod has left the list; the entry is removed when no connection is left. */
         boolean gone;
     }
 
@@ -98,7 +98,7 @@
      * written after the time within which sending to it must stop; it fails to connect instead, and
      * the policy decides anew.
      */
-    void closeToLeavingPods(PodList list) {
+    void closeConnectionsToLeavingPods(PodList list) {
         Set<String> leavingPodIds =
                 list.isFull()
                         ? new LinkedHashSet<>(endpointsByPodId.keySet())
@@ -115,7 +115,7 @@
                     list.isFull() && !list.addressesByPodId().containsKey(podId);
             closeIdle(endpointsByPodId.get(podId));
             new ArrayList<>(endpointsByPodId.get(podId).pendingConnections)
-                    .forEach(PodConnection::closeUnlessCarrying);
+                    .forEach(PodConnection::closeUnlessActive);
         }
     }
 
@@ -173,9 +173,7 @@
         transport.schedule(delayNs, () -> connection.cooldownEnded(upstreamTry));
     }
 
-    /**
-     * Puts a connection back among the idle ones, or closes it if the pod's address has changed.
-     */
+    /** Adds a connection to the idle ones, or closes it if the pod's address has changed. */
     void release(PodConnection connection) {
         PodEndpoint endpoint = endpointsByPodId.get(connection.podId);
         if (connection.address.equals(endpoint.address)) {
@@ -185,7 +183,7 @@
         }
     }
 
-    /** Forgets a closed connection. Called once for each connection, by the connection itself. */
+    /** Removes a closed connection. Called once for each connection, by the connection itself. */
     void connectionClosed(PodConnection connection) {
         connectionCount--;
         endpointsByPodId.get(connection.podId).connectionCount--;
@@ -203,12 +201,12 @@
         return connectionCount;
     }
 
-    /** Notes that a connection no longer opens or waits for the end of its cooldown. */
+    /** Records that a connection no longer opens or waits for the end of its cooldown. */
     void removePending(PodConnection connection) {
         endpointsByPodId.get(connection.podId).pendingConnections.remove(connection);
     }
 
-    /** Notes that a connection has completed its handshake and is ready for its first try. */
+    /** Records that a connection has completed its handshake and is ready for its first try. */
     void connectionReady(PodConnection connection) {
         connectTimeout.recordSuccess(clock.nowNs(), clock.nowNs() - connection.connectStartNs);
         removePending(connection);
@@ -224,7 +222,7 @@
      * Opens a connection for a try. Returns false if the pod's address is unknown, or if the
      * maximum number of connections is reached and no connection to any pod is idle.
      */
-    boolean openConnection(UpstreamTry upstreamTry, TryDispatcher dispatcher) {
+    boolean openConnection(UpstreamTry upstreamTry, TryDispatcher tryDispatcher) {
         PodEndpoint endpoint = endpointsByPodId.get(upstreamTry.podId);
         if (endpoint == null
                 || endpoint.address == null
@@ -240,7 +238,7 @@
                         endpoint.address,
                         this,
                         responseHandler,
-                        dispatcher,
+                        tryDispatcher,
                         clock,
                         log);
         upstreamTry.connection = connection;
@@ -256,8 +254,8 @@
     }
 
     /**
-     * Closes the connection that has been idle longest, to whichever pod; returns false if none is
-     * idle.
+     * Closes the connection that has been idle longest, regardless of its pod; returns false if
+     * none is idle.
      */
     private boolean closeOldestIdle() {
         PodConnection oldest = null;
--- a/sidecar/src/main/java/mulleinlever/sidecar/PodResponseHandler.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/PodResponseHandler.java
@@ -7,9 +7,9 @@
 import mulleinlever.settings.InvalidInputException;
 
 /**
- * Reads a pod's response to a req and reports the outcome of the try. A response is forwarded
- * unchanged, and only once it is complete: a pod that fails during its response fails the try, not
- * the req. Called on the event loop only.
+ * Reads a pod's response to a req and reports the outcome of the try to the {@link ReqRegistry}. A
+ * response is forwarded unchanged, and only once it is complete: a pod that fails during its
+ * response fails the try, not the req. Called by the event loop only.
  */
 final class PodResponseHandler {
     private final ReqRegistry reqRegistry;
--- a/sidecar/src/main/java/mulleinlever/sidecar/PostgresMessageDecoder.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/PostgresMessageDecoder.java
@@ -50,7 +50,7 @@
             buffer.writeBytes(received);
             received.release();
         } else {
-            // Allocates space for the whole of the message that has started. Otherwise a long
+            // Allocates space for the complete message that has started. Otherwise a long
             // message would be copied at each read.
             int capacityBytes =
                     Math.max(
--- a/sidecar/src/main/java/mulleinlever/sidecar/QueryHandler.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/QueryHandler.java
@@ -8,9 +8,9 @@
 import mulleinlever.Settings;
 
 /**
- * Recognizes reqs among the clients' queries: the second stage that a req passes. A valid req is
- * registered and handed to the policy; any other query is answered here. Called by the event loop
- * only.
+ * Recognizes reqs among the clients' queries. A valid req is registered in the {@link ReqRegistry}
+ * and passed to the {@link SidecarPolicyActions}; any other query is answered here. Called by the
+ * event loop only.
  */
 final class QueryHandler {
     private final Map<String, Settings.RouteSettings> routesByName;
--- a/sidecar/src/main/java/mulleinlever/sidecar/ReleasePlatformClient.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/ReleasePlatformClient.java
@@ -75,6 +75,7 @@
                         config.seed());
     }
 
+    /** Sets the policy to notify. Called once, before {@link #subscribe}. */
     void setPolicy(Policy policy) {
         this.policy = policy;
     }
--- a/sidecar/src/main/java/mulleinlever/sidecar/ReqMemoryLimiter.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/ReqMemoryLimiter.java
@@ -27,7 +27,7 @@
     }
 
     /**
-     * Subtracts from the reserved memory, in bytes. Once the limit holds again, all waiting
+     * Subtracts from the reserved memory, in bytes. Once it is within the limit again, all waiting
      * connections resume decoding.
      */
     void release(int bytes) {
@@ -38,7 +38,7 @@
         }
     }
 
-    /** Adds a connection that is to resume decoding when the limit holds again. */
+    /** Adds a connection that resumes decoding once the reserved memory is within the limit. */
     void addWaiter(ClientConnection client) {
         waiting.add(client);
     }
--- a/sidecar/src/main/java/mulleinlever/sidecar/ReqRegistry.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/ReqRegistry.java
@@ -7,9 +7,9 @@
 import mulleinlever.TryOutcome;
 
 /**
- * The reqs in flight: the last stage that a req passes. Records how each try ended, ensures that a
- * req gets at most one response, and releases a req once it has its outcome and none of its tries
- * is in flight. Called by the event loop only.
+ * The reqs in flight. Records how each try ended and reports it to the policy, passes at most one
+ * response of a req to its {@link ClientConnection}, and releases a req once it has its outcome and
+ * none of its tries is in flight. Called by the event loop only.
  */
 final class ReqRegistry {
     private final Clock clock;
--- a/sidecar/src/main/java/mulleinlever/sidecar/SidecarComponents.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/SidecarComponents.java
@@ -7,8 +7,8 @@
 /** The components of a sidecar, connected to one {@link Policy}. Used on the event loop only. */
 final class SidecarComponents {
     /**
-     * The share of the socket limit that client connections may use. What this and the share of the
-     * pods leave is reserved for files, the platform and discovery.
+     * The share of the socket limit that client connections may use. The rest beside this share and
+     * that of the pods is reserved for files, the platform and discovery.
      */
     private static final double CLIENT_SOCKET_SHARE = 0.55;
 
@@ -17,11 +17,11 @@
 
     final ClientConnections clientConnections;
     final ReqRegistry reqRegistry;
-    final DiscoveryClient discovery;
-    final ReleasePlatformClient releasePlatform;
+    final DiscoveryClient discoveryClient;
+    final ReleasePlatformClient releasePlatformClient;
     final Policy policy;
     private final PodConnectionPool connectionPool;
-    private final ReqMemoryLimiter memoryLimiter = new ReqMemoryLimiter();
+    private final ReqMemoryLimiter reqMemoryLimiter = new ReqMemoryLimiter();
     private final QueryHandler queryHandler;
     private final SidecarMetrics metrics;
     private final Clock clock;
@@ -50,25 +50,25 @@
                         (int) (POD_SOCKET_SHARE * config.maxSockets()),
                         settings.policyLimits(),
                         metrics);
-        discovery =
+        discoveryClient =
                 new DiscoveryClient(
                         transport, clock, log, config.discoveryAddress(), connectionPool);
-        releasePlatform = new ReleasePlatformClient(transport, clock, log, config);
+        releasePlatformClient = new ReleasePlatformClient(transport, clock, log, config);
         SidecarPolicyActions policyActions =
                 new SidecarPolicyActions(
                         transport,
                         clock,
                         reqRegistry,
                         new TryDispatcher(transport, clock, reqRegistry, connectionPool),
-                        discovery,
-                        releasePlatform,
+                        discoveryClient,
+                        releasePlatformClient,
                         log);
         policy = new Policy(settings, config.seed(), clock.nowNs(), policyActions);
         reqRegistry.setPolicy(policy);
         policyActions.setPolicy(policy);
-        discovery.setPolicy(policy);
-        releasePlatform.setPolicy(policy);
-        discovery.applyInitialList(config.initialPodList());
+        discoveryClient.setPolicy(policy);
+        releasePlatformClient.setPolicy(policy);
+        discoveryClient.applyInitialList(config.initialPodList());
         policy.onRolloutStatus(clock.nowNs(), config.initialRolloutStatus());
         queryHandler = new QueryHandler(settings, reqRegistry, policyActions);
     }
@@ -76,7 +76,7 @@
     /** Returns the handler for a new client connection. */
     ChannelHandler newClientHandler() {
         return new ClientConnection(
-                queryHandler, clientConnections, memoryLimiter, reqRegistry, clock, log);
+                queryHandler, clientConnections, reqMemoryLimiter, reqRegistry, clock, log);
     }
 
     /** Returns the address at which a pod listens, as host and port; null if it is unknown. */
@@ -106,6 +106,6 @@
                 policy.stats(clock.nowNs()),
                 clientConnections.connectionCount(),
                 connectionPool.connectionCount(),
-                discovery.listAgeNs());
+                discoveryClient.listAgeNs());
     }
 }
--- a/sidecar/src/main/java/mulleinlever/sidecar/SidecarMetrics.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/SidecarMetrics.java
@@ -79,8 +79,8 @@
         if (event == Event.COMPLETED && tookNs > command.latencyObjectiveNs) {
             increment(Event.LATE);
         }
-        boolean fullySent = command.tries.stream().anyMatch(t -> t.fullyWritten);
-        if (!fullySent) {
+        boolean anyFullyWritten = command.tries.stream().anyMatch(t -> t.fullyWritten);
+        if (!anyFullyWritten) {
             increment(Event.UNSENT);
         }
         boolean overdue = tookNs > command.clientTimeoutNs;
--- a/sidecar/src/main/java/mulleinlever/sidecar/SidecarPolicyActions.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/SidecarPolicyActions.java
@@ -7,8 +7,8 @@
 import mulleinlever.RolloutVote;
 
 /**
- * Hands each req to the policy and carries out the actions that the policy calls for: the third
- * stage that a req passes. Called by the event loop only.
+ * Hands each req to the policy and carries out the policy's actions: tries go to the {@link
+ * TryDispatcher}, responses to the {@link ReqRegistry}. Called by the event loop only.
  */
 final class SidecarPolicyActions implements PolicyActions {
     private final NettyTransport transport;
@@ -16,7 +16,7 @@
     private final ReqRegistry reqRegistry;
     private final TryDispatcher tryDispatcher;
     private final DiscoveryClient discoveryClient;
-    private final ReleasePlatformClient platformClient;
+    private final ReleasePlatformClient releasePlatformClient;
     private final RateLimitedLog log;
     private Policy policy;
 
@@ -26,14 +26,14 @@
             ReqRegistry reqRegistry,
             TryDispatcher tryDispatcher,
             DiscoveryClient discoveryClient,
-            ReleasePlatformClient platformClient,
+            ReleasePlatformClient releasePlatformClient,
             RateLimitedLog log) {
         this.transport = transport;
         this.clock = clock;
         this.reqRegistry = reqRegistry;
         this.tryDispatcher = tryDispatcher;
         this.discoveryClient = discoveryClient;
-        this.platformClient = platformClient;
+        this.releasePlatformClient = releasePlatformClient;
         this.log = log;
     }
 
@@ -50,8 +50,8 @@
     }
 
     @Override
-    public void startTry(String reqId, String podId, long writeWithinNs, long limitNs) {
-        tryDispatcher.startTry(reqRegistry.find(reqId), podId, writeWithinNs, limitNs);
+    public void startTry(String reqId, String podId, long writeWithinNs, long timeoutNs) {
+        tryDispatcher.startTry(reqRegistry.find(reqId), podId, writeWithinNs, timeoutNs);
     }
 
     @Override
@@ -95,7 +95,7 @@
 
     @Override
     public void castVote(int build, int stage, RolloutVote vote) {
-        platformClient.sendVote(build, stage, vote);
+        releasePlatformClient.sendVote(build, stage, vote);
     }
 
     @Override
--- a/sidecar/src/main/java/mulleinlever/sidecar/SidecarServer.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/SidecarServer.java
@@ -21,8 +21,8 @@
     private static final long SECOND_NS = 1_000 * MILLISECOND_NS;
 
     /**
-     * How long reqs are still accepted after the process was asked to stop: clients learn of it
-     * late.
+     * How long reqs are still accepted after the process was asked to stop, since clients learn
+     * late that it ends.
      */
     private static final long LEAVING_DURATION_NS = 500 * MILLISECOND_NS;
 
@@ -163,7 +163,7 @@
         if (persistence != null) {
             persistence.restoreAndScheduleSnapshots(transport, components);
         }
-        components.releasePlatform.subscribe();
+        components.releasePlatformClient.subscribe();
         reloader.applyTo(components);
         transport.scheduleAtFixedRate(SECOND_NS, components::runMaintenance);
         lastLoopCheckNs = clock.nowNs();
@@ -181,7 +181,7 @@
                         log,
                         lifecycle);
         if (!config.settings().requiresListWatch()) {
-            components.discovery.openWatch();
+            components.discoveryClient.openWatch();
         }
     }
 
@@ -194,7 +194,7 @@
         if (lifecycle.isIn(Lifecycle.Phase.ENDED)) {
             return;
         }
-        if (components.discovery.isListConfirmedOrUnreachable()
+        if (components.discoveryClient.isListConfirmedOrUnreachable()
                 || clock.nowNs() >= startedNs + MAX_LIST_WAIT_NS) {
             listen(MAX_BIND_ATTEMPTS, exitCode);
         } else {
@@ -243,7 +243,10 @@
         lastLoopCheckNs = nowNs;
     }
 
-    /** The shutdown hook. The process exits when this returns. */
+    /**
+     * Shuts down gracefully. This is the shutdown hook of the process, which exits when this
+     * returns.
+     */
     private void stop() {
         if (lifecycle.isIn(Lifecycle.Phase.ENDED)) {
             return;
@@ -265,8 +268,8 @@
     }
 
     /**
-     * Accepts no more reqs, and ends when all client connections are closed or the longest timeout
-     * has passed.
+     * Closes idle connections and accepts no new ones. Ends when all client connections are closed
+     * or the longest route timeout has passed.
      */
     private void finish() {
         lifecycle.advanceTo(Lifecycle.Phase.FINISHING);
--- a/sidecar/src/main/java/mulleinlever/sidecar/StatePersistence.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/StatePersistence.java
@@ -253,8 +253,8 @@
                         startId,
                         0,
                         clock.nowNs() / 1_000_000,
-                        components.discovery.listVersion()),
-                components.releasePlatform.latestStatusOr(config.initialRolloutStatus()));
+                        components.discoveryClient.listVersion()),
+                components.releasePlatformClient.latestStatusOr(config.initialRolloutStatus()));
     }
 
     /**
--- a/sidecar/src/main/java/mulleinlever/sidecar/TryDispatcher.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/TryDispatcher.java
@@ -8,8 +8,8 @@
 
 /**
  * Assigns each upstream try to a connection to its pod, writes its req there, and ends tries that
- * time out or are cancelled. Called on the event loop only; the outcome of a try goes to the {@link
- * ReqRegistry}.
+ * time out or are cancelled. The response goes to the {@link PodResponseHandler}; the outcome of a
+ * try that ends without one goes to the {@link ReqRegistry}. Called by the event loop only.
  */
 final class TryDispatcher {
     /**
--- a/sidecar/src/main/java/mulleinlever/sidecar/UpstreamTry.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/UpstreamTry.java
@@ -5,7 +5,7 @@
 
 /**
  * One upstream try of a req, from the policy's call that starts it until its outcome is recorded.
- * Read and changed on the event loop only.
+ * Read and changed by the event loop only.
  */
 final class UpstreamTry {
     final PendingCommand command;
--- a/sidecar/src/test/java/mulleinlever/sidecar/AdaptiveConnectTimeoutTest.java
+++ b/sidecar/src/test/java/mulleinlever/sidecar/AdaptiveConnectTimeoutTest.java
@@ -10,8 +10,8 @@
 
 /** Compares the connect timeout with a reference model that keeps every sample. */
 class AdaptiveConnectTimeoutTest {
-    private static final long NS_PER_MS = 1_000_000L;
-    private static final long MAX_TIMEOUT_NS = 250 * NS_PER_MS;
+    private static final long MILLISECOND_NS = 1_000_000L;
+    private static final long MAX_TIMEOUT_NS = 250 * MILLISECOND_NS;
 
     /** An attempt to connect; its duration is 0 if it timed out. */
     private record ConnectAttempt(long endedNs, long durationNs) {}
@@ -35,7 +35,7 @@
                         Math.min(
                                 MAX_TIMEOUT_NS,
                                 Math.max(
-                                        25 * NS_PER_MS,
+                                        25 * MILLISECOND_NS,
                                         3 * slowestNs * (successes + timeouts) / successes));
     }
 
@@ -46,31 +46,31 @@
             AdaptiveConnectTimeout connectTimeout = new AdaptiveConnectTimeout(MAX_TIMEOUT_NS);
             List<ConnectAttempt> attempts = new ArrayList<>();
             double timeoutProbability = random.nextDouble();
-            long nowNs = 1_000_000 * NS_PER_MS;
+            long nowNs = 1_000_000 * MILLISECOND_NS;
             for (int i = 0; i < 200; i++) {
-                nowNs += random.nextLong(200 * NS_PER_MS);
+                nowNs += random.nextLong(200 * MILLISECOND_NS);
                 long durationNs =
                         random.nextDouble() < timeoutProbability
                                 ? 0
-                                : 1 + random.nextLong(60 * NS_PER_MS);
+                                : 1 + random.nextLong(60 * MILLISECOND_NS);
                 attempts.add(new ConnectAttempt(nowNs, durationNs));
                 if (durationNs > 0) {
                     connectTimeout.recordSuccess(nowNs, durationNs);
                 } else {
                     connectTimeout.recordTimeout(nowNs);
                 }
-                long laterNs = nowNs + random.nextLong(1000 * NS_PER_MS);
+                long laterNs = nowNs + random.nextLong(1000 * MILLISECOND_NS);
                 assertEquals(
                         referenceTimeoutNs(attempts, nowNs),
                         connectTimeout.timeoutNs(nowNs),
                         1000,
-                        "seed " + seed + ", " + i);
+                        "seed " + seed + ", attempt " + i);
                 nowNs = laterNs;
                 assertEquals(
                         referenceTimeoutNs(attempts, nowNs),
                         connectTimeout.timeoutNs(nowNs),
                         1000,
-                        "seed " + seed + ", " + i);
+                        "seed " + seed + ", attempt " + i);
             }
         }
     }
@@ -79,9 +79,9 @@
     void usesMaximumWhenMostConnectsTimeOut() {
         AdaptiveConnectTimeout connectTimeout = new AdaptiveConnectTimeout(MAX_TIMEOUT_NS);
         for (int i = 0; i < 30; i++) {
-            connectTimeout.recordSuccess(i, 10 * NS_PER_MS);
+            connectTimeout.recordSuccess(i, 10 * MILLISECOND_NS);
         }
-        assertEquals(30 * NS_PER_MS, connectTimeout.timeoutNs(30), NS_PER_MS);
+        assertEquals(30 * MILLISECOND_NS, connectTimeout.timeoutNs(30), MILLISECOND_NS);
         for (int i = 0; i < 300; i++) {
             connectTimeout.recordTimeout(30);
         }
--- a/sidecar/src/test/java/mulleinlever/sidecar/DescriptorExhaustionTest.java
+++ b/sidecar/src/test/java/mulleinlever/sidecar/DescriptorExhaustionTest.java
@@ -42,12 +42,12 @@
         descriptorLimit = DESCRIPTOR_LIMIT;
         startSidecar(1024);
         awaitTrue(() -> discovery.received.size() == 1);
-        List<Socket> heldSockets = exhaustDescriptors();
+        List<Socket> idleSockets = exhaustDescriptors();
         closeConnections(discovery);
         // A client in the listen backlog takes the descriptor of the closed watch before the watch
         // is opened again.
         awaitTrue(() -> logText().contains("watch 2 has ended"));
-        close(heldSockets);
+        close(idleSockets);
         awaitTrue(() -> discovery.received.size() == 2);
     }
 
@@ -59,12 +59,12 @@
         descriptorLimit = DESCRIPTOR_LIMIT;
         startSidecar(1024);
         try (Client client = new Client()) {
-            List<Socket> heldSockets = exhaustDescriptors();
+            List<Socket> idleSockets = exhaustDescriptors();
             long startNs = System.nanoTime();
-            assertEquals("E53300 with advice", client.execute(selectSql("1", 1400)));
+            assertEquals("E53300 with retry delay", client.execute(selectSql("1", 1400)));
             long tookMs = (System.nanoTime() - startNs) / 1_000_000;
             assertTrue(tookMs < 700, "answered after " + tookMs + " ms of 1400");
-            close(heldSockets);
+            close(idleSockets);
             awaitServed(client);
         }
     }
--- a/sidecar/src/test/java/mulleinlever/sidecar/ProcessPauseTest.java
+++ b/sidecar/src/test/java/mulleinlever/sidecar/ProcessPauseTest.java
@@ -66,7 +66,7 @@
     // A retry that waited for its connection was written after the dedup window, when the pods may
     // have forgotten the first try.
     @Test
-    void retryIsSentWithinIdempotencyWindowOrNotAtAll() throws Exception {
+    void retryIsSentWithinDedupWindowOrNotAtAll() throws Exception {
         Map<String, Long> firstWriteMsByReqId = new ConcurrentHashMap<>();
         List<Long> writeDelaysMs = new ArrayList<>();
         PodBehavior failsAfterDelay =
--- a/sidecar/src/test/java/mulleinlever/sidecar/ReconnectBackoffTest.java
+++ b/sidecar/src/test/java/mulleinlever/sidecar/ReconnectBackoffTest.java
@@ -9,8 +9,8 @@
 
 /** Tests the delays before a single sidecar reconnects and the rate at which a fleet does. */
 class ReconnectBackoffTest {
-    private static final long NS_PER_MS = 1_000_000L;
-    private static final long NS_PER_S = 1_000 * NS_PER_MS;
+    private static final long MILLISECOND_NS = 1_000_000L;
+    private static final long SECOND_NS = 1_000 * MILLISECOND_NS;
 
     /** An attempt of one sidecar of the fleet to connect. */
     private record ConnectAttempt(long atNs, int sidecar) {}
@@ -28,17 +28,17 @@
         for (int i = 0; i < sidecars; i++) {
             backoffs[i] =
                     new ReconnectBackoff(
-                            300 * NS_PER_MS,
+                            300 * MILLISECOND_NS,
                             ReconnectBackoff.maxDelayNs(sidecars, callsPerSecond),
                             i);
             pendingAttempts.add(new ConnectAttempt(0, i));
         }
         int delaysGrownS =
-                (int) (2 * ReconnectBackoff.maxDelayNs(sidecars, callsPerSecond) / NS_PER_S) + 3;
+                (int) (2 * ReconnectBackoff.maxDelayNs(sidecars, callsPerSecond) / SECOND_NS) + 3;
         int[] attemptsBySecond = new int[delaysGrownS + 40];
-        while (pendingAttempts.peek().atNs < (delaysGrownS + 40) * NS_PER_S) {
+        while (pendingAttempts.peek().atNs < (delaysGrownS + 40) * SECOND_NS) {
             ConnectAttempt attempt = pendingAttempts.poll();
-            attemptsBySecond[(int) (attempt.atNs / NS_PER_S)]++;
+            attemptsBySecond[(int) (attempt.atNs / SECOND_NS)]++;
             backoffs[attempt.sidecar].recordOpened(attempt.atNs);
             long endedNs = attempt.atNs + failsAfterNs;
             pendingAttempts.add(
@@ -56,21 +56,24 @@
     @Test
     void jitterSpreadsReconnectsOfFleet() {
         assertTrue(
-                maxAttemptsPerSecond(14, 16, NS_PER_MS) <= 16,
-                maxAttemptsPerSecond(14, 16, NS_PER_MS) + " attempts in a second, peer refuses");
+                maxAttemptsPerSecond(14, 16, MILLISECOND_NS) <= 16,
+                maxAttemptsPerSecond(14, 16, MILLISECOND_NS)
+                        + " attempts in a second, peer refuses");
         // A hundred sidecars begin at the same time. Delays of 6 to 12 s do not spread them enough
         // for each second to stay below 16.
         assertTrue(
-                maxAttemptsPerSecond(100, 16, NS_PER_MS) <= 24,
-                maxAttemptsPerSecond(100, 16, NS_PER_MS) + " attempts in a second, peer refuses");
+                maxAttemptsPerSecond(100, 16, MILLISECOND_NS) <= 24,
+                maxAttemptsPerSecond(100, 16, MILLISECOND_NS)
+                        + " attempts in a second, peer refuses");
         assertTrue(
-                maxAttemptsPerSecond(100, 100, NS_PER_MS) <= 100,
-                maxAttemptsPerSecond(100, 100, NS_PER_MS) + " attempts in a second, peer refuses");
+                maxAttemptsPerSecond(100, 100, MILLISECOND_NS) <= 100,
+                maxAttemptsPerSecond(100, 100, MILLISECOND_NS)
+                        + " attempts in a second, peer refuses");
         // A connection to an unresponsive peer is given up after 2 s. Without jitter, all sidecars
         // would reconnect at the same moment forever.
         assertTrue(
-                maxAttemptsPerSecond(14, 16, 2 * NS_PER_S) <= 10,
-                maxAttemptsPerSecond(14, 16, 2 * NS_PER_S)
+                maxAttemptsPerSecond(14, 16, 2 * SECOND_NS) <= 10,
+                maxAttemptsPerSecond(14, 16, 2 * SECOND_NS)
                         + " attempts in a second, peer unresponsive");
     }
 
@@ -78,8 +81,8 @@
     void delayStaysWithinReferenceBounds() {
         for (int seed = 0; seed < 200; seed++) {
             var random = new SplittableRandom(seed);
-            long initialDelayNs = 1 + random.nextLong(500 * NS_PER_MS);
-            long maxDelayNs = random.nextLong(5 * NS_PER_S);
+            long initialDelayNs = 1 + random.nextLong(500 * MILLISECOND_NS);
+            long maxDelayNs = random.nextLong(5 * SECOND_NS);
             ReconnectBackoff backoff = new ReconnectBackoff(initialDelayNs, maxDelayNs, seed);
             long boundNs = Math.max(initialDelayNs, maxDelayNs);
             long nowNs = 0;
@@ -88,8 +91,8 @@
                 backoff.recordOpened(nowNs);
                 long openForNs =
                         random.nextBoolean()
-                                ? random.nextLong(100 * NS_PER_MS)
-                                : random.nextLong(12 * NS_PER_S);
+                                ? random.nextLong(100 * MILLISECOND_NS)
+                                : random.nextLong(12 * SECOND_NS);
                 consecutiveFailures =
                         openForNs > boundNs + initialDelayNs ? 0 : consecutiveFailures;
                 nowNs += openForNs;
@@ -98,7 +101,7 @@
                         Math.min(boundNs, initialDelayNs * Math.pow(2, consecutiveFailures++));
                 assertTrue(
                         delayNs >= (long) fullDelayNs / 2 && delayNs <= fullDelayNs,
-                        "seed " + seed + ": " + delayNs + " of " + fullDelayNs);
+                        "seed " + seed + ": " + delayNs + " ns, full delay " + fullDelayNs + " ns");
                 nowNs += delayNs;
             }
         }
@@ -106,8 +109,8 @@
 
     @Test
     void maxDelayIsBoundedForInvalidInput() {
-        assertEquals(60 * NS_PER_S, ReconnectBackoff.maxDelayNs(1000, -5));
-        assertEquals(60 * NS_PER_S, ReconnectBackoff.maxDelayNs(1000, Double.NaN));
+        assertEquals(60 * SECOND_NS, ReconnectBackoff.maxDelayNs(1000, -5));
+        assertEquals(60 * SECOND_NS, ReconnectBackoff.maxDelayNs(1000, Double.NaN));
         assertEquals(0, ReconnectBackoff.maxDelayNs(3, Double.POSITIVE_INFINITY));
     }
 }
--- a/sidecar/src/test/java/mulleinlever/sidecar/SidecarProcessTest.java
+++ b/sidecar/src/test/java/mulleinlever/sidecar/SidecarProcessTest.java
@@ -102,11 +102,11 @@
                     return false;
                 };
         startPod(truncatingPod);
-        startPod((query, out) -> sendRow(out, "whole"));
+        startPod((query, out) -> sendRow(out, "complete"));
         startSidecar();
         try (Client client = new Client()) {
             for (int i = 0; i < 10; i++) {
-                assertEquals("TDwholeC", client.execute(selectSql("1", 1000)));
+                assertEquals("TDcompleteC", client.execute(selectSql("1", 1000)));
             }
         }
         assertFalse(pods.get(0).received.isEmpty());
@@ -133,7 +133,7 @@
                 });
         startSidecar();
         try (Client client = new Client()) {
-            assertEquals("E53300 with advice", client.execute(insertSql("1", 800)));
+            assertEquals("E53300 with retry delay", client.execute(insertSql("1", 800)));
             // The insert ran, but the pod returned no row that could be forwarded.
             assertEquals("EXX000", client.execute(insertSql("rowless", 800)));
             closesConnection[0] = true;
@@ -390,7 +390,7 @@
         watchesSilent = true;
         long silentSinceNs = System.nanoTime();
         awaitTrue(() -> platform.received.size() > 1);
-        // News sent meanwhile reaches no sidecar, so that a bad build may be approved.
+        // A complaint or tally sent meanwhile is lost, so that a bad build may be approved.
         assertTrue(System.nanoTime() - silentSinceNs < 3_000_000_000L);
         // Both watches are opened on new connections while the old ones are open and silent.
         awaitTrue(() -> platform.received.size() > 1 && discovery.received.size() > 1);
@@ -424,7 +424,7 @@
     @Test
     void sendsVotesAndAppliesResponses() throws Exception {
         progressLine = "* progress 2 0 testing 0.2 100";
-        ballotResponse = "OK 2 1 testing 0.7 0";
+        voteResponse = "OK 2 1 testing 0.7 0";
         startPod((query, out) -> sendRow(out, "v"));
         startSidecar();
         awaitTrue(() -> platform.received.contains("BALLOT 2 1 approve"));
@@ -434,8 +434,9 @@
     }
 
     @Test
-    void ignoresOutdatedNews() throws Exception {
-        // The response to a vote reports stage 1. News written earlier is read after it and must
+    void ignoresOutdatedRolloutStatus() throws Exception {
+        // The response to a vote reports stage 1. A status written earlier is read after it and
+        // must
         // not take effect.
         progressLine =
                 "* progress 2 1 testing 0.7 0\r\n* progress 2 0 testing 0.2 900\r\n* progress 2 1 testing 0.7 9";
@@ -487,13 +488,13 @@
             client.sendQuery(selectSql("slow", 1400));
             awaitTrue(() -> pods.get(0).received.size() == 1);
             Files.writeString(writeConfig(256), "{\"name\":\"n0\"");
-            sendHangup();
+            sendSighup();
             awaitTrue(() -> logText().contains("reload: nothing is changed: JSON: expected }"));
             Path configFile = writeConfig(256);
             Files.writeString(
                     configFile,
                     Files.readString(configFile).replace("\"listen\":\"127", "\"listen\":\"x127"));
-            sendHangup();
+            sendSighup();
             awaitTrue(
                     () ->
                             logText()
@@ -501,8 +502,8 @@
                                             "reload: nothing is changed: configuration: listen needs"));
             assertEquals(0, discovery.received.size() + platform.received.size());
             writeConfig(99);
-            sendHangup();
-            sendHangup();
+            sendSighup();
+            sendSighup();
             awaitTrue(() -> platform.received.contains("NOTIFY") && discovery.received.size() == 1);
             assertEquals(
                     "GET /discovery/hosts?stream=1&index=7 HTTP/1.1", discovery.received.get(0));
@@ -516,7 +517,7 @@
             // req is sent any more.
             discoveryLines.add(podListJson(8, false, podJson(0, 1, "gone")));
             awaitTrue(() -> pods.get(0).openSockets.isEmpty());
-            assertEquals("E53300 with advice", client.execute(selectSql("1", 800)));
+            assertEquals("E53300 with retry delay", client.execute(selectSql("1", 800)));
         }
         assertEquals(1, Collections.frequency(platform.received, "NOTIFY"));
     }
--- a/sidecar/src/test/java/mulleinlever/sidecar/SidecarTestBase.java
+++ b/sidecar/src/test/java/mulleinlever/sidecar/SidecarTestBase.java
@@ -133,7 +133,7 @@
     /** Whether discovery and the platform send nothing more on open connections. */
     volatile boolean watchesSilent;
 
-    volatile String ballotResponse = "OK 1 2 live 1 5000";
+    volatile String voteResponse = "OK 1 2 live 1 5000";
     volatile String progressLine = "* progress 1 2 live 1 5000";
 
     /**
@@ -271,7 +271,7 @@
         String request = readLine(in);
         platform.received.add(request);
         out.writeBytes(
-                (request.equals("NOTIFY") ? "OK\r\n" + progressLine : ballotResponse) + "\r\n");
+                (request.equals("NOTIFY") ? "OK\r\n" + progressLine : voteResponse) + "\r\n");
         while (request.equals("NOTIFY")) {
             Thread.sleep(100);
             out.writeBytes(watchesSilent ? "" : "*\r\n");
@@ -382,7 +382,7 @@
     }
 
     /** Sends SIGHUP, on which the sidecar reloads its configuration. */
-    void sendHangup() throws Exception {
+    void sendSighup() throws Exception {
         assertEquals(
                 0, new ProcessBuilder("sh", "-c", "kill -HUP " + process.pid()).start().waitFor());
     }
@@ -476,8 +476,8 @@
 
     /**
      * A client's connection to the sidecar. A message reads as its type letter, a DataRow with its
-     * value, an ErrorResponse with its SQLSTATE and, if it carries a retry delay, {@code with
-     * advice}.
+     * value, an ErrorResponse with its SQLSTATE and, if it carries a retry delay, {@code with retry
+     * delay}.
      */
     final class Client implements Closeable {
         final Socket socket = new Socket(InetAddress.getLoopbackAddress(), port);
@@ -509,7 +509,7 @@
                 case 'E' ->
                         "E"
                                 + text.replaceAll("(?s).*\0C(.{5})\0.*", "$1")
-                                + (text.contains("\0D") ? " with advice" : "");
+                                + (text.contains("\0D") ? " with retry delay" : "");
                 default -> String.valueOf(type);
             };
         }
--- a/sidecar/src/test/java/mulleinlever/sidecar/SoakRun.java
+++ b/sidecar/src/test/java/mulleinlever/sidecar/SoakRun.java
@@ -203,15 +203,15 @@
             } else {
                 String[] entries =
                         faultyPods.stream()
-                                .filter(s -> !s.lifecycle.equals("gone"))
-                                .map(s -> podJson(s.index, 1, s.lifecycle))
+                                .filter(p -> !p.lifecycle.equals("gone"))
+                                .map(p -> podJson(p.index, 1, p.lifecycle))
                                 .toArray(String[]::new);
                 List<FaultyPod> notReady =
-                        faultyPods.stream().filter(s -> !s.lifecycle.equals("ready")).toList();
+                        faultyPods.stream().filter(p -> !p.lifecycle.equals("ready")).toList();
                 writeChunks(out, podListJson(version, true, entries) + "\n");
                 notReady.stream()
-                        .filter(s -> !s.lifecycle.equals("ready"))
-                        .forEach(s -> s.removalSentMs = Math.min(s.removalSentMs, elapsedMs()));
+                        .filter(p -> !p.lifecycle.equals("ready"))
+                        .forEach(p -> p.removalSentMs = Math.min(p.removalSentMs, elapsedMs()));
                 sentVersion = version;
             }
             for (int i = 0; i < 20 && listVersion == sentVersion; i++) {
@@ -294,7 +294,7 @@
                 discovery = new FakeServer(this::serveList);
                 writeConfig(256);
                 discoveryMovedMs = elapsedMs();
-                sendHangup();
+                sendSighup();
                 startDaemonThread(
                         () -> {
                             Thread.sleep(1_500);
@@ -418,10 +418,10 @@
             addEvent("recovery begins");
             discoveryBehavior = DiscoveryBehavior.HEALTHY;
             faultyPods.forEach(
-                    s -> {
-                        s.resetsLeft = 0;
-                        s.errorsLeft = 0;
-                        s.responseDelayMs = 0;
+                    p -> {
+                        p.resetsLeft = 0;
+                        p.errorsLeft = 0;
+                        p.responseDelayMs = 0;
                     });
             Thread.sleep(RECOVERY_MS);
             servedCount.set(0);
--- a/sidecar/src/test/java/mulleinlever/sidecar/StalePodListTest.java
+++ b/sidecar/src/test/java/mulleinlever/sidecar/StalePodListTest.java
@@ -92,7 +92,7 @@
         startSidecar();
         try (Client client = new Client()) {
             long startNs = System.nanoTime();
-            assertEquals("E53300 with advice", client.execute(selectSql("1", 1400)));
+            assertEquals("E53300 with retry delay", client.execute(selectSql("1", 1400)));
             assertTrue(System.nanoTime() - startNs < SECOND_NS / 2, "rejected later than 0.5 s");
             sendReqsUntil(client, System.nanoTime() + 4 * SECOND_NS);
             assertEquals(0, pod.received.size());
@@ -203,8 +203,8 @@
         assertEquals(2, discovery.received.size(), discovery.received.toString());
     }
 
-    // Report abbe30: reqs went to pods that had been removed, because the sidecar kept using a list
-    // that discovery no longer confirmed.
+    // Report abbe30: reqs went to pods that had been removed, because the sidecar continued to use
+    // a list that discovery no longer confirmed.
     @Test
     void removedPodIsNotUsedAfterPropagationDeadlineWithoutListUpdate() throws Exception {
         List<Long> sentToPod0Ns = new CopyOnWriteArrayList<>();
@@ -232,7 +232,7 @@
             int[] countsBeforeReturn = sendReqsUntil(client, removedNs + 5 * SECOND_NS);
             assertTrue(
                     countsBeforeReturn[0] > 0.9 * countsBeforeReturn[1],
-                    countsBeforeReturn[0] + " of " + countsBeforeReturn[1]);
+                    countsBeforeReturn[0] + " of " + countsBeforeReturn[1] + " reqs served");
             draining[0] = false;
             pods.get(0).listenAgain();
             int[] countsAfterReturn = sendReqsUntil(client, removedNs + 14 * SECOND_NS);
@@ -243,7 +243,7 @@
             // The other pod serves reqs all the time, which shows that it has not left.
             assertTrue(
                     countsAfterReturn[0] > 0.9 * countsAfterReturn[1],
-                    countsAfterReturn[0] + " of " + countsAfterReturn[1]);
+                    countsAfterReturn[0] + " of " + countsAfterReturn[1] + " reqs served");
         }
         assertEquals(0, logText().lines().filter(l -> l.contains("fault")).count(), logText());
     }
--- a/sidecar/src/test/java/mulleinlever/sidecar/StatePersistenceTest.java
+++ b/sidecar/src/test/java/mulleinlever/sidecar/StatePersistenceTest.java
@@ -144,7 +144,7 @@
             lastSequence = newestSequence();
             assertTrue(
                     lastSequence >= sequenceBeforeKill && sequenceBeforeKill > startSequence,
-                    lastSequence + " after " + sequenceBeforeKill);
+                    "file " + lastSequence + " after file " + sequenceBeforeKill);
         }
     }
 
@@ -231,7 +231,7 @@
         startPod((q, out) -> sendRow(out, "v"));
         startSidecar();
         for (int i = 0; i < 20; i++) {
-            sendHangup();
+            sendSighup();
             Thread.sleep(7);
         }
         long startSequence = newestSequence();
--- a/sidecar/src/test/java/mulleinlever/sidecar/WarmUpTest.java
+++ b/sidecar/src/test/java/mulleinlever/sidecar/WarmUpTest.java
@@ -33,7 +33,7 @@
         var finishedWarmUps = startWarmUp(POD_JSON);
         assertEquals(
                 WarmUp.REQ_COUNT, finishedWarmUps.poll(20, TimeUnit.SECONDS).completedReqCount());
-        assertNull(finishedWarmUps.poll(2, TimeUnit.SECONDS), "called back twice");
+        assertNull(finishedWarmUps.poll(2, TimeUnit.SECONDS), "the warm-up finished twice");
     }
 
     @Test
