--- a/sidecar/src/test/java/mulleinlever/sidecar/ReconnectBackoffTest.java
+++ b/sidecar/src/test/java/mulleinlever/sidecar/ReconnectBackoffTest.java
@@ -101,7 +101,7 @@
                         Math.min(boundNs, initialDelayNs * Math.pow(2, consecutiveFailures++));
                 assertTrue(
                         delayNs >= (long) fullDelayNs / 2 && delayNs <= fullDelayNs,
-                        "seed " + seed + ": " + delayNs + " ns, full delay " + fullDelayNs + " ns");
+                        "seed " + seed + ": delay in ns: " + delayNs + " of " + fullDelayNs);
                 nowNs += delayNs;
             }
         }
--- a/sidecar/src/test/java/mulleinlever/sidecar/StalePodListTest.java
+++ b/sidecar/src/test/java/mulleinlever/sidecar/StalePodListTest.java
@@ -232,7 +232,7 @@
             int[] countsBeforeReturn = sendReqsUntil(client, removedNs + 5 * SECOND_NS);
             assertTrue(
                     countsBeforeReturn[0] > 0.9 * countsBeforeReturn[1],
-                    countsBeforeReturn[0] + " of " + countsBeforeReturn[1] + " reqs served");
+                    countsBeforeReturn[0] + " reqs served of " + countsBeforeReturn[1]);
             draining[0] = false;
             pods.get(0).listenAgain();
             int[] countsAfterReturn = sendReqsUntil(client, removedNs + 14 * SECOND_NS);
@@ -243,7 +243,7 @@
             // The other pod serves reqs all the time, which shows that it has not left.
             assertTrue(
                     countsAfterReturn[0] > 0.9 * countsAfterReturn[1],
-                    countsAfterReturn[0] + " of " + countsAfterReturn[1] + " reqs served");
+                    countsAfterReturn[0] + " reqs served of " + countsAfterReturn[1]);
         }
         assertEquals(0, logText().lines().filter(l -> l.contains("fault")).count(), logText());
     }
--- a/sidecar/src/test/java/mulleinlever/sidecar/StatePersistenceTest.java
+++ b/sidecar/src/test/java/mulleinlever/sidecar/StatePersistenceTest.java
@@ -144,7 +144,9 @@
             lastSequence = newestSequence();
             assertTrue(
                     lastSequence >= sequenceBeforeKill && sequenceBeforeKill > startSequence,
-                    "file " + lastSequence + " after file " + sequenceBeforeKill);
+                    lastSequence
+                            + " is the newest file, before the kill it was "
+                            + sequenceBeforeKill);
         }
     }
 
