--- a/sidecar/src/main/java/mulleinlever/sidecar/JsonObjectAssembler.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/JsonObjectAssembler.java
@@ -8,7 +8,10 @@
 final class JsonObjectAssembler {
     private final int maxLength;
     private final StringBuilder partialObject = new StringBuilder();
+
+    /** The number of objects and arrays that are open at the end of the last line. */
     private int depth;
+
     private boolean inString;
     private boolean escaped;
 
--- a/sidecar/src/main/java/mulleinlever/sidecar/LineConnection.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/LineConnection.java
@@ -160,8 +160,8 @@
     }
 
     /**
-     * Returns, for the log, what happened on this connection and when, in milliseconds since it
-     * began to open.
+     * Returns a description of this connection for the log: the times of its events, in
+     * milliseconds since it began to open, and the numbers of bytes and lines received.
      */
     final String describeProgress() {
         return String.format(
--- a/sidecar/src/main/java/mulleinlever/sidecar/PodConnection.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/PodConnection.java
@@ -56,6 +56,8 @@
     private boolean podReady;
 
     private boolean closed;
+
+    /** The part of the response to the current try that was received so far. */
     final PodResponseHandler.PartialResponse response = new PodResponseHandler.PartialResponse();
 
     /** The time at which the connection last became idle; the cooldown counts from here. */
@@ -144,9 +146,10 @@
     }
 
     /**
-     * Closes the connection unless it carries a try. A try that waits for it fails to connect, and
-     * the policy may send another elsewhere. Called when the connection takes too long to open and
-     * when the pod must not receive new reqs.
+     * Closes the connection unless the req of its try is being or was written. A try that still
+     * waits for the connection fails to connect, and the policy may start another one to another
+     * pod. Called when the connection takes too long to open and when the pod must not receive new
+     * reqs.
      */
     void closeUnlessActive() {
         if (!tryActive) {
--- a/sidecar/src/main/java/mulleinlever/sidecar/PodResponseHandler.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/PodResponseHandler.java
@@ -31,7 +31,7 @@
             parts.addComponent(true, part);
         }
 
-        /** Releases what has been received. */
+        /** Releases the part received so far. */
         void clear() {
             if (parts != null) {
                 parts.release();
--- a/sidecar/src/main/java/mulleinlever/sidecar/StatePersistence.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/StatePersistence.java
@@ -188,7 +188,7 @@
                 : snapshotAgeNs / 1_000_000 / 1e3 + " s old";
     }
 
-    /** Returns what the loaded values have to match to be restored. */
+    /** Returns the zone, routes and pods that the loaded values have to match to be restored. */
     private SnapshotFilter.RestoreContext restoreContext() {
         Map<String, PodEntry> pods = new HashMap<>();
         Map<String, String> addresses = new HashMap<>();
--- a/sidecar/src/main/java/mulleinlever/sidecar/TryDispatcher.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/TryDispatcher.java
@@ -77,7 +77,7 @@
     }
 
     /**
-     * Cancels a try, unless it has ended. Its connection is closed, which tells the pod to stop.
+     * Cancels a try, unless it has ended. Its connection is closed, which signals the pod to stop.
      */
     void cancelTry(UpstreamTry upstreamTry) {
         if (!upstreamTry.hasEnded()) {
--- a/sidecar/src/test/java/mulleinlever/sidecar/SidecarProcessTest.java
+++ b/sidecar/src/test/java/mulleinlever/sidecar/SidecarProcessTest.java
@@ -65,6 +65,7 @@
         startSidecar();
         try (Client client = new Client(false)) {
             var input = new ByteArrayOutputStream();
+            // SSLRequest, which is answered with N before the startup message.
             input.write(new byte[] {0, 0, 0, 8, 4, -46, 22, 47});
             input.write(startupMessage());
             input.write(queryMessage(selectSql("a", 1000)));
@@ -278,7 +279,7 @@
         }
     }
 
-    /** Returns the response with a row whose value is the ref that the query asks for. */
+    /** Returns the response with a row whose value is the ref in the query. */
     private static byte[] rowWithRequestedRef(String query) throws IOException {
         return rowResponse(
                 query.replaceAll(".*ref = '(.*?)'.*", "$1").getBytes(StandardCharsets.UTF_8));
@@ -390,7 +391,7 @@
         watchesSilent = true;
         long silentSinceNs = System.nanoTime();
         awaitTrue(() -> platform.received.size() > 1);
-        // A complaint or tally sent meanwhile is lost, so that a bad build may be approved.
+        // Notifications sent meanwhile are lost, so that a bad build may be approved.
         assertTrue(System.nanoTime() - silentSinceNs < 3_000_000_000L);
         // Both watches are opened on new connections while the old ones are open and silent.
         awaitTrue(() -> platform.received.size() > 1 && discovery.received.size() > 1);
--- a/sidecar/src/test/java/mulleinlever/sidecar/SidecarTestBase.java
+++ b/sidecar/src/test/java/mulleinlever/sidecar/SidecarTestBase.java
@@ -564,7 +564,7 @@
                 ref, ++lastReqId, timeoutMs);
     }
 
-    /** Returns an idempotent write with a new req id, whose client waits for the given time. */
+    /** Returns a write with a dedup key and a new req id; its client waits for the given time. */
     String insertSql(String value, int timeoutMs) {
         return String.format(
                 "INSERT INTO entries (ref, payload) VALUES ('7f', '%s') RETURNING payload"
--- a/sidecar/src/test/java/mulleinlever/sidecar/StatePersistenceTest.java
+++ b/sidecar/src/test/java/mulleinlever/sidecar/StatePersistenceTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Checks what a sidecar process keeps across restarts, kills and disk faults. */
+/** Tests the state that a sidecar process keeps across restarts, kills and disk faults. */
 @Timeout(120)
 class StatePersistenceTest extends SidecarTestBase {
     private static final long MAX_FILE_BYTES = 1 << 20;
