--- a/sidecar/src/main/java/mulleinlever/sidecar/PodConnection.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/PodConnection.java
@@ -13,7 +13,7 @@
 
 /**
  * One connection to a pod. It opens and completes the PostgreSQL handshake, then carries one try at
- * a time and is idle in between, where each response is followed by a cooldown. Called on the event
+ * a time and is idle in between, where each response is followed by a cooldown. Called by the event
  * loop only.
  */
 final class PodConnection extends ChannelInboundHandlerAdapter {
@@ -32,7 +32,7 @@
 
     private final PodConnectionPool connectionPool;
     private final PodResponseHandler responseHandler;
-    private final TryDispatcher dispatcher;
+    private final TryDispatcher tryDispatcher;
     private final Clock clock;
     private final RateLimitedLog log;
     private Channel channel;
@@ -56,6 +56,8 @@
     private boolean podReady;
 
     private boolean closed;
+
+    /** The part of the response to the current try that was received so far. */
     final PodResponseHandler.PartialResponse response = new PodResponseHandler.PartialResponse();
 
     /** The time at which the connection last became idle; the cooldown counts from here. */
@@ -66,14 +68,14 @@
             InetSocketAddress address,
             PodConnectionPool connectionPool,
             PodResponseHandler responseHandler,
-            TryDispatcher dispatcher,
+            TryDispatcher tryDispatcher,
             Clock clock,
             RateLimitedLog log) {
         this.podId = podId;
         this.address = address;
         this.connectionPool = connectionPool;
         this.responseHandler = responseHandler;
-        this.dispatcher = dispatcher;
+        this.tryDispatcher = tryDispatcher;
         this.clock = clock;
         this.log = log;
         this.connectStartNs = clock.nowNs();
@@ -112,7 +114,7 @@
     void cooldownEnded(UpstreamTry upstreamTry) {
         if (currentTry == upstreamTry && !tryActive && !closed) {
             connectionPool.removePending(this);
-            dispatcher.writeReq(upstreamTry, this);
+            tryDispatcher.writeReq(upstreamTry, this);
         }
     }
 
@@ -140,15 +142,16 @@
         if (!handshakeComplete && !closed) {
             connectionPool.recordConnectTimeout();
         }
-        closeUnlessCarrying();
+        closeUnlessActive();
     }
 
     /**
-     * Closes the connection unless it carries a try. A try that waits for it fails to connect, and
-     * the policy may send another elsewhere. Called when the connection takes too long to open and
-     * when the pod must not receive new reqs.
+     * Closes the connection unless the req of its try is being or was written. A try that still
+     * waits for the connection fails to connect, and the policy may start another one to another
+     * pod. Called when the connection takes too long to open and when the pod must not receive new
+     * reqs.
      */
-    void closeUnlessCarrying() {
+    void closeUnlessActive() {
         if (!tryActive) {
             closeAndResetTry();
         }
@@ -200,7 +203,7 @@
         close();
         if (upstreamTry != null) {
             upstreamTry.connection = null;
-            dispatcher.endTry(upstreamTry, TryOutcome.RESET);
+            tryDispatcher.endTry(upstreamTry, TryOutcome.RESET);
         }
     }
 
@@ -214,7 +217,7 @@
         close();
         if (upstreamTry != null) {
             upstreamTry.connection = null;
-            dispatcher.openConnection(upstreamTry);
+            tryDispatcher.openConnection(upstreamTry);
         }
     }
 
@@ -272,7 +275,7 @@
             connectionPool.connectionReady(this);
             connectTimeoutTask.cancel(false);
             if (currentTry != null) {
-                dispatcher.writeReq(currentTry, this);
+                tryDispatcher.writeReq(currentTry, this);
             }
         }
     }
--- a/sidecar/src/main/java/mulleinlever/sidecar/StatePersistence.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/StatePersistence.java
@@ -188,7 +188,7 @@
                 : snapshotAgeNs / 1_000_000 / 1e3 + " s old";
     }
 
-    /** Returns what the loaded values have to match to be restored. */
+    /** Returns the zone, routes and pods that the loaded values have to match to be restored. */
     private SnapshotFilter.RestoreContext restoreContext() {
         Map<String, PodEntry> pods = new HashMap<>();
         Map<String, String> addresses = new HashMap<>();
@@ -253,8 +253,8 @@
                         startId,
                         0,
                         clock.nowNs() / 1_000_000,
-                        components.discovery.listVersion()),
-                components.releasePlatform.latestStatusOr(config.initialRolloutStatus()));
+                        components.discoveryClient.listVersion()),
+                components.releasePlatformClient.latestStatusOr(config.initialRolloutStatus()));
     }
 
     /**
--- a/sidecar/src/test/java/mulleinlever/sidecar/StatePersistenceTest.java
+++ b/sidecar/src/test/java/mulleinlever/sidecar/StatePersistenceTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Checks what a sidecar process keeps across restarts, kills and disk faults. */
+/** Tests the state that a sidecar process keeps across restarts, kills and disk faults. */
 @Timeout(120)
 class StatePersistenceTest extends SidecarTestBase {
     private static final long MAX_FILE_BYTES = 1 << 20;
@@ -144,7 +144,9 @@
             lastSequence = newestSequence();
             assertTrue(
                     lastSequence >= sequenceBeforeKill && sequenceBeforeKill > startSequence,
-                    lastSequence + " after " + sequenceBeforeKill);
+                    lastSequence
+                            + " is the newest file, before the kill it was "
+                            + sequenceBeforeKill);
         }
     }
 
@@ -231,7 +233,7 @@
         startPod((q, out) -> sendRow(out, "v"));
         startSidecar();
         for (int i = 0; i < 20; i++) {
-            sendHangup();
+            sendSighup();
             Thread.sleep(7);
         }
         long startSequence = newestSequence();
