--- a/cli/src/main/java/mulleinlever/cli/RootCommand.java
+++ b/cli/src/main/java/mulleinlever/cli/RootCommand.java
@@ -26,7 +26,7 @@
     static final class VersionProvider implements IVersionProvider {
         @Override
         public String[] getVersion() {
-            return new String[] {"mulleinlever " + Version.TEXT};
+            return new String[] {"mulleinlever " + Version.VERSION};
         }
     }
 }
--- a/cli/src/main/java/mulleinlever/cli/StateCommand.java
+++ b/cli/src/main/java/mulleinlever/cli/StateCommand.java
@@ -93,7 +93,7 @@
                     StateStore.LoadResult loaded =
                             StateStore.readNewest(
                                     new FileSystemDirectory(file), MAX_FILE_BYTES, null);
-                    loaded.skippedFiles().forEach(line -> err.println(file + "/" + line));
+                    loaded.notes().forEach(line -> err.println(file + "/" + line));
                     if (loaded.snapshot() == null) {
                         err.println(file + ": no intact state file");
                         return StateFileException.Kind.UNREADABLE.exitCode;
@@ -113,7 +113,7 @@
 
         private static String toJson(StateSnapshot snapshot) throws JsonProcessingException {
             Map<String, Object> root = new LinkedHashMap<>();
-            root.put("head", snapshot.head());
+            root.put("head", snapshot.header());
             Map<String, Object> rolloutStatus = new LinkedHashMap<>();
             rolloutStatus.put("build", snapshot.rolloutStatus().build());
             rolloutStatus.put("stage", snapshot.rolloutStatus().stage());
@@ -142,7 +142,7 @@
          * after decay, that it stands for.
          */
         private static String toTables(StateSnapshot snapshot) {
-            StateSnapshot.Header header = snapshot.head();
+            StateSnapshot.Header header = snapshot.header();
             long ageNs =
                     StateDecay.computeAgeNs(
                             header.unixMs(), System.currentTimeMillis() * 1_000_000L);
@@ -292,9 +292,9 @@
                             .println(
                                     file
                                             + ": sound, number "
-                                            + snapshot.head().sequence()
+                                            + snapshot.header().sequence()
                                             + " of "
-                                            + snapshot.head().instance()
+                                            + snapshot.header().instance()
                                             + ", "
                                             + snapshot.pods().size()
                                             + " pods");
--- a/core/src/main/java/mulleinlever/Settings.java
+++ b/core/src/main/java/mulleinlever/Settings.java
@@ -27,7 +27,7 @@
         RolloutSettings rollout,
         Contract contract,
         PolicyLimits policyLimits,
-        CostWeights prices,
+        Prices prices,
         ReportSource reportSource,
         boolean hasPodWeights) {
 
@@ -219,5 +219,5 @@
      * @param probe not used by the policy
      * @param lateFail not used by the policy
      */
-    public record CostWeights(double crossZone, double waste, double probe, double lateFail) {}
+    public record Prices(double crossZone, double waste, double probe, double lateFail) {}
 }
--- a/core/src/test/java/mulleinlever/PolicyHarness.java
+++ b/core/src/test/java/mulleinlever/PolicyHarness.java
@@ -116,7 +116,7 @@
                 rollout,
                 contract,
                 limits,
-                new Settings.CostWeights(0.02, 0.05, 0.01, 0.05),
+                new Settings.Prices(0.02, 0.05, 0.01, 0.05),
                 Settings.ReportSource.OFF,
                 true);
     }
--- a/core/src/test/java/mulleinlever/PolicyRulesModelTest.java
+++ b/core/src/test/java/mulleinlever/PolicyRulesModelTest.java
@@ -20,8 +20,8 @@
 /**
  * Checks the actions of a policy on generated days against a plain model of the five rules: a final
  * answer by the deadline and none that is unsafe to repeat, no unsafe retry, no try to a pod that
- * has left, no overload of a pod in slow start, and no exposure beyond the cap. The model works on
- * whole histories and is slow.
+ * has left, no overload of a pod in slow start, and no exposure beyond the cap. The model keeps the
+ * complete history and is slow.
  */
 class PolicyRulesModelTest {
     private record OpenTry(String reqId, int tryNumber, int build, long dueNs) {}
--- a/lab/src/main/java/mulleinlever/lab/RestartBenchmark.java
+++ b/lab/src/main/java/mulleinlever/lab/RestartBenchmark.java
@@ -485,7 +485,7 @@
             SnapshotFilter.RestoreResult restored =
                     SnapshotFilter.filter(
                             loaded.snapshot(),
-                            StateDecay.computeAgeNs(loaded.snapshot().head().unixMs(), nowNs),
+                            StateDecay.computeAgeNs(loaded.snapshot().header().unixMs(), nowNs),
                             new SnapshotFilter.RestoreContext(
                                     settings.zone(),
                                     settings.routes().stream()
--- a/lab/src/main/java/mulleinlever/lab/emu/EmulationSettings.java
+++ b/lab/src/main/java/mulleinlever/lab/emu/EmulationSettings.java
@@ -105,7 +105,7 @@
                 rollout,
                 contract,
                 limits,
-                new Settings.CostWeights(0.02, 0.08, 0.01, 0.08),
+                new Settings.Prices(0.02, 0.08, 0.01, 0.08),
                 Settings.ReportSource.OFF,
                 true);
     }
--- a/settings/src/main/java/mulleinlever/settings/FeatureSettings.java
+++ b/settings/src/main/java/mulleinlever/settings/FeatureSettings.java
@@ -21,28 +21,28 @@
     /**
      * The settings of the state that a sidecar keeps over restarts: the table {@code state}.
      *
-     * @param folder the folder of the state files, used by a single sidecar
-     * @param captureIntervalNs the mean time from one capture to the next, in nanoseconds
-     * @param jitterRatio the ratio by which the interval varies at random, so that many sidecars do
-     *     not write at the same time
+     * @param folder the folder of the state files, which no other sidecar may use
+     * @param snapshotIntervalNs the mean interval between two snapshots, in nanoseconds
+     * @param jitterRatio the share of the interval by which it varies at random, so that many
+     *     sidecars do not write at the same time
      * @param retainedFileCount the number of files to retain
      * @param maxFileBytes the maximum size of a file that is read or written
-     * @param readTimeoutNs the time after which start-up continues without the stored state, in
-     *     nanoseconds
+     * @param readTimeoutNs the maximum time that the start waits for the saved state to be read, in
+     *     nanoseconds; after that the sidecar starts without it
      * @param finalWriteTimeoutNs the maximum time for which the last write delays the end of the
      *     process, in nanoseconds
-     * @param maxCaptureSliceNs the maximum time for which one slice of a capture occupies the event
-     *     loop, in nanoseconds
+     * @param maxSnapshotSliceNs the maximum time for which a snapshot occupies the event loop at a
+     *     stretch, in nanoseconds
      */
     public record StateSettings(
             Path folder,
-            long captureIntervalNs,
+            long snapshotIntervalNs,
             double jitterRatio,
             int retainedFileCount,
             long maxFileBytes,
             long readTimeoutNs,
             long finalWriteTimeoutNs,
-            long maxCaptureSliceNs) {}
+            long maxSnapshotSliceNs) {}
 
     /**
      * Reads the settings from several files. Each table may be present in only one of them.
--- a/settings/src/main/java/mulleinlever/settings/SettingsReader.java
+++ b/settings/src/main/java/mulleinlever/settings/SettingsReader.java
@@ -4,9 +4,9 @@
 import java.util.List;
 import mulleinlever.Settings;
 import mulleinlever.Settings.Contract;
-import mulleinlever.Settings.CostWeights;
 import mulleinlever.Settings.DedupScope;
 import mulleinlever.Settings.PolicyLimits;
+import mulleinlever.Settings.Prices;
 import mulleinlever.Settings.ReportSource;
 import mulleinlever.Settings.RetrySafety;
 import mulleinlever.Settings.RolloutSettings;
@@ -68,8 +68,8 @@
                         (int) reader.getLong("policyLimits.streamsPerConn", 1),
                         reader.getLong("policyLimits.connectTimeoutNs", 0),
                         reader.getLong("policyLimits.connIdleNs", 0));
-        CostWeights costWeights =
-                new CostWeights(
+        Prices prices =
+                new Prices(
                         reader.getDouble("prices.crossZone", 0),
                         reader.getDouble("prices.waste", 0),
                         reader.getDouble("prices.probe", 0),
@@ -88,7 +88,7 @@
                 readRollout(reader),
                 contract,
                 limits,
-                costWeights,
+                prices,
                 reportSource,
                 !reader.getString("weights", "off").equals("off"));
     }
--- a/settings/src/main/java/mulleinlever/settings/Version.java
+++ b/settings/src/main/java/mulleinlever/settings/Version.java
@@ -7,7 +7,7 @@
 /** The program's version, which the build writes into {@code version.properties}. */
 public final class Version {
     /** The version, such as 1.2.3, or "unknown" if it can't be read. */
-    public static final String TEXT = read();
+    public static final String VERSION = read();
 
     private Version() {}
 
--- a/sidecar/src/main/java/mulleinlever/sidecar/ReqRegistry.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/ReqRegistry.java
@@ -77,7 +77,7 @@
         policy.onTryEnded(
                 nowNs,
                 upstreamTry.command.statement.id,
-                upstreamTry.tryNo,
+                upstreamTry.tryNumber,
                 outcome,
                 nowNs - upstreamTry.startedNs,
                 outcomeDecided);
--- a/sidecar/src/main/java/mulleinlever/sidecar/SidecarPolicyActions.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/SidecarPolicyActions.java
@@ -86,10 +86,10 @@
     }
 
     @Override
-    public void cancelTry(String reqId, int tryNo) {
+    public void cancelTry(String reqId, int tryNumber) {
         PendingCommand command = reqRegistry.find(reqId);
-        if (command != null && tryNo >= 0 && tryNo < command.tries.size()) {
-            tryDispatcher.cancelTry(command.tries.get(tryNo));
+        if (command != null && tryNumber >= 0 && tryNumber < command.tries.size()) {
+            tryDispatcher.cancelTry(command.tries.get(tryNumber));
         }
     }
 
--- a/sidecar/src/main/java/mulleinlever/sidecar/StatePersistence.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/StatePersistence.java
@@ -38,7 +38,7 @@
      */
     private static final long SLICE_PAUSE_NS = 1_000_000L;
 
-    private static final int MAX_LOGGED_SKIPPED_FILES = 3;
+    private static final int MAX_LOGGED_NOTES = 3;
 
     private final FeatureSettings.StateSettings stateSettings;
     private final SidecarConfig config;
@@ -101,15 +101,15 @@
         if (loaded == null) {
             return;
         }
-        loaded.skippedFiles().stream()
-                .limit(MAX_LOGGED_SKIPPED_FILES)
+        loaded.notes().stream()
+                .limit(MAX_LOGGED_NOTES)
                 .forEach(l -> log.info("state", "passed over " + l));
         if (loaded.snapshot() == null) {
-            log.info("state", "nothing taken: no whole file in " + stateSettings.folder());
+            log.info("state", "no state restored: no valid file in " + stateSettings.folder());
             loaded = null;
         } else {
             snapshotAgeNs =
-                    StateDecay.computeAgeNs(loaded.snapshot().head().unixMs(), clock.nowNs());
+                    StateDecay.computeAgeNs(loaded.snapshot().header().unixMs(), clock.nowNs());
         }
     }
 
@@ -141,7 +141,7 @@
             log.info(
                     "state",
                     "starting from list generation "
-                            + snapshot.head().listVersion()
+                            + snapshot.header().listVersion()
                             + " of the snapshot");
         }
         return config.withInitialState(
@@ -153,7 +153,7 @@
         Map<String, String> addresses = new LinkedHashMap<>();
         snapshot.pods().forEach(p -> addresses.put(p.learned().is().id(), p.address()));
         List<PodEntry> entries = snapshot.pods().stream().map(p -> p.learned().is()).toList();
-        return new PodList(snapshot.head().listVersion(), true, entries, addresses);
+        return new PodList(snapshot.header().listVersion(), true, entries, addresses);
     }
 
     /**
@@ -169,7 +169,7 @@
                     SnapshotFilter.filter(loaded.snapshot(), snapshotAgeNs, restoreContext());
             restored.restoredValues()
                     .forEach(l -> components.policy.restoreLearned(clock.nowNs(), l));
-            boolean fromOtherMachine = !loaded.snapshot().head().machine().equals(machineHash());
+            boolean fromOtherMachine = !loaded.snapshot().header().machine().equals(machineHash());
             log.info(
                     "state",
                     loaded.fileName()
@@ -179,7 +179,7 @@
                             + restored);
             loaded = null;
         }
-        scheduleCapture();
+        scheduleSnapshot();
     }
 
     private String describeAge() {
@@ -212,18 +212,18 @@
     }
 
     /**
-     * Schedules the next capture, with jitter so that sidecars that started together do not write
-     * at the same time. A capture is skipped while the store is still writing.
+     * Schedules the next snapshot, with jitter so that sidecars that started together do not write
+     * at the same time. A snapshot is skipped while the store is still writing.
      */
-    private void scheduleCapture() {
+    private void scheduleSnapshot() {
         double jitterFactor = 1 + stateSettings.jitterRatio() * (2 * random.nextDouble() - 1);
         transport.schedule(
-                (long) (stateSettings.captureIntervalNs() * jitterFactor),
+                (long) (stateSettings.snapshotIntervalNs() * jitterFactor),
                 () -> {
                     if (store.isIdle()) {
                         captureSlice(newSnapshotBuilder());
                     } else {
-                        scheduleCapture();
+                        scheduleSnapshot();
                     }
                 });
     }
@@ -235,9 +235,10 @@
 
     /** Captures for one time slice; offers the snapshot to the store once it is complete. */
     private void captureSlice(SnapshotBuilder builder) {
-        if (builder.collectUntil(clock::nowNs, clock.nowNs() + stateSettings.maxCaptureSliceNs())) {
+        if (builder.collectUntil(
+                clock::nowNs, clock.nowNs() + stateSettings.maxSnapshotSliceNs())) {
             store.offer(toSnapshot(builder));
-            scheduleCapture();
+            scheduleSnapshot();
         } else {
             transport.schedule(SLICE_PAUSE_NS, () -> captureSlice(builder));
         }
@@ -246,7 +247,7 @@
     private StateSnapshot toSnapshot(SnapshotBuilder builder) {
         return builder.toSnapshot(
                 new StateSnapshot.Header(
-                        Version.TEXT,
+                        Version.VERSION,
                         config.name(),
                         machineHash(),
                         config.settings().zone(),
--- a/sidecar/src/main/java/mulleinlever/sidecar/UpstreamTry.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/UpstreamTry.java
@@ -11,7 +11,7 @@
     final PendingCommand command;
 
     /** The index of this try among the tries of its req, from 0. */
-    final int tryNo;
+    final int tryNumber;
 
     final String podId;
     final long startedNs;
@@ -39,13 +39,13 @@
 
     UpstreamTry(
             PendingCommand command,
-            int tryNo,
+            int tryNumber,
             String podId,
             long startedNs,
             long writeDeadlineNs,
             long deadlineNs) {
         this.command = command;
-        this.tryNo = tryNo;
+        this.tryNumber = tryNumber;
         this.podId = podId;
         this.startedNs = startedNs;
         this.writeDeadlineNs = writeDeadlineNs;
--- a/sidecar/src/test/java/mulleinlever/sidecar/StatePersistenceTest.java
+++ b/sidecar/src/test/java/mulleinlever/sidecar/StatePersistenceTest.java
@@ -79,7 +79,7 @@
                     return sendRow(out, "v");
                 });
         startSidecar();
-        assertTrue(logText().contains("state: nothing taken: no whole file in"), logText());
+        assertTrue(logText().contains("state: no state restored: no valid file in"), logText());
         try (Client client = new Client()) {
             for (int i = 0; i < 30; i++) {
                 assertEquals("TDvC", client.execute(selectSql("1", 800)));
@@ -87,7 +87,7 @@
         }
         stop();
         // The last snapshot was written at the shutdown, so the next start finds no older one.
-        long lastWriteUnixMs = readNewest().snapshot().head().unixMs();
+        long lastWriteUnixMs = readNewest().snapshot().header().unixMs();
         assertTrue(System.currentTimeMillis() - lastWriteUnixMs < 3_000);
         startSidecar();
         String restoreLine =
--- a/state/src/main/java/mulleinlever/state/SnapshotBuilder.java
+++ b/state/src/main/java/mulleinlever/state/SnapshotBuilder.java
@@ -61,7 +61,7 @@
     }
 
     /** Returns the snapshot; {@link StateStore} replaces the sequence number in its header. */
-    public StateSnapshot toSnapshot(StateSnapshot.Header head, RolloutStatus rolloutStatus) {
-        return new StateSnapshot(head, rolloutStatus, pods, learnedValues);
+    public StateSnapshot toSnapshot(StateSnapshot.Header header, RolloutStatus rolloutStatus) {
+        return new StateSnapshot(header, rolloutStatus, pods, learnedValues);
     }
 }
--- a/state/src/main/java/mulleinlever/state/SnapshotFilter.java
+++ b/state/src/main/java/mulleinlever/state/SnapshotFilter.java
@@ -70,7 +70,7 @@
     private static String categoryName(LearnedState value) {
         return switch (StateDecay.categoryOf(value)) {
             case PODS -> "pods";
-            case LINKS -> "links";
+            case CONNECTIONS -> "links";
             case ROUTES -> "routes";
             case BASELINES -> "baselines";
             default -> "keys";
@@ -135,14 +135,16 @@
         if (!pod.address().equals(context.podAddresses().get(saved.id()))) {
             return "at another address";
         }
-        return snapshot.head().zone().equals(context.zone()) ? null : "measured from another zone";
+        return snapshot.header().zone().equals(context.zone())
+                ? null
+                : "measured from another zone";
     }
 
     /** Returns why a value that is not about a pod does not apply any more; null if it does. */
     private static String mismatch(
             LearnedState value, StateSnapshot snapshot, RestoreContext context) {
         if (value instanceof LearnedState.ConnectionStats
-                && !snapshot.head().zone().equals(context.zone())) {
+                && !snapshot.header().zone().equals(context.zone())) {
             return "measured from another zone";
         }
         String route =
@@ -160,7 +162,7 @@
      * @param otherVersion the version of the other list; -1 for none
      */
     public static boolean isPodListUsable(StateSnapshot snapshot, long ageNs, long otherVersion) {
-        return snapshot.head().listVersion() > otherVersion
+        return snapshot.header().listVersion() > otherVersion
                 && !snapshot.pods().isEmpty()
                 && StateDecay.remainingFraction(StateDecay.Category.POD_LIST, ageNs) > 0;
     }
--- a/state/src/main/java/mulleinlever/state/StateDecay.java
+++ b/state/src/main/java/mulleinlever/state/StateDecay.java
@@ -33,7 +33,7 @@
          * Statistics of connections. Connections are refused only while some cause lasts, and since
          * then other clients may hold the connections in question.
          */
-        LINKS(15 * SECOND_NS, 2 * MINUTE_NS, false),
+        CONNECTIONS(15 * SECOND_NS, 2 * MINUTE_NS, false),
         /**
          * Statistics of routes. The duration of a route's tries changes with builds and the time of
          * day.
@@ -70,7 +70,7 @@
 
     /**
      * Returns the age of state captured at a Unix time in milliseconds, in nanoseconds. Returns
-     * {@link #UNKNOWN_AGE_NS} if that time is not positive, or lies in the future because the clock
+     * {@link #UNKNOWN_AGE_NS} if that time is not positive, or is in the future because the clock
      * was set.
      *
      * @param nowNs the current Unix time in nanoseconds
@@ -92,7 +92,7 @@
         return value instanceof LearnedState.PodStats
                 ? Category.PODS
                 : value instanceof LearnedState.ConnectionStats
-                        ? Category.LINKS
+                        ? Category.CONNECTIONS
                         : value instanceof LearnedState.RouteStats
                                 ? Category.ROUTES
                                 : value instanceof LearnedState.DetectorBaseline
--- a/state/src/main/java/mulleinlever/state/StateFileException.java
+++ b/state/src/main/java/mulleinlever/state/StateFileException.java
@@ -1,8 +1,8 @@
 package mulleinlever.state;
 
 /**
- * Thrown when a state file can't be used. The message names the file and, if the fault lies in its
- * content, the byte offset.
+ * Thrown when a state file can't be used. The message names the file and, if its content is
+ * invalid, the byte offset.
  */
 public final class StateFileException extends Exception {
     private static final long serialVersionUID = 1L;
--- a/state/src/main/java/mulleinlever/state/StateFileFormat.java
+++ b/state/src/main/java/mulleinlever/state/StateFileFormat.java
@@ -100,7 +100,7 @@
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         out.writeBytes(MAGIC);
         out.writeBytes(ByteBuffer.allocate(4).putInt(FORMAT_VERSION).array());
-        writeSection(out, Section.HEAD, List.of(snapshot.head()), StateFileFormat::writeFields);
+        writeSection(out, Section.HEAD, List.of(snapshot.header()), StateFileFormat::writeFields);
         writeSection(
                 out, Section.NEWS, List.of(snapshot.rolloutStatus()), StateFileFormat::writeFields);
         writeSection(
--- a/state/src/main/java/mulleinlever/state/StateSnapshot.java
+++ b/state/src/main/java/mulleinlever/state/StateSnapshot.java
@@ -7,12 +7,13 @@
 /**
  * The state of one sidecar that is saved across restarts, as captured by {@link SnapshotBuilder}.
  *
+ * @param header identifies the sidecar that captured the snapshot, and when
  * @param rolloutStatus the rollout status of the newest build; its age is not saved
  * @param pods the latest pod list, with what was learned about each pod
  * @param learnedValues all other learned values
  */
 public record StateSnapshot(
-        Header head,
+        Header header,
         RolloutStatus rolloutStatus,
         List<PodSnapshot> pods,
         List<LearnedState> learnedValues) {
@@ -53,6 +54,6 @@
     public record PodSnapshot(String address, LearnedState.PodStats learned) {}
 
     StateSnapshot withSequence(long sequence) {
-        return new StateSnapshot(head.withSequence(sequence), rolloutStatus, pods, learnedValues);
+        return new StateSnapshot(header.withSequence(sequence), rolloutStatus, pods, learnedValues);
     }
 }
--- a/state/src/main/java/mulleinlever/state/StateStore.java
+++ b/state/src/main/java/mulleinlever/state/StateStore.java
@@ -41,10 +41,10 @@
      *
      * @param fileName the name of that file; null if there is none
      * @param snapshot the content of that file; null if there is none
-     * @param skippedFiles one line for each file that was skipped, and for each section that was
-     *     skipped because this program does not know it
+     * @param notes one line for each file that was skipped, and for each section that was skipped
+     *     because this program does not know it
      */
-    public record LoadResult(String fileName, StateSnapshot snapshot, List<String> skippedFiles) {}
+    public record LoadResult(String fileName, StateSnapshot snapshot, List<String> notes) {}
 
     private final Directory directory;
     private final int retainedFileCount;
@@ -198,25 +198,25 @@
         List<String> names = new ArrayList<>(directory.list());
         names.removeIf(n -> parseSequence(n) < 0);
         Collections.reverse(names);
-        List<String> skippedFiles = new ArrayList<>();
+        List<String> notes = new ArrayList<>();
         for (String name : names) {
             try {
-                StateSnapshot snapshot = readFile(directory, name, maxFileBytes, skippedFiles::add);
-                if (instance != null && !snapshot.head().instance().equals(instance)) {
-                    skippedFiles.add(
+                StateSnapshot snapshot = readFile(directory, name, maxFileBytes, notes::add);
+                if (instance != null && !snapshot.header().instance().equals(instance)) {
+                    notes.add(
                             name
                                     + ": belongs to "
-                                    + snapshot.head().instance()
+                                    + snapshot.header().instance()
                                     + ", not to "
                                     + instance);
                 } else {
-                    return new LoadResult(name, snapshot, skippedFiles);
+                    return new LoadResult(name, snapshot, notes);
                 }
             } catch (StateFileException e) {
-                skippedFiles.add(e.getMessage());
+                notes.add(e.getMessage());
             }
         }
-        return new LoadResult(null, null, skippedFiles);
+        return new LoadResult(null, null, notes);
     }
 
     /**
--- a/state/src/test/java/mulleinlever/state/SnapshotFilterTest.java
+++ b/state/src/test/java/mulleinlever/state/SnapshotFilterTest.java
@@ -134,7 +134,7 @@
     }
 
     @Test
-    void newsIsRestoredOnlyIfStricter() {
+    void rolloutStatusIsRestoredOnlyIfStricter() {
         for (Phase savedPhase : Phase.values()) {
             for (Phase currentPhase : Phase.values()) {
                 for (int build = 41; build <= 43; build++) {
--- a/state/src/test/java/mulleinlever/state/StateDecayTest.java
+++ b/state/src/test/java/mulleinlever/state/StateDecayTest.java
@@ -119,7 +119,7 @@
                 0,
                 StateDecay.remainingFraction(
                         StateDecay.Category.POD_LIST, StateDecay.UNKNOWN_AGE_NS));
-        // The capture time lies in the future, or is missing.
+        // The capture time is in the future, or is missing.
         assertEquals(
                 StateDecay.UNKNOWN_AGE_NS,
                 StateDecay.computeAgeNs(1_000_001, 1_000_000 * 1_000_000L));
--- a/state/src/test/java/mulleinlever/state/StateFileFormatTest.java
+++ b/state/src/test/java/mulleinlever/state/StateFileFormatTest.java
@@ -58,24 +58,24 @@
 
     @Test
     void rejectsFileTruncatedAtAnyByte() {
-        byte[] whole = StateFileFormat.encode(SampleSnapshots.snapshot(3, 4));
-        for (int length = 0; length < whole.length; length++) {
+        byte[] valid = StateFileFormat.encode(SampleSnapshots.snapshot(3, 4));
+        for (int length = 0; length < valid.length; length++) {
             assertEquals(
                     StateFileException.Kind.TRUNCATED,
-                    decodeFailureKind(Arrays.copyOf(whole, length)),
+                    decodeFailureKind(Arrays.copyOf(valid, length)),
                     "at " + length);
         }
         assertEquals(
                 StateFileException.Kind.CORRUPT,
-                decodeFailureKind(Arrays.copyOf(whole, whole.length + 1)));
+                decodeFailureKind(Arrays.copyOf(valid, valid.length + 1)));
     }
 
     @Test
     void rejectsAnyBitFlip() {
-        byte[] whole = StateFileFormat.encode(SampleSnapshots.snapshot(3, 2));
-        for (int offset = 0; offset < whole.length; offset++) {
+        byte[] valid = StateFileFormat.encode(SampleSnapshots.snapshot(3, 2));
+        for (int offset = 0; offset < valid.length; offset++) {
             for (int bit = 0; bit < 8; bit++) {
-                byte[] corrupt = whole.clone();
+                byte[] corrupt = valid.clone();
                 corrupt[offset] ^= (byte) (1 << bit);
                 StateFileException.Kind kind = decodeFailureKind(corrupt);
                 assertEquals(
--- a/state/src/test/java/mulleinlever/state/StateStoreTest.java
+++ b/state/src/test/java/mulleinlever/state/StateStoreTest.java
@@ -106,7 +106,7 @@
                 FaultInjectingDirectory afterCrash = directory.copyAfterCrash(seed);
                 StateStore.LoadResult loaded = readNewest(afterCrash);
                 long loadedUnixMs =
-                        loaded.snapshot() == null ? 0 : loaded.snapshot().head().unixMs();
+                        loaded.snapshot() == null ? 0 : loaded.snapshot().header().unixMs();
                 assertTrue(
                         loadedUnixMs >= lastForced && loadedUnixMs <= lastForced + 1,
                         "call " + call + ": " + loadedUnixMs + " after " + lastForced);
@@ -121,7 +121,7 @@
                 nextStore.openAsync().get();
                 nextStore.offer(snapshot(9));
                 nextStore.awaitPendingWrites();
-                assertEquals(9, readNewest(afterCrash).snapshot().head().unixMs());
+                assertEquals(9, readNewest(afterCrash).snapshot().header().unixMs());
                 assertTrue(afterCrash.list().stream().noneMatch(n -> n.endsWith(".tmp")));
             }
         }
@@ -138,7 +138,7 @@
                 store.openAsync().get();
                 writeSnapshots(store, 1, 5);
                 long loadedUnixMs =
-                        readNewest(directory.copyAfterCrash(1)).snapshot().head().unixMs();
+                        readNewest(directory.copyAfterCrash(1)).snapshot().header().unixMs();
                 assertTrue(loadedUnixMs >= 3, fault + " at call " + call + ": " + loadedUnixMs);
                 store.close(SECOND_NS);
             }
@@ -183,7 +183,7 @@
             StateStore second = newStore(directory);
             assertNull(second.openAsync().get());
             writeSnapshots(second, 5, 6);
-            assertEquals(1, readNewest(directory).snapshot().head().unixMs());
+            assertEquals(1, readNewest(directory).snapshot().header().unixMs());
             assertEquals("off: another sidecar holds " + directory, log.get(0));
             first.close(SECOND_NS);
             StateStore third = newStore(directory);
@@ -207,7 +207,7 @@
                 List.of(
                         "off: another sidecar writes to in-memory directory: state-000000000003.mls"),
                 log);
-        assertEquals(3, readNewest(directory).snapshot().head().unixMs());
+        assertEquals(3, readNewest(directory).snapshot().header().unixMs());
     }
 
     @Test
@@ -236,13 +236,12 @@
         directory.addForcedFile("notes.txt", new byte[3]);
         StateStore.LoadResult loaded = readNewest(directory);
         assertEquals(StateStore.fileName(1), loaded.fileName());
-        assertEquals(5, loaded.skippedFiles().size());
+        assertEquals(5, loaded.notes().size());
         assertTrue(
-                loaded.skippedFiles().get(0).contains("format 2, and we know up to 1"),
-                loaded.skippedFiles().get(0));
+                loaded.notes().get(0).contains("format 2, and we know up to 1"),
+                loaded.notes().get(0));
         assertTrue(
-                loaded.skippedFiles().get(3).endsWith("belongs to n4, not to n3"),
-                loaded.skippedFiles().get(3));
+                loaded.notes().get(3).endsWith("belongs to n4, not to n3"), loaded.notes().get(3));
         // The next file gets a higher number than all of them.
         StateStore store = newStore(directory);
         store.openAsync().get();
@@ -277,7 +276,7 @@
         writeSnapshots(otherStore, 5, 6);
         assertEquals(
                 5,
-                readNewest(new FileSystemDirectory(removedDirectory)).snapshot().head().unixMs());
+                readNewest(new FileSystemDirectory(removedDirectory)).snapshot().header().unixMs());
         assertTrue(log.get(1).startsWith("snapshots are written again"), log.toString());
         otherStore.close(SECOND_NS);
     }
