--- a/sidecar/src/main/java/mulleinlever/sidecar/AdaptiveConnectTimeout.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/AdaptiveConnectTimeout.java
@@ -4,7 +4,7 @@
 
 /**
  * Decides how long a connection to a pod may take to open before it is given up and its try fails
- * to connect. A try to a pod that is suspended, lost or cut off would otherwise wait for the whole
+ * to connect. A try to a pod that is suspended, lost or cut off would otherwise wait for the full
  * timeout of the settings, which can be most of a latency objective.
  *
  * <p>A connection that opens at all does so within a few times the duration of the slowest recent
--- a/sidecar/src/main/java/mulleinlever/sidecar/StatePersistence.java
+++ b/sidecar/src/main/java/mulleinlever/sidecar/StatePersistence.java
@@ -34,7 +34,7 @@
     private static final Path MACHINE_ID_FILE = Path.of("/etc/machine-id");
 
     /**
-     * The pause between two slices of a capture, in which the event loop serves its connections.
+     * The pause between two slices of a snapshot, in which the event loop serves its connections.
      */
     private static final long SLICE_PAUSE_NS = 1_000_000L;
 
